--- a/crates/admission/src/caller.rs
+++ b/crates/admission/src/caller.rs
@@ -6,7 +6,7 @@
 /// One who calls. An IPv6 host is given a /64 and may use any address of it, so that is what counts as one;
 /// IPv4 that comes as mapped IPv6 is IPv4.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Caller {
+pub enum ClientKey {
     V4(u32),
     V6(u64),
     /// Whoever is told apart otherwise: the number that a certificate's or token's owner was given.
@@ -20,8 +20,8 @@
     V6(u64),
 }
 
-impl Caller {
-    pub fn at(address: IpAddr) -> Self {
+impl ClientKey {
+    pub fn from_address(address: IpAddr) -> Self {
         match address.to_canonical() {
             IpAddr::V4(v4) => Self::V4(v4.to_bits()),
             IpAddr::V6(v6) => Self::V6(upper(v6)),
@@ -43,9 +43,9 @@
 
 /// The networks whose callers are known. A few lines an operator wrote; walked at each arrival.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Known(Vec<IpNet>);
+pub struct KnownNetworks(Vec<IpNet>);
 
-impl Known {
+impl KnownNetworks {
     /// Networks of mapped IPv4 are IPv4's, where they lie within it.
     pub fn new(nets: Vec<IpNet>) -> Self {
         let canonical = |net: IpNet| match net {
@@ -60,7 +60,7 @@
         Self(nets.into_iter().map(canonical).collect())
     }
 
-    pub fn holds(&self, address: IpAddr) -> bool {
+    pub fn contains(&self, address: IpAddr) -> bool {
         let address = address.to_canonical();
         self.0.iter().any(|net| net.contains(&address))
     }
@@ -68,11 +68,11 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{Caller, Known};
+    use super::{ClientKey, KnownNetworks};
     use test_case::test_case;
 
-    fn caller(text: &str) -> Caller {
-        Caller::at(text.parse().unwrap())
+    fn caller(text: &str) -> ClientKey {
+        ClientKey::from_address(text.parse().unwrap())
     }
 
     #[test_case("10.1.2.3", "::ffff:10.1.2.3", true, true; "mapped IPv4 is IPv4")]
@@ -93,7 +93,7 @@
     #[test_case("2001:db8::/48", "2001:db8:0:7::1", true; "within a 48")]
     #[test_case("2001:db8::1/128", "2001:db8::2", false; "one address alone")]
     fn who_is_known_is_read_off_a_list_of_networks(net: &str, address: &str, known: bool) {
-        let list = Known::new(vec![net.parse().unwrap()]);
-        assert_eq!(list.holds(address.parse().unwrap()), known);
+        let list = KnownNetworks::new(vec![net.parse().unwrap()]);
+        assert_eq!(list.contains(address.parse().unwrap()), known);
     }
 }
--- a/crates/admission/src/guests.rs
+++ b/crates/admission/src/guests.rs
@@ -1,30 +1,30 @@
 //! Who is in the house, and the orders in which they are looked for. Bounded by the descriptors of clients.
 
-use crate::{Caller, Guest, Prefix};
+use crate::{ClientConnectionId, ClientKey, Prefix};
 use fernglade::Moment;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 
 /// What a guest inside is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Activity {
     /// Nothing whole has come from it, or what was asked was answered.
     Idle,
     /// A request is half said.
-    Asking,
+    ReceivingRequest,
     /// A scan of its is open.
-    Busy,
+    ScanOpen,
     /// It was asked to leave, or its connection ends with what is being written to it.
-    Leaving,
+    Closing,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct Line {
-    pub caller: Caller,
+    pub caller: ClientKey,
     pub address: Option<IpAddr>,
     pub known: bool,
     /// None on the porch: accepted, and not let in yet.
-    pub inside: Option<Standing>,
+    pub inside: Option<Activity>,
     /// When it came, or fell idle, or began to ask.
     pub since: Moment,
 }
@@ -32,7 +32,7 @@
 impl Line {
     /// Inside with no scan open, and staying: one who could make room.
     pub fn is_still(&self) -> bool {
-        matches!(self.inside, Some(Standing::Idle | Standing::Asking))
+        matches!(self.inside, Some(Activity::Idle | Activity::ReceivingRequest))
     }
 }
 
@@ -46,16 +46,16 @@
 
 #[derive(Default)]
 pub struct Guests {
-    lines: BTreeMap<Guest, Line>,
-    callers: BTreeMap<Caller, Tally>,
+    lines: BTreeMap<ClientConnectionId, Line>,
+    callers: BTreeMap<ClientKey, Tally>,
     prefixes: BTreeMap<Prefix, usize>,
     /// By whether they are known: still ones by since when; callers by how many still ones they have; each
     /// caller's still ones by since when.
-    still: [BTreeSet<(Moment, Guest)>; 2],
-    ranks: [BTreeSet<(usize, Caller)>; 2],
-    of: [BTreeSet<(Caller, Moment, Guest)>; 2],
+    still: [BTreeSet<(Moment, ClientConnectionId)>; 2],
+    ranks: [BTreeSet<(usize, ClientKey)>; 2],
+    of: [BTreeSet<(ClientKey, Moment, ClientConnectionId)>; 2],
     /// In the order in which they came.
-    porch: BTreeSet<(Moment, Guest)>,
+    porch: BTreeSet<(Moment, ClientConnectionId)>,
     /// Inside, leaving, known and inside.
     pub inside: usize,
     pub leaving: usize,
@@ -63,23 +63,23 @@
 }
 
 impl Guests {
-    pub fn get(&self, guest: Guest) -> Option<&Line> {
+    pub fn get(&self, guest: ClientConnectionId) -> Option<&Line> {
         self.lines.get(&guest)
     }
 
-    pub fn lines(&self) -> impl Iterator<Item = (Guest, &Line)> {
+    pub fn lines(&self) -> impl Iterator<Item = (ClientConnectionId, &Line)> {
         self.lines.iter().map(|(guest, line)| (*guest, line))
     }
 
-    pub fn tally(&self, caller: Caller) -> Tally {
+    pub fn tally(&self, caller: ClientKey) -> Tally {
         self.callers.get(&caller).copied().unwrap_or_default()
     }
 
-    pub fn of_prefix(&self, caller: Caller) -> usize {
+    pub fn of_prefix(&self, caller: ClientKey) -> usize {
         caller.prefix().and_then(|prefix| self.prefixes.get(&prefix).copied()).unwrap_or(0)
     }
 
-    pub fn porch(&self) -> impl Iterator<Item = (Moment, Guest)> + '_ {
+    pub fn porch(&self) -> impl Iterator<Item = (Moment, ClientConnectionId)> + '_ {
         self.porch.iter().copied()
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Lines of all tables; nothing is left of those who have gone.
-    pub fn table_lines(&self) -> usize {
+    pub fn table_entries(&self) -> usize {
         let by_known =
             |known: usize| self.still[known].len() + self.ranks[known].len() + self.of[known].len();
         self.lines.len()
@@ -108,23 +108,27 @@
     }
 
     /// The one still longest, of all.
-    pub fn longest(&self, known: bool) -> Option<(Moment, Guest)> {
+    pub fn longest(&self, known: bool) -> Option<(Moment, ClientConnectionId)> {
         self.still[usize::from(known)].first().copied()
     }
 
     /// The caller with most still ones, and its longest.
-    pub fn greatest(&self, known: bool) -> Option<(usize, Moment, Guest)> {
+    pub fn greatest(&self, known: bool) -> Option<(usize, Moment, ClientConnectionId)> {
         let (count, caller) = *self.ranks[usize::from(known)].last()?;
         let (_, since, guest) = self.longest_of(caller, known)?;
         Some((count, since, guest))
     }
 
-    pub fn longest_of(&self, caller: Caller, known: bool) -> Option<(Caller, Moment, Guest)> {
-        let first = (caller, Moment::default(), Guest(0));
+    pub fn longest_of(
+        &self,
+        caller: ClientKey,
+        known: bool,
+    ) -> Option<(ClientKey, Moment, ClientConnectionId)> {
+        let first = (caller, Moment::default(), ClientConnectionId(0));
         self.of[usize::from(known)].range(first..).next().copied().filter(|(of, ..)| *of == caller)
     }
 
-    pub fn insert(&mut self, guest: Guest, line: Line) {
+    pub fn insert(&mut self, guest: ClientConnectionId, line: Line) {
         debug_assert!(!self.lines.contains_key(&guest));
         self.callers.entry(line.caller).or_default().held += 1;
         if let Some(prefix) = line.caller.prefix() {
@@ -135,7 +139,7 @@
     }
 
     /// Changes a line; its caller stays.
-    pub fn change(&mut self, guest: Guest, change: impl FnOnce(&mut Line)) {
+    pub fn change(&mut self, guest: ClientConnectionId, change: impl FnOnce(&mut Line)) {
         let Some(before) = self.lines.get(&guest).copied() else { return };
         let mut after = before;
         change(&mut after);
@@ -145,7 +149,7 @@
         self.count(guest, after, true);
     }
 
-    pub fn remove(&mut self, guest: Guest) -> Option<Line> {
+    pub fn remove(&mut self, guest: ClientConnectionId) -> Option<Line> {
         let line = self.lines.remove(&guest)?;
         self.count(guest, line, false);
         if let Some(tally) = self.callers.get_mut(&line.caller) {
@@ -166,14 +170,14 @@
     }
 
     /// Puts a line into the orders that it belongs to, or takes it out of them.
-    fn count(&mut self, guest: Guest, line: Line, more: bool) {
+    fn count(&mut self, guest: ClientConnectionId, line: Line, more: bool) {
         let step = |count: &mut usize| *count = if more { *count + 1 } else { *count - 1 };
         match line.inside {
             None if more => drop(self.porch.insert((line.since, guest))),
             None => drop(self.porch.remove(&(line.since, guest))),
             Some(standing) => {
                 step(&mut self.inside);
-                if standing == Standing::Leaving {
+                if standing == Activity::Closing {
                     step(&mut self.leaving);
                 }
                 if line.known {
@@ -186,7 +190,7 @@
         }
     }
 
-    fn count_still(&mut self, guest: Guest, line: Line, more: bool) {
+    fn count_still(&mut self, guest: ClientConnectionId, line: Line, more: bool) {
         let known = usize::from(line.known);
         let Some(tally) = self.callers.get_mut(&line.caller) else { return };
         let before = tally.still[known];
--- a/crates/admission/src/house.rs
+++ b/crates/admission/src/house.rs
@@ -16,9 +16,9 @@
 //!
 //! Nobody who has an open scan is asked to leave.
 
-use crate::guests::{Guests, Line, Standing};
+use crate::guests::{Activity, Guests, Line};
 use crate::paces::Paces;
-use crate::{Caller, Guest, HouseRules};
+use crate::{AdmissionPolicy, ClientConnectionId, ClientKey};
 use fernglade::{Moment, Span};
 use std::net::IpAddr;
 
@@ -42,33 +42,33 @@
 
 /// What is to be done about a connection or the door.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
+pub enum AdmissionAction {
     /// Let it in: it has a place.
-    Enter(Guest),
+    Admit(ClientConnectionId),
     /// Tell it that it can't come in, and end its connection. It is forgotten already.
-    Refuse(Guest, Refusal),
+    Reject(ClientConnectionId, RejectReason),
     /// It has no scan open and is to go; `gone` tells that it has.
-    Leave(Guest),
+    Evict(ClientConnectionId),
     /// Whether further connections are accepted.
-    Door(bool),
+    SetAccepting(bool),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RejectReason {
     /// Its caller holds as many connections as one may.
-    Caller,
+    ClientLimit,
     /// Those of its prefix do.
-    Prefix,
+    PrefixLimit,
     /// Its caller, or all together, open connections too fast.
-    Pace,
+    RateLimit,
     /// There is no place for it.
-    Full,
+    NoFreeSlot,
     /// The mixer stops.
-    Stopping,
+    ShuttingDown,
 }
 
-pub struct House {
-    rules: HouseRules,
+pub struct AdmissionController {
+    rules: AdmissionPolicy,
     /// What the descriptors allow, the porch included.
     most: usize,
     /// How many of the places were taken off when descriptors ran short, and when.
@@ -81,9 +81,9 @@
     closed: bool,
 }
 
-impl House {
+impl AdmissionController {
     /// `most` connections at a time, porch and all.
-    pub fn new(rules: HouseRules, most: usize) -> Self {
+    pub fn new(rules: AdmissionPolicy, most: usize) -> Self {
         Self {
             rules,
             most: most.max(2),
@@ -96,7 +96,7 @@
         }
     }
 
-    pub fn rules(&self) -> &HouseRules {
+    pub fn policy(&self) -> &AdmissionPolicy {
         &self.rules
     }
 
@@ -105,13 +105,13 @@
     }
 
     /// The places inside, now.
-    pub fn places(&self, now: Moment) -> usize {
+    pub fn slots(&self, now: Moment) -> usize {
         let back = now.since(self.squeezed.1).micros() / COMES_BACK.micros();
         let off = self.squeezed.0.saturating_sub(back as usize);
         (self.most - self.porch_size()).saturating_sub(off).max(1)
     }
 
-    pub fn inside(&self) -> usize {
+    pub fn admitted(&self) -> usize {
         self.guests.inside
     }
 
@@ -121,40 +121,45 @@
 
     /// Whether a guest's connection is to end with its next answer: more than half of the clients' descriptors are
     /// taken, and idle connections hold places that others could use. A known one may keep its kept place.
-    pub fn ends_with_answer(&self, now: Moment, guest: Guest) -> bool {
+    pub fn closes_after_response(&self, now: Moment, guest: ClientConnectionId) -> bool {
         let many = (self.guests.inside + self.guests.on_porch()) * 2 > self.most;
-        let kept = self.guests.known_inside <= self.rules.kept_of(self.places(now));
+        let kept = self.guests.known_inside <= self.rules.reserved_slots(self.slots(now));
         many && !(kept && self.is_known(guest))
     }
 
     /// Lines of all tables together, for checks that nothing is left behind.
-    pub fn table_lines(&self) -> usize {
-        self.guests.table_lines() + self.paces.len()
+    pub fn table_entries(&self) -> usize {
+        self.guests.table_entries() + self.paces.len()
     }
 
     /// A connection was accepted.
-    pub fn arrive(&mut self, now: Moment, guest: Guest, address: IpAddr) -> Vec<Act> {
-        let known = self.rules.known.holds(address);
-        self.arrive_as(now, guest, Caller::at(address), Some(address), known)
+    pub fn connection_accepted(
+        &mut self,
+        now: Moment,
+        guest: ClientConnectionId,
+        address: IpAddr,
+    ) -> Vec<AdmissionAction> {
+        let known = self.rules.known_networks.contains(address);
+        self.connection_accepted_as(now, guest, ClientKey::from_address(address), Some(address), known)
     }
 
     /// The same for one whose caller is told by other means than an address.
-    pub fn arrive_as(
+    pub fn connection_accepted_as(
         &mut self,
         now: Moment,
-        guest: Guest,
-        caller: Caller,
+        guest: ClientConnectionId,
+        caller: ClientKey,
         address: Option<IpAddr>,
         known: bool,
-    ) -> Vec<Act> {
+    ) -> Vec<AdmissionAction> {
         let mut acts = Vec::new();
         self.let_in(now, &mut acts);
         match self.judge(now, caller, known) {
-            Err(refusal) => acts.push(Act::Refuse(guest, refusal)),
+            Err(refusal) => acts.push(AdmissionAction::Reject(guest, refusal)),
             Ok(turn) => {
                 if let Some(other) = turn {
                     self.guests.remove(other);
-                    acts.push(Act::Refuse(other, Refusal::Full));
+                    acts.push(AdmissionAction::Reject(other, RejectReason::NoFreeSlot));
                 }
                 self.guests.insert(guest, Line { caller, address, known, inside: None, since: now });
                 self.let_in(now, &mut acts);
@@ -166,53 +171,59 @@
     }
 
     /// Whether a caller's further connection is taken, and whose turn on the porch it takes.
-    fn judge(&mut self, now: Moment, caller: Caller, known: bool) -> Result<Option<Guest>, Refusal> {
+    fn judge(
+        &mut self,
+        now: Moment,
+        caller: ClientKey,
+        known: bool,
+    ) -> Result<Option<ClientConnectionId>, RejectReason> {
         if self.closed {
-            return Err(Refusal::Stopping);
+            return Err(RejectReason::ShuttingDown);
         }
-        let places = self.places(now);
+        let places = self.slots(now);
         // Who is known is asked for caps and paces only once the kept places are taken.
-        if !(known && self.guests.known_inside < self.rules.kept_of(places)) {
+        if !(known && self.guests.known_inside < self.rules.reserved_slots(places)) {
             let held = self.guests.tally(caller).held;
-            if self.rules.per_caller.is_some_and(|most| held >= most) {
-                return Err(Refusal::Caller);
+            if self.rules.per_client.is_some_and(|most| held >= most) {
+                return Err(RejectReason::ClientLimit);
             }
             if self.rules.per_prefix.is_some_and(|most| self.guests.of_prefix(caller) >= most) {
-                return Err(Refusal::Prefix);
+                return Err(RejectReason::PrefixLimit);
             }
-            if !self.paces.take(now, caller, self.rules.caller_pace, self.rules.whole_pace) {
-                return Err(Refusal::Pace);
+            if !self.paces.take(now, caller, self.rules.client_rate, self.rules.total_rate) {
+                return Err(RejectReason::RateLimit);
             }
         }
         let waiting = self.guests.porch().filter(|(_, other)| self.is_known(*other) || !known).count();
         let enters = self.free_for(now, known) > waiting;
         if !enters && self.guests.on_porch() >= self.porch_size() {
-            return self.turn_to_take(caller, known).map(Some).ok_or(Refusal::Full);
+            return self.turn_to_take(caller, known).map(Some).ok_or(RejectReason::NoFreeSlot);
         }
         Ok(None)
     }
 
     /// On a full porch: the latest unknown one, for a known one; else the latest of the caller that holds most,
     /// if it would still hold as many as the newcomer's then. None where nobody has that much more.
-    fn turn_to_take(&self, caller: Caller, known: bool) -> Option<Guest> {
-        let held =
-            |guest: Guest| self.guests.get(guest).map_or(0, |line| self.guests.tally(line.caller).held);
+    fn turn_to_take(&self, caller: ClientKey, known: bool) -> Option<ClientConnectionId> {
+        let held = |guest: ClientConnectionId| {
+            self.guests.get(guest).map_or(0, |line| self.guests.tally(line.caller).held)
+        };
         let weaker = self.guests.porch().filter(|(_, other)| !self.is_known(*other));
         let (_, guest) = weaker.max_by_key(|(since, other)| (held(*other), *since, *other))?;
         let fewer = self.guests.tally(caller).held + 2 <= held(guest);
         (known || fewer).then_some(guest)
     }
 
-    fn is_known(&self, guest: Guest) -> bool {
+    fn is_known(&self, guest: ClientConnectionId) -> bool {
         self.guests.get(guest).is_some_and(|line| line.known)
     }
 
     /// Places that one might take now.
     fn free_for(&self, now: Moment, known: bool) -> usize {
-        let places = self.places(now);
+        let places = self.slots(now);
         let all = places.saturating_sub(self.guests.inside);
-        let still = self.rules.still_of(places).saturating_sub(self.guests.still_inside());
-        let kept = self.rules.kept_of(places);
+        let still = self.rules.idle_slots(places).saturating_sub(self.guests.still_inside());
+        let kept = self.rules.reserved_slots(places);
         if known {
             // Kept places are theirs whatever the others do.
             return all.min(still.max(kept.saturating_sub(self.guests.known_inside)));
@@ -223,9 +234,9 @@
 
     /// Who goes to make room: of the caller with most still ones the longest, if it has settled; else whoever
     /// has been still longest; else, though it has just come, one of a caller that holds two more than the
-    /// newcomer's would. Known ones go for unknown ones only where they hold more than is kept.
-    fn who_goes(&self, now: Moment, newcomer: Option<(Caller, bool)>) -> Option<Guest> {
-        let kept = self.rules.kept_of(self.places(now));
+    /// newcomer's would. KnownNetworks ones go for unknown ones only where they hold more than is kept.
+    fn who_goes(&self, now: Moment, newcomer: Option<(ClientKey, bool)>) -> Option<ClientConnectionId> {
+        let kept = self.rules.reserved_slots(self.slots(now));
         let over = self.guests.known_inside > kept;
         let spares_known = newcomer.is_some_and(|(_, known)| !known) && !over;
         let settled = |since: Moment| now.since(since) >= SETTLING;
@@ -250,36 +261,41 @@
         }
     }
 
-    fn ask_to_leave(&mut self, now: Moment, who: Option<Guest>, acts: &mut Vec<Act>) {
+    fn ask_to_leave(
+        &mut self,
+        now: Moment,
+        who: Option<ClientConnectionId>,
+        acts: &mut Vec<AdmissionAction>,
+    ) {
         if let Some(guest) = who {
-            self.guests.change(guest, |line| (line.inside, line.since) = (Some(Standing::Leaving), now));
-            acts.push(Act::Leave(guest));
+            self.guests.change(guest, |line| (line.inside, line.since) = (Some(Activity::Closing), now));
+            acts.push(AdmissionAction::Evict(guest));
         }
     }
 
     /// Those on the porch take what is free: known ones first, then of the caller that holds fewest, then in
     /// the order in which they came.
-    fn let_in(&mut self, now: Moment, acts: &mut Vec<Act>) {
+    fn let_in(&mut self, now: Moment, acts: &mut Vec<AdmissionAction>) {
         while self.guests.on_porch() > 0 {
             let free = [self.free_for(now, false), self.free_for(now, true)];
-            let rank = |(since, guest): (Moment, Guest)| {
+            let rank = |(since, guest): (Moment, ClientConnectionId)| {
                 let line = self.guests.get(guest)?;
                 let held = self.guests.tally(line.caller).held;
                 (free[usize::from(line.known)] > 0).then_some((!line.known, held, since, guest))
             };
             let Some((.., guest)) = self.guests.porch().filter_map(rank).min() else { break };
-            self.guests.change(guest, |line| (line.inside, line.since) = (Some(Standing::Idle), now));
-            acts.push(Act::Enter(guest));
+            self.guests.change(guest, |line| (line.inside, line.since) = (Some(Activity::Idle), now));
+            acts.push(AdmissionAction::Admit(guest));
         }
     }
 
     /// Somebody goes for each of those on the porch for whom nobody goes yet, in the order in which they will be
     /// let in.
-    fn make_room(&mut self, now: Moment, acts: &mut Vec<Act>) {
+    fn make_room(&mut self, now: Moment, acts: &mut Vec<AdmissionAction>) {
         if self.guests.leaving >= self.guests.on_porch() {
             return;
         }
-        let waits = |(since, guest): (Moment, Guest)| {
+        let waits = |(since, guest): (Moment, ClientConnectionId)| {
             let line = self.guests.get(guest)?;
             Some((!line.known, self.guests.tally(line.caller).held, since, guest, line.caller))
         };
@@ -292,7 +308,7 @@
     }
 
     /// A full porch shuts the door for a while; a crowd that outlasts it is let in to be refused, until it is over.
-    fn mind_door(&mut self, now: Moment, acts: &mut Vec<Act>) {
+    fn mind_door(&mut self, now: Moment, acts: &mut Vec<AdmissionAction>) {
         let full = self.guests.on_porch() >= self.porch_size();
         self.crowd = match self.crowd {
             Some((_, last)) if !full && now.since(last) >= OVER => None,
@@ -303,13 +319,13 @@
         let open = !full || self.crowd.is_some_and(|(since, _)| now.since(since) >= SHUT);
         if open != self.open {
             self.open = open;
-            acts.push(Act::Door(open));
+            acts.push(AdmissionAction::SetAccepting(open));
         }
     }
 
     /// Those without an open scan keep to their share; then whoever waits has what is free.
-    fn even_out(&mut self, now: Moment, acts: &mut Vec<Act>) {
-        let most = self.rules.still_of(self.places(now));
+    fn even_out(&mut self, now: Moment, acts: &mut Vec<AdmissionAction>) {
+        let most = self.rules.idle_slots(self.slots(now));
         while self.guests.still_inside() > most {
             let goes = self.guests.greatest(false).or_else(|| self.guests.greatest(true));
             self.ask_to_leave(now, goes.map(|(.., guest)| guest), acts);
@@ -319,15 +335,20 @@
     }
 
     /// A guest inside is about something else now.
-    pub fn stand(&mut self, now: Moment, guest: Guest, standing: Standing) -> Vec<Act> {
+    pub fn activity_changed(
+        &mut self,
+        now: Moment,
+        guest: ClientConnectionId,
+        standing: Activity,
+    ) -> Vec<AdmissionAction> {
         let mut acts = Vec::new();
         let Some(line) = self.guests.get(guest).copied() else { return acts };
-        if line.inside.is_none() || line.inside == Some(Standing::Leaving) {
+        if line.inside.is_none() || line.inside == Some(Activity::Closing) {
             return acts;
         }
         self.guests.change(guest, |line| (line.inside, line.since) = (Some(standing), now));
-        if standing == Standing::Idle {
-            let over = self.rules.per_caller.is_some_and(|most| self.guests.tally(line.caller).held > most);
+        if standing == Activity::Idle {
+            let over = self.rules.per_client.is_some_and(|most| self.guests.tally(line.caller).held > most);
             if over {
                 self.ask_to_leave(now, Some(guest), &mut acts);
             }
@@ -337,7 +358,7 @@
     }
 
     /// Its descriptor is free again.
-    pub fn gone(&mut self, now: Moment, guest: Guest) -> Vec<Act> {
+    pub fn connection_closed(&mut self, now: Moment, guest: ClientConnectionId) -> Vec<AdmissionAction> {
         let mut acts = Vec::new();
         if self.guests.remove(guest).is_some() {
             self.let_in(now, &mut acts);
@@ -348,7 +369,7 @@
 
     /// Descriptors ran short all the same: somebody goes, and as many places are taken off as are not covered,
     /// to come back one by one.
-    pub fn ran_short(&mut self, now: Moment) -> Vec<Act> {
+    pub fn descriptors_exhausted(&mut self, now: Moment) -> Vec<AdmissionAction> {
         let mut acts = Vec::new();
         let most = self.most - self.porch_size();
         let covered = self.guests.inside.saturating_sub(1).clamp(1, most);
@@ -361,7 +382,7 @@
     }
 
     /// The clients' descriptors are so many now: links that close take theirs before newcomers.
-    pub fn set_most(&mut self, now: Moment, most: usize) -> Vec<Act> {
+    pub fn set_capacity(&mut self, now: Moment, most: usize) -> Vec<AdmissionAction> {
         let mut acts = Vec::new();
         if self.most != most.max(2) {
             self.most = most.max(2);
@@ -373,20 +394,22 @@
 
     /// New rules hold from now on. Of callers over a lowered cap the idle ones go, longest first; busy ones
     /// stay until they are answered.
-    pub fn set_rules(&mut self, now: Moment, rules: HouseRules) -> Vec<Act> {
+    pub fn set_policy(&mut self, now: Moment, rules: AdmissionPolicy) -> Vec<AdmissionAction> {
         let mut acts = Vec::new();
         self.rules = rules;
-        let lines: Vec<(Guest, Line)> = self.guests.lines().map(|(guest, line)| (guest, *line)).collect();
+        let lines: Vec<(ClientConnectionId, Line)> =
+            self.guests.lines().map(|(guest, line)| (guest, *line)).collect();
         for (guest, line) in &lines {
-            let known = line.address.map_or(line.known, |address| self.rules.known.holds(address));
+            let known =
+                line.address.map_or(line.known, |address| self.rules.known_networks.contains(address));
             if known != line.known {
                 self.guests.change(*guest, |line| line.known = known);
             }
         }
-        if let Some(most) = self.rules.per_caller {
+        if let Some(most) = self.rules.per_client {
             let mut still: Vec<_> = lines.iter().filter(|(_, line)| line.is_still()).collect();
             still.sort_by_key(|(guest, line)| (line.since, *guest));
-            let mut stays: std::collections::BTreeMap<Caller, usize> = std::collections::BTreeMap::new();
+            let mut stays: std::collections::BTreeMap<ClientKey, usize> = std::collections::BTreeMap::new();
             for (guest, line) in still {
                 let stays = stays.entry(line.caller).or_insert(self.guests.tally(line.caller).held);
                 if *stays > most {
@@ -400,37 +423,42 @@
     }
 
     /// Nobody is let in any more: the mixer stops. Who waits on the porch is let in if there is a place.
-    pub fn close(&mut self, now: Moment) -> Vec<Act> {
+    pub fn shut_down(&mut self, now: Moment) -> Vec<AdmissionAction> {
         let mut acts = Vec::new();
         self.closed = true;
         self.let_in(now, &mut acts);
-        self.turn_away(|_| true, Refusal::Stopping, &mut acts);
+        self.turn_away(|_| true, RejectReason::ShuttingDown, &mut acts);
         acts
     }
 
-    fn turn_away(&mut self, whom: impl Fn(Moment) -> bool, why: Refusal, acts: &mut Vec<Act>) {
-        let waiting: Vec<Guest> =
+    fn turn_away(
+        &mut self,
+        whom: impl Fn(Moment) -> bool,
+        why: RejectReason,
+        acts: &mut Vec<AdmissionAction>,
+    ) {
+        let waiting: Vec<ClientConnectionId> =
             self.guests.porch().filter(|(since, _)| whom(*since)).map(|(_, guest)| guest).collect();
         for guest in waiting {
             self.guests.remove(guest);
-            acts.push(Act::Refuse(guest, why));
+            acts.push(AdmissionAction::Reject(guest, why));
         }
     }
 
     /// When `tick` is due, if it is.
-    pub fn due(&self, now: Moment) -> Option<Moment> {
+    pub fn next_tick(&self, now: Moment) -> Option<Moment> {
         let (first, _) = self.guests.porch().next()?;
         let shut = self.crowd.filter(|_| !self.open).map(|(since, _)| since + SHUT);
         let settles = self.guests.longest(false).into_iter().chain(self.guests.longest(true)).min();
         let settles = settles.map(|(since, _)| since + SETTLING).filter(|at| *at > now);
-        let back = (self.places(now) < self.most - self.porch_size()).then(|| now + COMES_BACK);
+        let back = (self.slots(now) < self.most - self.porch_size()).then(|| now + COMES_BACK);
         [Some(first + WAIT), shut, settles, back].into_iter().flatten().min()
     }
 
     /// Time has passed: somebody may have settled, a wait may be over, the door may open.
-    pub fn tick(&mut self, now: Moment) -> Vec<Act> {
+    pub fn tick(&mut self, now: Moment) -> Vec<AdmissionAction> {
         let mut acts = Vec::new();
-        self.turn_away(|since| now.since(since) >= WAIT, Refusal::Full, &mut acts);
+        self.turn_away(|since| now.since(since) >= WAIT, RejectReason::NoFreeSlot, &mut acts);
         self.let_in(now, &mut acts);
         self.make_room(now, &mut acts);
         self.mind_door(now, &mut acts);
--- a/crates/admission/src/paces.rs
+++ b/crates/admission/src/paces.rs
@@ -1,6 +1,6 @@
 //! How fast callers open connections.
 
-use crate::Caller;
+use crate::ClientKey;
 use fernglade::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,8 +11,8 @@
 /// A bucket, told by the moment when it will be full again: one number, and an order to forget by.
 #[derive(Default)]
 pub struct Paces {
-    full_at: BTreeMap<Caller, Moment>,
-    order: BTreeSet<(Moment, Caller)>,
+    full_at: BTreeMap<ClientKey, Moment>,
+    order: BTreeSet<(Moment, ClientKey)>,
     whole_full_at: Moment,
 }
 
@@ -29,7 +29,7 @@
 
 impl Paces {
     /// Whether one more is within both paces; it counts only if it is.
-    pub fn take(&mut self, now: Moment, caller: Caller, each: Option<f64>, whole: Option<f64>) -> bool {
+    pub fn take(&mut self, now: Moment, caller: ClientKey, each: Option<f64>, whole: Option<f64>) -> bool {
         let all = match whole {
             Some(pace) => match taken(self.whole_full_at, now, pace) {
                 Some(next) => next,
@@ -46,7 +46,7 @@
         true
     }
 
-    fn set(&mut self, now: Moment, caller: Caller, next: Moment) {
+    fn set(&mut self, now: Moment, caller: ClientKey, next: Moment) {
         if let Some(before) = self.full_at.insert(caller, next) {
             self.order.remove(&(before, caller));
         }
@@ -69,7 +69,7 @@
 #[cfg(test)]
 mod tests {
     use super::{Paces, MOST};
-    use crate::Caller;
+    use crate::ClientKey;
     use fernglade::Moment;
 
     fn at(millis: u64) -> Moment {
@@ -79,7 +79,7 @@
     #[test]
     fn a_seconds_worth_may_come_at_once_and_the_rest_at_its_pace() {
         let mut paces = Paces::default();
-        let mut come = |millis, caller| paces.take(at(millis), Caller::V4(caller), Some(10.0), None);
+        let mut come = |millis, caller| paces.take(at(millis), ClientKey::V4(caller), Some(10.0), None);
         assert_eq!((0..30).filter(|_| come(0, 1)).count(), 10);
         assert!(come(0, 2), "another's is its own");
         assert_eq!((0..30).filter(|_| come(500, 1)).count(), 5);
@@ -89,20 +89,20 @@
     #[test]
     fn what_is_over_the_pace_of_all_costs_a_caller_nothing() {
         let mut paces = Paces::default();
-        assert!((0..5).all(|n| paces.take(at(0), Caller::V4(n), Some(1.0), Some(5.0))));
-        assert!(!paces.take(at(0), Caller::V4(9), Some(1.0), Some(5.0)));
-        assert!(paces.take(at(200), Caller::V4(9), Some(1.0), Some(5.0)), "its own was not touched");
-        assert!(!paces.take(at(400), Caller::V4(9), Some(1.0), Some(5.0)), "now it was");
+        assert!((0..5).all(|n| paces.take(at(0), ClientKey::V4(n), Some(1.0), Some(5.0))));
+        assert!(!paces.take(at(0), ClientKey::V4(9), Some(1.0), Some(5.0)));
+        assert!(paces.take(at(200), ClientKey::V4(9), Some(1.0), Some(5.0)), "its own was not touched");
+        assert!(!paces.take(at(400), ClientKey::V4(9), Some(1.0), Some(5.0)), "now it was");
     }
 
     #[test]
     fn a_hundred_thousand_who_come_once_leave_nothing() {
         let mut paces = Paces::default();
         for n in 0..100_000u32 {
-            assert!(paces.take(at(u64::from(n / 100)), Caller::V4(n), Some(5.0), None));
+            assert!(paces.take(at(u64::from(n / 100)), ClientKey::V4(n), Some(5.0), None));
             assert!(paces.len() <= MOST);
         }
-        paces.take(at(10_000), Caller::V4(1), Some(5.0), None);
+        paces.take(at(10_000), ClientKey::V4(1), Some(5.0), None);
         assert_eq!(paces.len(), 1);
     }
 }
--- a/crates/admission/src/shortage.rs
+++ b/crates/admission/src/shortage.rs
@@ -5,16 +5,16 @@
 
 /// What follows a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AfterFailure {
+pub enum FailureResponse {
     /// It may be over in a moment: the call is made again after this pause, and nobody goes.
-    TryAgain(Span),
+    Retry(Span),
     /// It lasts: room is to be made.
-    MakeRoom,
+    FreeDescriptors,
 }
 
 /// How often in a row a call has failed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Shortage {
+pub struct ResourceShortage {
     failures: u32,
 }
 
@@ -24,21 +24,21 @@
 /// takes to give back what it has.
 const PAUSES: u32 = 5;
 
-impl Shortage {
-    pub fn failed(&mut self) -> AfterFailure {
+impl ResourceShortage {
+    pub fn record_failure(&mut self) -> FailureResponse {
         let pause = FIRST_PAUSE * f64::from(1 << self.failures.min(PAUSES));
         self.failures = self.failures.saturating_add(1);
-        match self.lasts() {
-            true => AfterFailure::MakeRoom,
-            false => AfterFailure::TryAgain(pause),
+        match self.is_persistent() {
+            true => FailureResponse::FreeDescriptors,
+            false => FailureResponse::Retry(pause),
         }
     }
 
-    pub fn passed(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
-    pub fn lasts(&self) -> bool {
+    pub fn is_persistent(&self) -> bool {
         self.failures > PAUSES
     }
 }
--- a/crates/admission/tests/house.rs
+++ b/crates/admission/tests/house.rs
@@ -1,7 +1,10 @@
 //! The house under any sequence of events, and stories for each way of being let in or not.
 
 use fernglade::{Moment, Span};
-use fernglade_admission::{Act, Guest, House, HouseRules, Known, Refusal, Standing};
+use fernglade_admission::{
+    Activity, AdmissionAction, AdmissionController, AdmissionPolicy, ClientConnectionId, KnownNetworks,
+    RejectReason,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,9 +13,15 @@
 
 const EDITORS: &str = "10.9.0.0/16";
 
-fn rules(kept: f64, per_caller: Option<usize>, for_open: f64) -> HouseRules {
-    let known = Known::new(vec![EDITORS.parse().unwrap()]);
-    HouseRules { kept, per_caller, for_open, known, ..HouseRules::default() }
+fn rules(kept: f64, per_client: Option<usize>, for_open: f64) -> AdmissionPolicy {
+    let known = KnownNetworks::new(vec![EDITORS.parse().unwrap()]);
+    AdmissionPolicy {
+        reserved_share: kept,
+        per_client,
+        open_scan_share: for_open,
+        known_networks: known,
+        ..AdmissionPolicy::default()
+    }
 }
 
 fn player(n: u8) -> IpAddr {
@@ -25,22 +34,22 @@
 
 /// Keeps its own account of who is where, from the acts alone, and checks it against what the house owes.
 struct Checked {
-    house: House,
+    house: AdmissionController,
     most: usize,
     now: Moment,
     next: u64,
-    porch: BTreeMap<Guest, IpAddr>,
-    inside: BTreeMap<Guest, IpAddr>,
-    leaving: BTreeSet<Guest>,
+    porch: BTreeMap<ClientConnectionId, IpAddr>,
+    inside: BTreeMap<ClientConnectionId, IpAddr>,
+    leaving: BTreeSet<ClientConnectionId>,
     open: bool,
-    refused: Vec<(Guest, Refusal)>,
+    refused: Vec<(ClientConnectionId, RejectReason)>,
 }
 
 impl Checked {
-    fn new(rules: HouseRules, most: usize) -> Self {
+    fn new(rules: AdmissionPolicy, most: usize) -> Self {
         let now = Moment::at_micros(1_764_000_000_000_000);
         let (porch, inside, leaving) = Default::default();
-        let house = House::new(rules, most);
+        let house = AdmissionController::new(rules, most);
         Self { house, most, now, next: 0, porch, inside, leaving, open: true, refused: Vec::new() }
     }
 
@@ -52,21 +61,21 @@
         self.inside.values().filter(|at| Self::is_known(at)).count()
     }
 
-    fn take(&mut self, acts: Vec<Act>) {
+    fn take(&mut self, acts: Vec<AdmissionAction>) {
         for act in acts {
             match act {
-                Act::Enter(guest) => {
+                AdmissionAction::Admit(guest) => {
                     let at = self.porch.remove(&guest).expect("only who waits is let in");
                     self.inside.insert(guest, at);
                 }
-                Act::Refuse(guest, why) => {
+                AdmissionAction::Reject(guest, why) => {
                     assert!(self.porch.remove(&guest).is_some(), "only who waits is turned away");
                     self.refused.push((guest, why));
                 }
-                Act::Leave(guest) => {
+                AdmissionAction::Evict(guest) => {
                     assert!(self.inside.contains_key(&guest) && self.leaving.insert(guest), "leaves once");
                 }
-                Act::Door(open) => {
+                AdmissionAction::SetAccepting(open) => {
                     assert_ne!(open, self.open, "the door moves");
                     self.open = open;
                 }
@@ -76,41 +85,41 @@
     }
 
     fn check(&self) {
-        let places = self.house.places(self.now);
+        let places = self.house.slots(self.now);
         assert!(self.inside.len() + self.porch.len() <= self.most, "over the descriptors");
-        assert_eq!(self.inside.len(), self.house.inside());
-        let kept = self.house.rules().kept_of(places);
+        assert_eq!(self.inside.len(), self.house.admitted());
+        let kept = self.house.policy().reserved_slots(places);
         let unknown = self.inside.len() - self.known_inside();
         let squeezed = places < self.most - (self.most / 8).max(1);
         assert!(squeezed || unknown + kept <= places, "an unknown one took a kept place");
     }
 
-    fn arrive(&mut self, at: IpAddr) -> Guest {
+    fn arrive(&mut self, at: IpAddr) -> ClientConnectionId {
         self.next += 1;
-        let guest = Guest(self.next);
-        let free = self.house.rules().kept_of(self.house.places(self.now)) > self.known_inside();
+        let guest = ClientConnectionId(self.next);
+        let free = self.house.policy().reserved_slots(self.house.slots(self.now)) > self.known_inside();
         // A place that has just come back is for a known one that waits already.
         let first = !self.porch.values().any(Self::is_known);
-        let owed = Self::is_known(&at) && free && first && self.inside.len() < self.house.places(self.now);
+        let owed = Self::is_known(&at) && free && first && self.inside.len() < self.house.slots(self.now);
         self.porch.insert(guest, at);
-        let acts = self.house.arrive(self.now, guest, at);
+        let acts = self.house.connection_accepted(self.now, guest, at);
         self.take(acts);
         assert!(!owed || self.inside.contains_key(&guest), "a kept place was free");
         guest
     }
 
-    fn stand(&mut self, guest: Guest, standing: Standing) {
-        if standing == Standing::Leaving && self.inside.contains_key(&guest) {
+    fn stand(&mut self, guest: ClientConnectionId, standing: Activity) {
+        if standing == Activity::Closing && self.inside.contains_key(&guest) {
             self.leaving.insert(guest);
         }
-        let acts = self.house.stand(self.now, guest, standing);
+        let acts = self.house.activity_changed(self.now, guest, standing);
         self.take(acts);
     }
 
-    fn go(&mut self, guest: Guest) {
+    fn go(&mut self, guest: ClientConnectionId) {
         if self.inside.remove(&guest).is_some() {
             self.leaving.remove(&guest);
-            let acts = self.house.gone(self.now, guest);
+            let acts = self.house.connection_closed(self.now, guest);
             self.take(acts);
         }
     }
@@ -124,7 +133,7 @@
 
     fn pass(&mut self, millis: u64) {
         let until = self.now + Span::of_millis(millis);
-        while let Some(due) = self.house.due(self.now).filter(|due| *due <= until) {
+        while let Some(due) = self.house.next_tick(self.now).filter(|due| *due <= until) {
             assert!(due > self.now, "time that has come is not due again");
             self.now = due;
             let acts = self.house.tick(due);
@@ -133,7 +142,7 @@
         self.now = until;
     }
 
-    fn why(&self, guest: Guest) -> Option<Refusal> {
+    fn why(&self, guest: ClientConnectionId) -> Option<RejectReason> {
         self.refused.iter().find(|(other, _)| *other == guest).map(|(_, why)| *why)
     }
 }
@@ -141,7 +150,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Arrive(bool, u8),
-    Stand(usize, Standing),
+    Stand(usize, Activity),
     Go(usize),
     Leave,
     Pass(u64),
@@ -149,8 +158,13 @@
     Rules(f64, Option<usize>, f64),
 }
 
-fn standing() -> impl Strategy<Value = Standing> {
-    prop_oneof![Just(Standing::Idle), Just(Standing::Asking), Just(Standing::Busy), Just(Standing::Leaving)]
+fn standing() -> impl Strategy<Value = Activity> {
+    prop_oneof![
+        Just(Activity::Idle),
+        Just(Activity::ReceivingRequest),
+        Just(Activity::ScanOpen),
+        Just(Activity::Closing)
+    ]
 }
 
 fn share() -> impl Strategy<Value = f64> {
@@ -180,7 +194,7 @@
 }
 
 fn play(house: &mut Checked, step: Step) {
-    let inside: Vec<Guest> = house.inside.keys().copied().collect();
+    let inside: Vec<ClientConnectionId> = house.inside.keys().copied().collect();
     match step {
         Step::Arrive(known, n) => {
             house.arrive(if known { editor(n) } else { player(n) });
@@ -193,14 +207,14 @@
         Step::Leave => house.leave(),
         Step::Pass(millis) => house.pass(millis),
         Step::Short => {
-            let acts = house.house.ran_short(house.now);
+            let acts = house.house.descriptors_exhausted(house.now);
             house.take(acts);
         }
-        Step::Rules(kept, per_caller, for_open) => {
+        Step::Rules(kept, per_client, for_open) => {
             // Who is inside already stays: unknown ones may be over what is kept from now on.
-            let acts = house.house.set_rules(house.now, rules(kept, per_caller, for_open));
-            let unkept = house.house.rules().kept_of(house.house.places(house.now));
-            if house.inside.len() - house.known_inside() + unkept <= house.house.places(house.now) {
+            let acts = house.house.set_policy(house.now, rules(kept, per_client, for_open));
+            let unkept = house.house.policy().reserved_slots(house.house.slots(house.now));
+            if house.inside.len() - house.known_inside() + unkept <= house.house.slots(house.now) {
                 house.take(acts);
             }
         }
@@ -214,10 +228,10 @@
     /// free, everyone who is let in leaves once, and nothing is left of them.
     #[test]
     fn whatever_happens_the_house_keeps_its_word(
-        kept in share(), per_caller in cap(), for_open in share(), most in 2usize..40,
+        kept in share(), per_client in cap(), for_open in share(), most in 2usize..40,
         steps in proptest::collection::vec(step(), 1..200),
     ) {
-        let mut house = Checked::new(rules(kept, per_caller, for_open), most);
+        let mut house = Checked::new(rules(kept, per_client, for_open), most);
         steps.into_iter().for_each(|step| play(&mut house, step));
         house.pass(2_000);
         while let Some((guest, _)) = house.inside.first_key_value() {
@@ -226,7 +240,7 @@
         }
         house.pass(2_000);
         prop_assert!(house.porch.is_empty() && house.house.is_empty());
-        prop_assert_eq!(house.house.table_lines(), 0);
+        prop_assert_eq!(house.house.table_entries(), 0);
     }
 
     /// One who has an open scan is never asked to leave.
@@ -234,12 +248,12 @@
     fn who_has_an_open_scan_stays(
         most in 2usize..20, steps in proptest::collection::vec(step_with_rules(), 1..120),
     ) {
-        let mut house = Checked::new(HouseRules::default(), most);
+        let mut house = Checked::new(AdmissionPolicy::default(), most);
         let busy = house.arrive(player(0));
-        house.stand(busy, Standing::Busy);
+        house.stand(busy, Activity::ScanOpen);
         for step in steps {
-            let touches = |guest: &Guest| *guest == busy;
-            let inside: Vec<Guest> = house.inside.keys().copied().collect();
+            let touches = |guest: &ClientConnectionId| *guest == busy;
+            let inside: Vec<ClientConnectionId> = house.inside.keys().copied().collect();
             let own = match &step {
                 Step::Stand(which, _) | Step::Go(which) => inside.get(which % inside.len().max(1)).is_some_and(touches),
                 _ => false,
@@ -254,7 +268,7 @@
 
 #[test]
 fn one_address_that_opens_thousands_costs_others_nothing() {
-    let mut house = Checked::new(HouseRules::default(), 32);
+    let mut house = Checked::new(AdmissionPolicy::default(), 32);
     for _ in 0..28 {
         house.arrive(player(0));
     }
@@ -264,8 +278,8 @@
             let other = house.arrive(player(1 + (n % 200) as u8));
             house.leave();
             assert!(house.inside.contains_key(&other), "at once, though nobody has settled");
-            house.stand(other, Standing::Busy);
-            house.stand(other, Standing::Idle);
+            house.stand(other, Activity::ScanOpen);
+            house.stand(other, Activity::Idle);
             house.go(other);
         }
         if n % 50 == 0 {
@@ -276,48 +290,48 @@
 
 #[test]
 fn a_burst_waits_outside_and_a_crowd_that_goes_on_is_told() {
-    let mut house = Checked::new(HouseRules::default(), 16);
-    let guests: Vec<Guest> = (0..16).map(|_| house.arrive(player(0))).collect();
-    guests[..14].iter().for_each(|guest| house.stand(*guest, Standing::Busy));
+    let mut house = Checked::new(AdmissionPolicy::default(), 16);
+    let guests: Vec<ClientConnectionId> = (0..16).map(|_| house.arrive(player(0))).collect();
+    guests[..14].iter().for_each(|guest| house.stand(*guest, Activity::ScanOpen));
     assert!(!house.open, "two wait, the rest outside");
     house.pass(350);
     assert!(!house.open);
     house.pass(60);
-    assert_eq!(house.why(guests[14]), Some(Refusal::Full), "none waits for long");
+    assert_eq!(house.why(guests[14]), Some(RejectReason::NoFreeSlot), "none waits for long");
     assert!(house.open, "two more may wait");
     (0..2).for_each(|_| assert_eq!(house.arrive(player(0)).0, house.next));
     assert!(!house.open);
     house.pass(100);
     assert!(house.open, "it has been a crowd for half a second");
     let late = house.arrive(player(0));
-    assert_eq!(house.why(late), Some(Refusal::Full));
+    assert_eq!(house.why(late), Some(RejectReason::NoFreeSlot));
 }
 
-#[test_case(Some(2), None, None, Refusal::Caller; "connections of one address")]
-#[test_case(None, Some(2), None, Refusal::Prefix; "of one prefix")]
-#[test_case(None, None, Some(2.0), Refusal::Pace; "new ones a second")]
+#[test_case(Some(2), None, None, RejectReason::ClientLimit; "connections of one address")]
+#[test_case(None, Some(2), None, RejectReason::PrefixLimit; "of one prefix")]
+#[test_case(None, None, Some(2.0), RejectReason::RateLimit; "new ones a second")]
 fn what_is_over_a_cap_is_refused_and_known_ones_are_not(
-    per_caller: Option<usize>,
+    per_client: Option<usize>,
     per_prefix: Option<usize>,
-    caller_pace: Option<f64>,
-    why: Refusal,
+    client_rate: Option<f64>,
+    why: RejectReason,
 ) {
-    let rules = HouseRules { per_caller, per_prefix, caller_pace, ..rules(0.5, None, 0.0) };
+    let rules = AdmissionPolicy { per_client, per_prefix, client_rate, ..rules(0.5, None, 0.0) };
     let mut house = Checked::new(rules, 16);
-    let guests: Vec<Guest> = (0..3).map(|_| house.arrive(player(0))).collect();
+    let guests: Vec<ClientConnectionId> = (0..3).map(|_| house.arrive(player(0))).collect();
     assert_eq!((house.why(guests[1]), house.why(guests[2])), (None, Some(why)));
-    let known: Vec<Guest> = (0..7).map(|_| house.arrive(editor(0))).collect();
+    let known: Vec<ClientConnectionId> = (0..7).map(|_| house.arrive(editor(0))).collect();
     assert!(known.iter().all(|guest| house.inside.contains_key(guest)), "as many as are kept");
-    let over: Vec<Guest> = (0..3).map(|_| house.arrive(editor(0))).collect();
+    let over: Vec<ClientConnectionId> = (0..3).map(|_| house.arrive(editor(0))).collect();
     assert_eq!(house.why(over[2]), Some(why), "beyond, they are like others");
 }
 
 /// A known client arrives when all places are full.
-#[test_case(Standing::Busy, true; "all waiting on scans")]
-#[test_case(Standing::Asking, true; "all half asked")]
-#[test_case(Standing::Idle, true; "all idle")]
-#[test_case(Standing::Busy, false; "with nothing kept it waits its turn")]
-fn a_known_client_finds_its_place(others: Standing, kept: bool) {
+#[test_case(Activity::ScanOpen, true; "all waiting on scans")]
+#[test_case(Activity::ReceivingRequest, true; "all half asked")]
+#[test_case(Activity::Idle, true; "all idle")]
+#[test_case(Activity::ScanOpen, false; "with nothing kept it waits its turn")]
+fn a_known_client_finds_its_place(others: Activity, kept: bool) {
     let mut house = Checked::new(rules(if kept { 0.25 } else { 0.0 }, None, 0.0), 16);
     for n in 0..40 {
         let guest = house.arrive(player(n));
@@ -330,15 +344,15 @@
 
 #[test]
 fn a_cap_lowered_below_what_is_held_sends_off_idle_ones_now_and_busy_ones_once_answered() {
-    let mut house = Checked::new(HouseRules::default(), 16);
-    let guests: Vec<Guest> = (0..6).map(|_| house.arrive(player(0))).collect();
-    guests[..4].iter().for_each(|guest| house.stand(*guest, Standing::Busy));
-    let acts = house.house.set_rules(house.now, rules(0.0, Some(2), 0.0));
+    let mut house = Checked::new(AdmissionPolicy::default(), 16);
+    let guests: Vec<ClientConnectionId> = (0..6).map(|_| house.arrive(player(0))).collect();
+    guests[..4].iter().for_each(|guest| house.stand(*guest, Activity::ScanOpen));
+    let acts = house.house.set_policy(house.now, rules(0.0, Some(2), 0.0));
     house.take(acts);
     assert_eq!(house.leaving.iter().collect::<Vec<_>>(), [&guests[4], &guests[5]]);
     house.leave();
     for guest in &guests[..4] {
-        house.stand(*guest, Standing::Idle);
+        house.stand(*guest, Activity::Idle);
         house.leave();
     }
     assert_eq!(house.inside.len(), 2);
@@ -347,20 +361,20 @@
 #[test]
 fn who_has_an_open_scan_finds_a_share_that_idle_ones_cannot_take() {
     let mut house = Checked::new(rules(0.0, None, 0.5), 16);
-    let guests: Vec<Guest> = (0..14).map(|n| house.arrive(player(n))).collect();
+    let guests: Vec<ClientConnectionId> = (0..14).map(|n| house.arrive(player(n))).collect();
     assert_eq!(house.inside.len(), 7);
-    house.stand(guests[0], Standing::Busy);
+    house.stand(guests[0], Activity::ScanOpen);
     assert_eq!(house.inside.len(), 8, "one more may ask");
-    house.stand(guests[0], Standing::Idle);
+    house.stand(guests[0], Activity::Idle);
     assert_eq!(house.leaving.len(), 1, "and one that is still goes");
 }
 
 #[test]
 fn where_descriptors_run_short_places_are_taken_off_and_come_back() {
-    let mut house = Checked::new(HouseRules::default(), 32);
-    let guests: Vec<Guest> = (0..10).map(|n| house.arrive(player(n))).collect();
+    let mut house = Checked::new(AdmissionPolicy::default(), 32);
+    let guests: Vec<ClientConnectionId> = (0..10).map(|n| house.arrive(player(n))).collect();
     house.pass(150);
-    let acts = house.house.ran_short(house.now);
+    let acts = house.house.descriptors_exhausted(house.now);
     house.take(acts);
     assert_eq!(house.leaving.first(), Some(&guests[0]));
     house.leave();
@@ -368,12 +382,12 @@
     assert_eq!(house.inside.len(), 9, "it waits: there is no descriptor for it");
     house.pass(400);
     assert_eq!(house.inside.len(), 10);
-    assert_eq!(house.house.places(house.now + Span::of_millis(10_000)), 28);
+    assert_eq!(house.house.slots(house.now + Span::of_millis(10_000)), 28);
 }
 
 #[test]
 fn a_hundred_thousand_addresses_that_come_once_leave_nothing() {
-    let rules = HouseRules { caller_pace: Some(5.0), per_prefix: Some(50), ..rules(0.2, Some(4), 0.0) };
+    let rules = AdmissionPolicy { client_rate: Some(5.0), per_prefix: Some(50), ..rules(0.2, Some(4), 0.0) };
     let mut house = Checked::new(rules, 64);
     for n in 0..100_000u32 {
         let guest = house.arrive(IpAddr::V4(Ipv4Addr::from_bits(0x0b00_0000 + n * 7)));
@@ -383,7 +397,7 @@
         }
     }
     house.pass(2_000);
-    assert!(house.house.table_lines() <= 2048, "{}", house.house.table_lines());
+    assert!(house.house.table_entries() <= 2048, "{}", house.house.table_entries());
     house.arrive(player(0));
-    assert!(house.house.table_lines() < 10, "the paces were forgotten with their time");
+    assert!(house.house.table_entries() < 10, "the paces were forgotten with their time");
 }
--- a/crates/mixer/src/program/accepting.rs
+++ b/crates/mixer/src/program/accepting.rs
@@ -7,7 +7,7 @@
 use crate::protocol::scans::bounce;
 use crate::routing::Event;
 use crate::transport::{accept, sleep, Accepted, Bell, Direction, Reserve, Socket, Wait};
-use fernglade_admission::{AfterFailure, Shortage};
+use fernglade_admission::{FailureResponse, ResourceShortage};
 use futures_lite::future;
 use std::cell::Cell;
 use std::io;
@@ -69,7 +69,7 @@
     clients: Rc<Clients>,
     handle: Handle,
     listener: Socket<TcpListener>,
-    shortage: Shortage,
+    shortage: ResourceShortage,
     reserve: Reserve,
     told: Option<Instant>,
 }
@@ -80,7 +80,7 @@
         clients: clients.clone(),
         handle: handle.clone(),
         listener,
-        shortage: Shortage::default(),
+        shortage: ResourceShortage::default(),
         reserve: Reserve::default(),
         told: None,
     };
@@ -129,14 +129,14 @@
     }
 
     fn knock(&mut self, accepted: Accepted) {
-        self.shortage.passed();
+        self.shortage.record_success();
         self.clients.knocked(&self.handle, accepted);
     }
 
     async fn failed(&mut self, error: &io::Error) {
-        match self.shortage.failed() {
-            AfterFailure::TryAgain(pause) => sleep(duration(pause)).await,
-            AfterFailure::MakeRoom => self.make_room(error).await,
+        match self.shortage.record_failure() {
+            FailureResponse::Retry(pause) => sleep(duration(pause)).await,
+            FailureResponse::FreeDescriptors => self.make_room(error).await,
         }
     }
 
--- a/crates/mixer/src/program/hub.rs
+++ b/crates/mixer/src/program/hub.rs
@@ -70,7 +70,7 @@
             busy: Cell::new(false),
             clock,
             handle: Handle::new(executor, feed),
-            clients: Rc::new(Clients::new(at.len(), orders.descriptors.told, indices, known)),
+            clients: Rc::new(Clients::new(at.len(), orders.descriptors.rejections, indices, known)),
             links: Rc::default(),
             watch: Rc::default(),
             alarm: Cell::new(None),
--- a/crates/mixer/src/program/links.rs
+++ b/crates/mixer/src/program/links.rs
@@ -9,7 +9,7 @@
 use crate::transport::{
     dial, is_local_fault, is_short, pump, sleep, Bell, Inbox, Line, Stop, Stream, Written,
 };
-use fernglade_admission::{AfterFailure, Shortage};
+use fernglade_admission::{FailureResponse, ResourceShortage};
 use futures_lite::future;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -246,7 +246,7 @@
 /// What this machine could not even try is tried again within the time. Where descriptors run short lastingly an
 /// idle client goes, and its place is waited for.
 async fn dial_with_room(handle: &Handle, to: SocketAddr, within: Duration) -> io::Result<Stream> {
-    let (began, mut shortage, mut tries) = (Instant::now(), Shortage::default(), 0);
+    let (began, mut shortage, mut tries) = (Instant::now(), ResourceShortage::default(), 0);
     loop {
         let left = within.saturating_sub(began.elapsed());
         let error = match dial(to, left).await {
@@ -257,9 +257,9 @@
         if is_unroutable(&error) && tries > ROUTE_TRIES {
             return Err(error);
         }
-        match shortage.failed() {
-            AfterFailure::TryAgain(pause) => sleep(duration(pause)).await,
-            AfterFailure::MakeRoom => {
+        match shortage.record_failure() {
+            FailureResponse::Retry(pause) => sleep(duration(pause)).await,
+            FailureResponse::FreeDescriptors => {
                 if is_short(&error) {
                     handle.feed(Event::Short);
                 }
--- a/crates/mixer/src/program/orders.rs
+++ b/crates/mixer/src/program/orders.rs
@@ -3,7 +3,7 @@
 use super::startup::made_in_time;
 use crate::protocol::json::Json;
 use crate::protocol::lists::{news, News};
-use fernglade_admission::Descriptors;
+use fernglade_admission::DescriptorBudget;
 use fernglade_fronts::Readings;
 use fernglade_orders::{digest, Operator};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub seed: u64,
-    pub descriptors: Descriptors,
+    pub descriptors: DescriptorBudget,
     /// What the operator's own file says; nothing where none is named.
     pub operator: Operator,
     /// The digest of the text that it was read from.
@@ -120,11 +120,11 @@
 }
 
 /// What is stated too low is a mistake in the orders; what the system allows is taken as it is.
-fn descriptors(stated: usize, allowed: Option<usize>) -> Result<Descriptors, String> {
+fn descriptors(stated: usize, allowed: Option<usize>) -> Result<DescriptorBudget, String> {
     if stated < 64 {
         return Err(format!("limits.sockets: {stated} is too few, 64 are needed"));
     }
-    Descriptors::plan(stated, allowed)
+    DescriptorBudget::plan(stated, allowed)
         .ok_or_else(|| format!("the system allows {} descriptors, too few to serve", allowed.unwrap_or(0)))
 }
 
--- a/crates/mixer/src/program/orders/tests.rs
+++ b/crates/mixer/src/program/orders/tests.rs
@@ -17,7 +17,7 @@
     assert_eq!(orders.readings.words("areas"), ["a", "b"]);
     assert_eq!(orders.readings.names("services"), Ok(vec!["x y".into()]));
     assert_eq!(orders.readings.number("tick", 0.0), Ok(5000.0));
-    assert!(orders.descriptors.sum() <= 1024);
+    assert!(orders.descriptors.total() <= 1024);
 }
 
 #[test_case("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":7", "seed is not a text of hex digits")]
--- a/crates/mixer/src/routing/any_order.rs
+++ b/crates/mixer/src/routing/any_order.rs
@@ -6,7 +6,7 @@
 use crate::protocol::lists::{News, Row};
 use crate::protocol::scans::{Ask, AskedPart};
 use fernglade::{Moment, Span};
-use fernglade_admission::Descriptors;
+use fernglade_admission::DescriptorBudget;
 use fernglade_fronts::Readings;
 use fernglade_orders::Operator;
 use proptest::prelude::*;
@@ -99,7 +99,8 @@
 impl World {
     fn new(cancel: bool, batch: usize) -> Self {
         let readings = Readings::parse(settings(cancel, batch).as_bytes()).unwrap();
-        let berths = Descriptors { fixed: 0, told: 2, links: 4, clients: 7 };
+        let berths =
+            DescriptorBudget { reserved: 0, rejections: 2, searcher_connections: 4, client_connections: 7 };
         let state = State::new(&readings, 7, berths, &Operator::default(), "n0").unwrap();
         let mut world = Self {
             state,
--- a/crates/mixer/src/routing/clients.rs
+++ b/crates/mixer/src/routing/clients.rs
@@ -2,7 +2,9 @@
 
 use super::ClientId;
 use fernglade::{Moment, ScanId, Span};
-use fernglade_admission::{Act, Guest, House, HouseRules, Standing};
+use fernglade_admission::{
+    Activity, AdmissionAction, AdmissionController, AdmissionPolicy, ClientConnectionId,
+};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
@@ -34,24 +36,24 @@
 /// Who is inside, and what about. Who is let in, and who goes, is the house's to say.
 pub struct Clients {
     here: BTreeMap<ClientId, Client>,
-    house: House,
-    acts: Vec<Act>,
+    house: AdmissionController,
+    acts: Vec<AdmissionAction>,
 }
 
 impl Default for Clients {
     fn default() -> Self {
-        Self::new(HouseRules::default(), 2)
+        Self::new(AdmissionPolicy::default(), 2)
     }
 }
 
 impl Clients {
-    pub fn new(rules: HouseRules, most: usize) -> Self {
-        Self { here: BTreeMap::new(), house: House::new(rules, most), acts: Vec::new() }
+    pub fn new(rules: AdmissionPolicy, most: usize) -> Self {
+        Self { here: BTreeMap::new(), house: AdmissionController::new(rules, most), acts: Vec::new() }
     }
 
     /// A connection was accepted.
     pub fn knocked(&mut self, client: ClientId, from: IpAddr, now: Moment) {
-        self.acts.extend(self.house.arrive(now, Guest(client.0), from));
+        self.acts.extend(self.house.connection_accepted(now, ClientConnectionId(client.0), from));
     }
 
     /// It was let in.
@@ -60,10 +62,10 @@
     }
 
     /// What the house has asked for since it was last asked; whoever is to leave is marked so.
-    pub fn acts(&mut self) -> Vec<Act> {
+    pub fn acts(&mut self) -> Vec<AdmissionAction> {
         let acts = std::mem::take(&mut self.acts);
         for act in &acts {
-            if let Act::Leave(Guest(id)) = act {
+            if let AdmissionAction::Evict(ClientConnectionId(id)) = act {
                 let client = self.here.entry(ClientId(*id));
                 client.and_modify(|client| (client.doing, client.leaves) = (Doing::Leaving, true));
             }
@@ -73,16 +75,16 @@
 
     fn stand(&mut self, client: ClientId, doing: Doing, now: Moment) {
         let standing = match doing {
-            Doing::Idle => Standing::Idle,
-            Doing::Asking(_) => Standing::Asking,
-            Doing::Waiting(_) => Standing::Busy,
-            Doing::Leaving => Standing::Leaving,
+            Doing::Idle => Activity::Idle,
+            Doing::Asking(_) => Activity::ReceivingRequest,
+            Doing::Waiting(_) => Activity::ScanOpen,
+            Doing::Leaving => Activity::Closing,
         };
-        self.acts.extend(self.house.stand(now, Guest(client.0), standing));
+        self.acts.extend(self.house.activity_changed(now, ClientConnectionId(client.0), standing));
     }
 
     pub fn due(&self, now: Moment) -> Option<Moment> {
-        self.house.due(now)
+        self.house.next_tick(now)
     }
 
     pub fn tick(&mut self, now: Moment) {
@@ -90,28 +92,28 @@
     }
 
     pub fn ran_short(&mut self, now: Moment) {
-        self.acts.extend(self.house.ran_short(now));
+        self.acts.extend(self.house.descriptors_exhausted(now));
     }
 
     pub fn set_most(&mut self, most: usize, now: Moment) {
-        self.acts.extend(self.house.set_most(now, most));
+        self.acts.extend(self.house.set_capacity(now, most));
     }
 
-    pub fn set_rules(&mut self, rules: HouseRules, now: Moment) {
-        self.acts.extend(self.house.set_rules(now, rules));
+    pub fn set_rules(&mut self, rules: AdmissionPolicy, now: Moment) {
+        self.acts.extend(self.house.set_policy(now, rules));
     }
 
     pub fn close(&mut self, now: Moment) {
-        self.acts.extend(self.house.close(now));
+        self.acts.extend(self.house.shut_down(now));
     }
 
     /// When those turned away at the door are told to come back, where the operator says so.
     pub fn come_back(&self) -> Option<Span> {
-        self.house.rules().come_back
+        self.house.policy().retry_after
     }
 
     pub fn gone(&mut self, client: ClientId, now: Moment) -> Option<Doing> {
-        self.acts.extend(self.house.gone(now, Guest(client.0)));
+        self.acts.extend(self.house.connection_closed(now, ClientConnectionId(client.0)));
         self.here.remove(&client).map(|client| client.doing)
     }
 
@@ -150,7 +152,7 @@
     /// Whether its connection ends with its answer: it was sent off, or it makes room.
     pub fn ends_with_answer(&self, client: ClientId, now: Moment) -> bool {
         let leaves = self.here.get(&client).is_some_and(|client| client.leaves);
-        leaves || self.house.ends_with_answer(now, Guest(client.0))
+        leaves || self.house.closes_after_response(now, ClientConnectionId(client.0))
     }
 
     /// Since when a request that is whole now has been coming; none where its client is not here, or waits for
--- a/crates/mixer/src/routing/doors.rs
+++ b/crates/mixer/src/routing/doors.rs
@@ -7,7 +7,7 @@
 use crate::protocol::lists::{News, Row};
 use crate::protocol::scans::{Ask, AskedPart};
 use fernglade::{Moment, Span};
-use fernglade_admission::Descriptors;
+use fernglade_admission::DescriptorBudget;
 use fernglade_dialect::request::Request;
 use fernglade_dialect::search::Search;
 use fernglade_fronts::Readings;
@@ -188,7 +188,12 @@
 impl Night {
     fn new(door: Door, seed: u64) -> Self {
         let readings = Readings::parse(SETTINGS.as_bytes()).unwrap();
-        let descriptors = Descriptors { fixed: 0, told: 8, links: 40, clients: 700 };
+        let descriptors = DescriptorBudget {
+            reserved: 0,
+            rejections: 8,
+            searcher_connections: 40,
+            client_connections: 700,
+        };
         let operator = Operator::read(INDICES).unwrap();
         let mut state = State::new(&readings, 7, descriptors, &operator, "n0").unwrap();
         let now = Moment::at_micros(1_764_000_000_000_000);
--- a/crates/mixer/src/routing/event.rs
+++ b/crates/mixer/src/routing/event.rs
@@ -5,7 +5,7 @@
 use crate::protocol::lists::News;
 use crate::protocol::scans::{Ask, Blame};
 use fernglade::{Moment, Span};
-use fernglade_admission::HouseRules;
+use fernglade_admission::AdmissionPolicy;
 use fernglade_dialect::request::Request;
 use std::net::{IpAddr, SocketAddr};
 
@@ -77,7 +77,7 @@
     /// Who stood outside has been accepted, and nobody listens any more.
     DoorShut,
     /// The operator's rules of the house were changed.
-    Ruled(HouseRules),
+    Ruled(AdmissionPolicy),
 }
 
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -13,7 +13,7 @@
 use crate::protocol::MOST_BODY;
 use fernglade::choice::Mixer;
 use fernglade::{Effect as Redoing, Host, Landing, Moment, PartTaken, ScanTaken, Span, Ticket, TrafficType};
-use fernglade_admission::{Act, Descriptors, Guest};
+use fernglade_admission::{AdmissionAction, ClientConnectionId, DescriptorBudget};
 use fernglade_dialect::request::{health, root, table, Request, What};
 use fernglade_fronts::{Misread, Readings};
 use fernglade_orders::Operator;
@@ -49,7 +49,7 @@
     last_call: bool,
     /// How often the watch broke since discovery last answered.
     broke: u32,
-    descriptors: Descriptors,
+    descriptors: DescriptorBudget,
     /// When the door is next to be looked after.
     door_due: Option<Moment>,
     /// When those who are turned away at the door are to come back, where the platform lets us say so.
@@ -79,7 +79,7 @@
     pub fn new(
         readings: &Readings,
         seed: u64,
-        descriptors: Descriptors,
+        descriptors: DescriptorBudget,
         operator: &Operator,
         name: &str,
     ) -> Result<Self, Misread> {
@@ -89,11 +89,11 @@
             return Err(Misread(format!("settings: {name}: a second step is not spoken on sockets")));
         }
         let mut desk = Desk::default();
-        desk.clients = Clients::new(operator.house(), descriptors.clients);
+        desk.clients = Clients::new(operator.house(), descriptors.client_connections);
         desk.roll.dialect = operator.dialect().clone();
         desk.may_call_off = readings.yes("limits.cancel");
         desk.dial_within = readings.span("limits.dial_timeout")?;
-        desk.pool.most = descriptors.links.max(1);
+        desk.pool.most = descriptors.searcher_connections.max(1);
         desk.pool.per_link = readings.number("limits.multiplex", 1.0)?.max(1.0) as usize;
         desk.pool.per_call = readings.number("family_info.per_call", 1.0)?.max(1.0) as usize;
         let areas = readings.words("areas");
@@ -180,17 +180,19 @@
     /// Carries out what the house asks for, until it asks for nothing more.
     fn mind_door(&mut self) {
         let now = self.desk.now;
-        let places = self.descriptors.places_beside(self.desk.pool.held());
+        let places = self.descriptors.client_limit(self.desk.pool.held());
         self.desk.clients.set_most(places, now);
         for act in self.desk.clients.acts() {
             match act {
-                Act::Enter(Guest(id)) => self.enter(ClientId(id)),
-                Act::Refuse(Guest(id), _) => {
+                AdmissionAction::Admit(ClientConnectionId(id)) => self.enter(ClientId(id)),
+                AdmissionAction::Reject(ClientConnectionId(id), _) => {
                     let pause = self.desk.clients.come_back().unwrap_or(self.come_back);
                     self.desk.effects.push(Effect::TurnAway(ClientId(id), pause));
                 }
-                Act::Leave(Guest(id)) => self.desk.effects.push(Effect::Dismiss(ClientId(id))),
-                Act::Door(open) => self.desk.effects.push(Effect::Door(open)),
+                AdmissionAction::Evict(ClientConnectionId(id)) => {
+                    self.desk.effects.push(Effect::Dismiss(ClientId(id)))
+                }
+                AdmissionAction::SetAccepting(open) => self.desk.effects.push(Effect::Door(open)),
             }
         }
         let due = self.desk.clients.due(now);
--- a/crates/mixer/src/routing/tests.rs
+++ b/crates/mixer/src/routing/tests.rs
@@ -5,7 +5,7 @@
 use crate::protocol::lists::{News, Row};
 use crate::protocol::scans::{Ask, AskedPart, Blame};
 use fernglade::{Landing, Moment, Span};
-use fernglade_admission::Descriptors;
+use fernglade_admission::DescriptorBudget;
 use fernglade_fronts::Readings;
 use fernglade_orders::Operator;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -55,12 +55,17 @@
 }
 
 /// So many inside; the porch takes an eighth beside them, one at least.
-fn berths(clients: usize, links: usize) -> Descriptors {
-    Descriptors { fixed: 0, told: 2, links, clients: clients + (clients / 7).max(1) }
+fn berths(clients: usize, links: usize) -> DescriptorBudget {
+    DescriptorBudget {
+        reserved: 0,
+        rejections: 2,
+        searcher_connections: links,
+        client_connections: clients + (clients / 7).max(1),
+    }
 }
 
 /// So many searchers that hold every shard; the last reading of a name stands.
-fn play_with(searchers: u16, more: &str, descriptors: Descriptors) -> Play {
+fn play_with(searchers: u16, more: &str, descriptors: DescriptorBudget) -> Play {
     let readings = Readings::parse(format!("{SETTINGS}{more}").as_bytes()).unwrap();
     let state = State::new(&readings, 7, descriptors, &Operator::default(), "n0").unwrap();
     let now = Moment::at_micros(1_764_000_000_000_000);
--- a/crates/orders/src/admission.rs
+++ b/crates/orders/src/admission.rs
@@ -2,7 +2,7 @@
 
 use crate::units::{count, pace, share, span};
 use fernglade::Span;
-use fernglade_admission::{HouseRules, Known};
+use fernglade_admission::{AdmissionPolicy, KnownNetworks};
 use ipnet::IpNet;
 use serde::{Deserialize, Deserializer};
 
@@ -62,16 +62,16 @@
         Ok(())
     }
 
-    pub fn house(&self) -> HouseRules {
-        HouseRules {
-            per_caller: self.per_address,
+    pub fn house(&self) -> AdmissionPolicy {
+        AdmissionPolicy {
+            per_client: self.per_address,
             per_prefix: self.per_prefix,
-            caller_pace: self.address_pace,
-            whole_pace: self.whole_pace,
-            kept: self.kept,
-            known: Known::new(self.known.clone()),
-            for_open: self.for_open,
-            come_back: self.retry_after,
+            client_rate: self.address_pace,
+            total_rate: self.whole_pace,
+            reserved_share: self.kept,
+            known_networks: KnownNetworks::new(self.known.clone()),
+            open_scan_share: self.for_open,
+            retry_after: self.retry_after,
         }
     }
 }
--- a/crates/orders/src/file.rs
+++ b/crates/orders/src/file.rs
@@ -2,7 +2,7 @@
 
 use crate::admission::{networks, Admission};
 use crate::dialect::Dialect;
-use fernglade_admission::HouseRules;
+use fernglade_admission::AdmissionPolicy;
 use ipnet::IpNet;
 use serde::Deserialize;
 use std::fmt;
@@ -101,7 +101,7 @@
         &self.dialect
     }
 
-    pub fn house(&self) -> HouseRules {
+    pub fn house(&self) -> AdmissionPolicy {
         self.admission.house()
     }
 
@@ -164,14 +164,14 @@
         // The same with each key's example taken out of its comment.
         let on: String = text.lines().map(|line| line.replacen("//: ", "", 1) + "\n").collect();
         let house = Operator::read(&on).unwrap().house();
-        assert!(house.per_caller.is_some() && house.per_prefix.is_some() && house.caller_pace.is_some());
+        assert!(house.per_client.is_some() && house.per_prefix.is_some() && house.client_rate.is_some());
         assert!(
-            house.whole_pace.is_some()
-                && house.kept > 0.0
-                && house.for_open > 0.0
-                && house.come_back.is_some()
+            house.total_rate.is_some()
+                && house.reserved_share > 0.0
+                && house.open_scan_share > 0.0
+                && house.retry_after.is_some()
         );
-        assert!(house.known.holds("10.20.3.4".parse().unwrap()));
+        assert!(house.known_networks.contains("10.20.3.4".parse().unwrap()));
         let dialect = Operator::read(&on).unwrap().dialect().clone();
         assert!(dialect.indices["cues"].partial && dialect.indices["cues"].edits.is_some());
         assert!(Operator::read(text).unwrap().dialect().indices.is_empty());
