--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -17,7 +17,7 @@
 use fernglade_dialect::request::{health, root, table, Request, What};
 use fernglade_fronts::{Misread, Readings};
 use fernglade_orders::Operator;
-use fernglade_shedding::{AsOne, Asks, Purse, Shedder};
+use fernglade_shedding::{FleetPolicy, FleetRetryBudget, LoadShedder, ProbeSchedule};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -57,12 +57,12 @@
 }
 
 /// What this mixer does as one of its fleet, as far as the operator wants it.
-fn as_one(readings: &Readings, seed: u64, operator: &Operator) -> Result<AsOne, Misread> {
+fn as_one(readings: &Readings, seed: u64, operator: &Operator) -> Result<FleetPolicy, Misread> {
     let fleet = readings.number("fleet_size", 1.0)?.max(1.0);
-    Ok(AsOne {
-        shedder: operator.sheds_as_one().then(Shedder::default),
-        purse: operator.relays_in_sum().then(|| Purse::new(fleet, seed)),
-        asks: operator.asks_in_sum().then(|| Asks::new(fleet, seed)),
+    Ok(FleetPolicy {
+        load_shedder: operator.sheds_as_one().then(LoadShedder::default),
+        retry_budget: operator.relays_in_sum().then(|| FleetRetryBudget::new(fleet, seed)),
+        probe_schedule: operator.asks_in_sum().then(|| ProbeSchedule::new(fleet, seed)),
     })
 }
 
--- a/crates/shedding/src/fleet.rs
+++ b/crates/shedding/src/fleet.rs
@@ -1,40 +1,40 @@
 //! What one mixer does as one of a fleet: of three things, those that its operator wants.
 
-use crate::asks::Asks;
-use crate::purse::Purse;
-use crate::shedder::Shedder;
+use crate::asks::ProbeSchedule;
+use crate::purse::FleetRetryBudget;
+use crate::shedder::LoadShedder;
 use fernglade::{Fleet, Heard, Knock, Moment, Span};
 
 /// What is left out decides nothing: the module goes on by itself there.
 #[derive(Clone, Debug, Default)]
-pub struct AsOne {
+pub struct FleetPolicy {
     /// Who is turned away.
-    pub shedder: Option<Shedder>,
+    pub load_shedder: Option<LoadShedder>,
     /// What of lost parts goes to another replica.
-    pub purse: Option<Purse>,
+    pub retry_budget: Option<FleetRetryBudget>,
     /// When a searcher that is down is asked.
-    pub asks: Option<Asks>,
+    pub probe_schedule: Option<ProbeSchedule>,
 }
 
-impl Fleet for AsOne {
+impl Fleet for FleetPolicy {
     fn lets_in(&mut self, now: Moment, knock: &Knock) -> Option<Result<f64, f64>> {
-        self.shedder.as_mut().map(|shedder| shedder.lets_in(now, knock))
+        self.load_shedder.as_mut().map(|shedder| shedder.admit(now, knock))
     }
 
     fn landed(&mut self, now: Moment, heard: &Heard) {
-        self.shedder.iter_mut().for_each(|shedder| shedder.landed(now, heard));
-        self.purse.iter_mut().for_each(|purse| purse.landed(now, heard.cell, heard.how));
+        self.load_shedder.iter_mut().for_each(|shedder| shedder.record_outcome(now, heard));
+        self.retry_budget.iter_mut().for_each(|purse| purse.record_outcome(now, heard.cell, heard.how));
     }
 
     fn may_relay(&self, now: Moment, cell: u32) -> bool {
-        self.purse.as_ref().is_none_or(|purse| purse.may_relay(now, cell))
+        self.retry_budget.as_ref().is_none_or(|purse| purse.may_relay(now, cell))
     }
 
     fn relayed(&mut self, now: Moment, cell: u32) {
-        self.purse.iter_mut().for_each(|purse| purse.relayed(now, cell));
+        self.retry_budget.iter_mut().for_each(|purse| purse.record_relay(now, cell));
     }
 
     fn asks_in(&mut self, first: bool) -> Option<Span> {
-        self.asks.as_mut().map(|asks| if first { asks.first() } else { asks.every() })
+        self.probe_schedule.as_mut().map(|asks| if first { asks.first_delay() } else { asks.interval() })
     }
 }
--- a/crates/shedding/src/lib.rs
+++ b/crates/shedding/src/lib.rs
@@ -6,12 +6,12 @@
 //! Called by the decision module (`src/choice.rs`) by the trait [`fernglade::Fleet`]: it asks before a scan's parts
 //! are placed, and tells of each part that lands. Switched on by the operator's file; without it nothing is shed here.
 //!
-//! - [`Order`]: where a scan stands between nothing and one; who stands low is let in first
-//! - [`Level`]: how much is shed, from how long parts take; damped for a fleet (docs/overload.md has the argument)
-//! - [`Shedder`]: one level of all cells and one a cell, asked and told by the module
-//! - [`Purse`]: relays of lost parts, held to a share in sum over the fleet
-//! - [`Asks`]: how often a searcher that is down is asked by all together
-//! - [`AsOne`]: those of the three that the operator wants
+//! - [`PriorityOrder`]: where a scan stands between nothing and one; who stands low is let in first
+//! - [`ShedController`]: how much is shed, from how long parts take; damped for a fleet (docs/overload.md has the argument)
+//! - [`LoadShedder`]: one level of all cells and one a cell, asked and told by the module
+//! - [`FleetRetryBudget`]: relays of lost parts, held to a share in sum over the fleet
+//! - [`ProbeSchedule`]: how often a searcher that is down is asked by all together
+//! - [`FleetPolicy`]: those of the three that the operator wants
 //!
 //! What empties each table: the order's bands are a fixed number and fade; levels and purses are one a cell of
 //! the deployment.
@@ -28,9 +28,9 @@
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
 
-pub use asks::{Asks, A_SECOND};
-pub use fleet::AsOne;
-pub use level::{Level, Loop, Strain, MOST};
-pub use order::Order;
-pub use purse::{Purse, SHARE};
-pub use shedder::{strain, Shedder};
+pub use asks::{ProbeSchedule, PROBES_PER_SECOND};
+pub use fleet::FleetPolicy;
+pub use level::{ControlParameters, OverloadSignal, ShedController, MAX_SHED};
+pub use order::PriorityOrder;
+pub use purse::{FleetRetryBudget, RETRY_SHARE};
+pub use shedder::{overload_signal, LoadShedder};
--- a/crates/shedding/src/order.rs
+++ b/crates/shedding/src/order.rs
@@ -19,15 +19,15 @@
 
 /// What was offered of each band, in parts, fading; the share that lies before a band is where it begins.
 #[derive(Clone, Debug, Default)]
-pub struct Order {
+pub struct PriorityOrder {
     offered: [f64; BANDS],
     at: Moment,
 }
 
-impl Order {
+impl PriorityOrder {
     /// Counts a scan in, and says where it stands: from nothing, which goes last, to just under one. As bands take
     /// the share that they are of what is offered, letting in all below a share lets in that share of the work.
-    pub fn place(&mut self, now: Moment, knock: &Knock) -> f64 {
+    pub fn position(&mut self, now: Moment, knock: &Knock) -> f64 {
         self.fade(now);
         let band = band(knock.worth, knock.repeat);
         self.offered[band] += knock.parts.len() as f64;
--- a/crates/shedding/src/purse.rs
+++ b/crates/shedding/src/purse.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Relays over parts honoured: a fifth, for one searcher lost in five, as the module's own budget has it.
-pub const SHARE: f64 = 0.2;
+pub const RETRY_SHARE: f64 = 0.2;
 
 /// How long what was earned is kept, in microseconds: a pause of ten seconds, as the module's own budget has it.
 const KEPT: f64 = 10e6;
@@ -46,7 +46,7 @@
 
 /// What one mixer may relay, of all cells and of each.
 #[derive(Clone, Debug)]
-pub struct Purse {
+pub struct FleetRetryBudget {
     fleet: f64,
     /// From nothing to one, drawn at first: where this mixer stands among all. Moved on by what it earns, so that of
     /// mixers that hear rarely not always the same have one to give. One for all buckets: a loss has to pass two of
@@ -57,7 +57,7 @@
     cells: BTreeMap<u32, Bucket>,
 }
 
-impl Purse {
+impl FleetRetryBudget {
     /// Of a fleet that is told to be of so many; a wrong number changes the few, not the share.
     pub fn new(fleet: f64, seed: u64) -> Self {
         let stands = unit(xxh3_64_with_seed(b"purse", seed));
@@ -74,13 +74,13 @@
     }
 
     /// It has gone there.
-    pub fn relayed(&mut self, now: Moment, cell: u32) {
+    pub fn record_relay(&mut self, now: Moment, cell: u32) {
         self.add(now, cell, -1.0);
     }
 
     /// A part has ended: what is honoured earns.
-    pub fn landed(&mut self, now: Moment, cell: u32, how: Landing) {
-        self.add(now, cell, if how == Landing::Honoured { SHARE } else { 0.0 });
+    pub fn record_outcome(&mut self, now: Moment, cell: u32, how: Landing) {
+        self.add(now, cell, if how == Landing::Honoured { RETRY_SHARE } else { 0.0 });
     }
 
     fn add(&mut self, now: Moment, cell: u32, more: f64) {
--- a/crates/shedding/src/shedder.rs
+++ b/crates/shedding/src/shedder.rs
@@ -1,7 +1,7 @@
 //! Who is turned away: the order and the levels put together.
 
-use crate::level::{Level, Loop, Strain};
-use crate::order::Order;
+use crate::level::{ControlParameters, OverloadSignal, ShedController};
+use crate::order::PriorityOrder;
 use fernglade::{Heard, Knock, Landing, Moment, Span};
 use std::collections::BTreeMap;
 
@@ -14,20 +14,20 @@
 
 /// Sheds by one level for all cells, which hears much and is quick, and by one a cell, for what is short alone.
 #[derive(Clone, Debug, Default)]
-pub struct Shedder {
-    order: Order,
-    all: Level,
+pub struct LoadShedder {
+    order: PriorityOrder,
+    all: ShedController,
     /// One a cell of the deployment.
-    cells: BTreeMap<u32, Level>,
-    by: Option<Loop>,
+    cells: BTreeMap<u32, ShedController>,
+    by: Option<ControlParameters>,
     turned_away: u64,
 }
 
 /// What a part's end says of the load where it was: nothing, where it says nothing of a queue.
-pub fn strain(heard: &Heard) -> Option<Strain> {
+pub fn overload_signal(heard: &Heard) -> Option<OverloadSignal> {
     // In widths, of which the first is wanted.
     let queue = heard.took.less(heard.shortest).as_f64() / wanted(heard).as_f64();
-    let told = |queue, beyond| Some(Strain { queue, beyond });
+    let told = |queue, beyond| Some(OverloadSignal { queue_excess: queue, saturation: beyond });
     match heard.how {
         Landing::TurnedAway => told(1.0, 1.0),
         // From half of the way down to none at all the queue says less and less of how much more could be done.
@@ -37,24 +37,24 @@
     }
 }
 
-impl Shedder {
+impl LoadShedder {
     /// What is shed of a scan that needs these cells, as a logarithm: as much as the shortest of them asks for, so
     /// that no scan's parts are half let in.
-    pub fn level(&self, now: Moment, cells: impl Iterator<Item = u32>) -> f64 {
-        let all = self.by.map_or(0.0, |by| self.all.shed(now, by));
-        cells.map(|cell| self.at_cell(now, cell)).fold(all, f64::max)
+    pub fn shed_level(&self, now: Moment, cells: impl Iterator<Item = u32>) -> f64 {
+        let all = self.by.map_or(0.0, |by| self.all.shed_level(now, by));
+        cells.map(|cell| self.cell_shed_level(now, cell)).fold(all, f64::max)
     }
 
     /// What one cell sheds by itself.
-    pub fn at_cell(&self, now: Moment, cell: u32) -> f64 {
+    pub fn cell_shed_level(&self, now: Moment, cell: u32) -> f64 {
         let level = self.by.zip(self.cells.get(&cell));
-        level.map_or(0.0, |(by, level)| level.shed(now, by))
+        level.map_or(0.0, |(by, level)| level.shed_level(now, by))
     }
 
     /// Where a scan stands among those let in, or the share of the longest pause that its client is told.
-    pub fn lets_in(&mut self, now: Moment, knock: &Knock) -> Result<f64, f64> {
-        let stands = self.order.place(now, knock);
-        let level = self.level(now, knock.parts.iter().map(|part| part.shard % knock.cells.max(1)));
+    pub fn admit(&mut self, now: Moment, knock: &Knock) -> Result<f64, f64> {
+        let stands = self.order.position(now, knock);
+        let level = self.shed_level(now, knock.parts.iter().map(|part| part.shard % knock.cells.max(1)));
         let share = (-level).exp();
         if stands < share {
             return Ok(stands / share);
@@ -66,14 +66,19 @@
     }
 
     /// Takes in how a part ended.
-    pub fn landed(&mut self, now: Moment, heard: &Heard) {
-        let Some(strain) = strain(heard) else { return };
-        let told = Loop { width: wanted(heard), target: heard.shortest + wanted(heard) };
+    pub fn record_outcome(&mut self, now: Moment, heard: &Heard) {
+        let Some(strain) = overload_signal(heard) else { return };
+        let told =
+            ControlParameters { latency_unit: wanted(heard), target_latency: heard.shortest + wanted(heard) };
         // The most hurried traffic type has the narrowest loop, and all go by that.
         let by = *self.by.get_or_insert(told);
-        let by = if told.width < by.width { told } else { Loop { target: told.target.min(by.target), ..by } };
+        let by = if told.latency_unit < by.latency_unit {
+            told
+        } else {
+            ControlParameters { target_latency: told.target_latency.min(by.target_latency), ..by }
+        };
         self.by = Some(by);
-        self.all.note(now, strain, by);
-        self.cells.entry(heard.cell).or_default().note(now, strain, by);
+        self.all.update(now, strain, by);
+        self.cells.entry(heard.cell).or_default().update(now, strain, by);
     }
 }
--- a/crates/shedding/tests/fleet.rs
+++ b/crates/shedding/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Many mixers before one queue in made-up time: each hears only of its own parts, and the sums are judged.
 
 use fernglade::{Heard, Knock, Landing, Moment, PartTaken, Span};
-use fernglade_shedding::Shedder;
+use fernglade_shedding::LoadShedder;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
@@ -27,7 +27,7 @@
 /// mixer may have a share of all to itself.
 fn play(mixers: usize, can: f64, loads: &[f64], first: f64, seed: u64) -> Vec<Second> {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let mut fleet: Vec<Shedder> = (0..mixers).map(|_| Shedder::default()).collect();
+    let mut fleet: Vec<LoadShedder> = (0..mixers).map(|_| LoadShedder::default()).collect();
     let mut seconds = vec![Second::default(); loads.len()];
     let (mut now, mut free) = (100_000_000u64, 100_000_000u64);
     let mut landings: BinaryHeap<Reverse<(u64, usize, bool, u64)>> = BinaryHeap::new();
@@ -43,14 +43,14 @@
             let how = if served { Landing::Honoured } else { Landing::TurnedAway };
             let (took, quoted) = (Span::of_micros(took), Span::of_micros(QUOTED));
             let heard = Heard { cell: 0, how, took, quoted, shortest: Span::of_micros(WORK) };
-            fleet[mixer].landed(Moment::at_micros(at), &heard);
+            fleet[mixer].record_outcome(Moment::at_micros(at), &heard);
         }
         let mixer = if chance.random_bool(first) { 0 } else { chance.random_range(0..mixers) };
         let parts = [PartTaken { shard: chance.random_range(0..1 << 20), weight: 1.0 }];
         let knock = Knock { worth: 1.0, repeat: false, parts: &parts, cells: 1 };
         let line = &mut seconds[second];
         line.offered += 1;
-        if fleet[mixer].lets_in(Moment::at_micros(now), &knock).is_err() {
+        if fleet[mixer].admit(Moment::at_micros(now), &knock).is_err() {
             continue;
         }
         line.let_in += 1;
--- a/crates/shedding/tests/order.rs
+++ b/crates/shedding/tests/order.rs
@@ -1,7 +1,9 @@
 //! The order of shedding, and what holds of levels whatever is heard.
 
 use fernglade::{Heard, Knock, Landing, Moment, PartTaken, Span};
-use fernglade_shedding::{Level, Loop, Order, Shedder, Strain, MOST};
+use fernglade_shedding::{
+    ControlParameters, LoadShedder, OverloadSignal, PriorityOrder, ShedController, MAX_SHED,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -22,20 +24,22 @@
 
 #[test]
 fn worth_comes_first_then_firsts_and_a_scan_stands_alike_at_every_mixer() {
-    let mut fleet = [Order::default(), Order::default(), Order::default()];
+    let mut fleet = [PriorityOrder::default(), PriorityOrder::default(), PriorityOrder::default()];
     let at = |step: u64| Moment::at_micros(BEGAN + step * 10_000);
     // Each of the three sees other scans of the same mix.
     for step in 0..600 {
         for (mixer, order) in fleet.iter_mut().enumerate() {
             let shards = parts(&[(step * 3 + mixer as u64) as u32 % 97]);
-            order.place(at(step), &knock(1.0, false, &shards));
-            order.place(at(step), &knock(0.2, step % 2 == 0, &shards));
+            order.position(at(step), &knock(1.0, false, &shards));
+            order.position(at(step), &knock(0.2, step % 2 == 0, &shards));
         }
     }
     let now = at(600);
     for shard in 0..50 {
         let shards = parts(&[shard, shard + 7]);
-        let of = |order: &Order, worth, repeat| order.clone().place(now, &knock(worth, repeat, &shards));
+        let of = |order: &PriorityOrder, worth, repeat| {
+            order.clone().position(now, &knock(worth, repeat, &shards))
+        };
         let here: Vec<[f64; 3]> = fleet
             .iter()
             .map(|order| [of(order, 1.0, false), of(order, 0.2, false), of(order, 0.2, true)])
@@ -51,20 +55,20 @@
 /// A cell that is short sheds the same scans at all mixers, and a scan that needs it is turned away whole.
 #[test]
 fn a_scan_is_let_in_by_all_of_its_cells_or_by_none() {
-    let mut fleet = [Shedder::default(), Shedder::default()];
+    let mut fleet = [LoadShedder::default(), LoadShedder::default()];
     let at = |step: u64| Moment::at_micros(BEGAN + step * 5_000);
     for step in 0..1_500 {
         for mixer in &mut fleet {
             for cell in 0..4 {
                 let how = if cell == 2 { Landing::TurnedAway } else { Landing::Honoured };
-                mixer.landed(at(step), &heard(cell, how, 20));
+                mixer.record_outcome(at(step), &heard(cell, how, 20));
             }
             let shards = parts(&[step as u32 % 50]);
-            let _ = mixer.lets_in(at(step), &knock(1.0, false, &shards));
+            let _ = mixer.admit(at(step), &knock(1.0, false, &shards));
         }
     }
     let now = at(1_500);
-    assert!(fleet[0].at_cell(now, 2) > 1.0 && fleet[0].at_cell(now, 0) == 0.0);
+    assert!(fleet[0].cell_shed_level(now, 2) > 1.0 && fleet[0].cell_shed_level(now, 0) == 0.0);
     let (mut alike, mut shed) = (0, 0);
     for shard in 0..200 {
         // Cells 0, 1 and 3 have room; shards that leave 2 lie in the one that has none.
@@ -78,19 +82,19 @@
 }
 
 /// Asked of a copy, so that asking changes nothing.
-fn takes(mixer: &Shedder, now: Moment, parts: &[PartTaken]) -> bool {
-    mixer.clone().lets_in(now, &knock(1.0, false, parts)).is_ok()
+fn takes(mixer: &LoadShedder, now: Moment, parts: &[PartTaken]) -> bool {
+    mixer.clone().admit(now, &knock(1.0, false, parts)).is_ok()
 }
 
 #[test]
 fn the_lowest_is_a_trickle_and_those_turned_away_are_spread() {
-    let mut mixer = Shedder::default();
+    let mut mixer = LoadShedder::default();
     let at = |step: u64| Moment::at_micros(BEGAN + step * 5_000);
-    (0..6_000).for_each(|step| mixer.landed(at(step), &heard(0, Landing::TurnedAway, 1)));
+    (0..6_000).for_each(|step| mixer.record_outcome(at(step), &heard(0, Landing::TurnedAway, 1)));
     let (mut let_in, mut pauses) = (0, Vec::new());
     for step in 6_000..16_000 {
-        mixer.landed(at(step), &heard(0, Landing::TurnedAway, 1));
-        match mixer.lets_in(at(step), &knock(1.0, false, &parts(&[step as u32]))) {
+        mixer.record_outcome(at(step), &heard(0, Landing::TurnedAway, 1));
+        match mixer.admit(at(step), &knock(1.0, false, &parts(&[step as u32]))) {
             Ok(_) => let_in += 1,
             Err(pause) => pauses.push(pause),
         }
@@ -104,12 +108,14 @@
 
 #[test]
 fn unheard_it_fades_and_lets_in_again() {
-    let mut level = Level::default();
-    let by = Loop { width: Span::of_millis(120), target: Span::of_millis(140) };
+    let mut level = ShedController::default();
+    let by = ControlParameters { latency_unit: Span::of_millis(120), target_latency: Span::of_millis(140) };
     let at = |millis: u64| Moment::at_micros(BEGAN + millis * 1_000);
-    (0..2_000).for_each(|step| level.note(at(step * 10), Strain { queue: 1.0, beyond: 1.0 }, by));
-    assert!(level.shed(at(20_000), by) > 3.0);
-    assert!(level.shed(at(40_000), by) < 0.1, "twenty seconds without a word");
+    (0..2_000).for_each(|step| {
+        level.update(at(step * 10), OverloadSignal { queue_excess: 1.0, saturation: 1.0 }, by)
+    });
+    assert!(level.shed_level(at(20_000), by) > 3.0);
+    assert!(level.shed_level(at(40_000), by) < 0.1, "twenty seconds without a word");
 }
 
 proptest! {
@@ -122,12 +128,12 @@
         share in 0.1f64..0.9,
         seed in 0u32..1_000,
     ) {
-        let (mut order, mut all, mut below) = (Order::default(), 0.0, 0.0);
+        let (mut order, mut all, mut below) = (PriorityOrder::default(), 0.0, 0.0);
         for step in 0..6_000u32 {
             let (worth, repeat, count) = mix[step as usize % mix.len()];
             let shards: Vec<u32> = (0..count as u32).map(|part| seed + step * 31 + part).collect();
             let now = Moment::at_micros(BEGAN + u64::from(step) * 5_000);
-            let stands = order.place(now, &knock(worth, repeat, &parts(&shards)));
+            let stands = order.position(now, &knock(worth, repeat, &parts(&shards)));
             prop_assert!((0.0..1.0).contains(&stands));
             // The first seconds know little of the mix.
             if step >= 1_000 {
@@ -145,12 +151,12 @@
         width in 1u64..5_000_000,
         target in 0u64..5_000_000,
     ) {
-        let by = Loop { width: Span::of_micros(width), target: Span::of_micros(target) };
-        let mut level = Level::default();
+        let by = ControlParameters { latency_unit: Span::of_micros(width), target_latency: Span::of_micros(target) };
+        let mut level = ShedController::default();
         for (at, queue, beyond) in told {
-            level.note(Moment::at_micros(BEGAN + at), Strain { queue, beyond }, by);
-            let shed = level.shed(Moment::at_micros(BEGAN + at), by);
-            prop_assert!((0.0..=MOST).contains(&shed), "{shed}");
+            level.update(Moment::at_micros(BEGAN + at), OverloadSignal { queue_excess: queue, saturation: beyond }, by);
+            let shed = level.shed_level(Moment::at_micros(BEGAN + at), by);
+            prop_assert!((0.0..=MAX_SHED).contains(&shed), "{shed}");
         }
     }
 
@@ -161,11 +167,11 @@
     ) {
         let ends = [Landing::Honoured, Landing::Erred, Landing::TurnedAway, Landing::Unreached, Landing::Silent,
             Landing::Dropped, Landing::CalledOff, Landing::Unsent];
-        let mut mixer = Shedder::default();
+        let mut mixer = LoadShedder::default();
         for (at, cell, how, took) in told {
             let now = Moment::at_micros(BEGAN + at);
-            mixer.landed(now, &heard(cell, ends[how], took));
-            match mixer.lets_in(now, &knock(0.5, false, &parts(&[cell]))) {
+            mixer.record_outcome(now, &heard(cell, ends[how], took));
+            match mixer.admit(now, &knock(0.5, false, &parts(&[cell]))) {
                 Ok(stands) => prop_assert!((0.0..1.0).contains(&stands)),
                 Err(pause) => prop_assert!((0.0..=1.0).contains(&pause)),
             }
--- a/crates/shedding/tests/sums.rs
+++ b/crates/shedding/tests/sums.rs
@@ -1,7 +1,7 @@
 //! What many mixers relay and ask in sum, in made-up time: none knows of another, and the sums are judged.
 
 use fernglade::{Landing, Moment, Span};
-use fernglade_shedding::{Asks, Purse, A_SECOND, SHARE};
+use fernglade_shedding::{FleetRetryBudget, ProbeSchedule, PROBES_PER_SECOND, RETRY_SHARE};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::{Rng, SeedableRng};
@@ -23,7 +23,8 @@
 /// of the first relays is lost, at one cell. What is counted begins with the losses.
 fn play(mixers: usize, told: f64, first: f64, lost: f64) -> Sums {
     let mut chance = Pcg64Mcg::seed_from_u64(9);
-    let mut fleet: Vec<Purse> = (0..mixers).map(|seed| Purse::new(told, seed as u64)).collect();
+    let mut fleet: Vec<FleetRetryBudget> =
+        (0..mixers).map(|seed| FleetRetryBudget::new(told, seed as u64)).collect();
     let mut sums = Sums { honoured: 0, lost: 0, relayed: 0, worst: 0 };
     let mut here = (0, 0);
     for step in 0..50 * RATE {
@@ -32,13 +33,13 @@
         let counted = step >= 30 * RATE;
         if !counted || !chance.random_bool(lost) {
             sums.honoured += usize::from(counted);
-            fleet[mixer].landed(now, 3, Landing::Honoured);
+            fleet[mixer].record_outcome(now, 3, Landing::Honoured);
             continue;
         }
         sums.lost += 1;
-        fleet[mixer].landed(now, 3, Landing::TurnedAway);
+        fleet[mixer].record_outcome(now, 3, Landing::TurnedAway);
         if fleet[mixer].may_relay(now, 3) {
-            fleet[mixer].relayed(now, 3);
+            fleet[mixer].record_relay(now, 3);
             sums.relayed += 1;
             here = if here.0 == step / RATE { (here.0, here.1 + 1) } else { (step / RATE, 1) };
             sums.worst = sums.worst.max(here.1);
@@ -59,7 +60,7 @@
 fn where_a_cell_says_later_to_all_its_load_is_not_thrown_at_others(mixers: usize, told: f64, first: f64) {
     let sums = play(mixers, told, first, 1.0);
     // Ten seconds' earnings; ten and ten more in each ten seconds, times what they are too many for what they are told.
-    let most = SHARE * (10 * RATE) as f64 + 30.0 * mixers as f64 / told;
+    let most = RETRY_SHARE * (10 * RATE) as f64 + 30.0 * mixers as f64 / told;
     println!(
         "{mixers} told {told}: {} relayed of {}, {} in the worst second, {most:.0} at most",
         sums.relayed, sums.lost, sums.worst
@@ -85,7 +86,7 @@
     // Of a thousand mixers one hears of the cell once in five seconds and has less than half of a relay at hand.
     let least = if mixers > 300 { 0.35 } else { 0.65 };
     assert!(few.relayed as f64 >= least * few.lost as f64, "{} of {}", few.relayed, few.lost);
-    let most = SHARE * (many.honoured as f64 + (10 * RATE) as f64) + 30.0;
+    let most = RETRY_SHARE * (many.honoured as f64 + (10 * RATE) as f64) + 30.0;
     assert!(many.relayed as f64 <= most * 1.1, "{} of {most}", many.relayed);
 }
 
@@ -93,14 +94,14 @@
 fn asked(mixers: usize, told: f64) -> (usize, usize) {
     let mut by_second = vec![0; 200];
     let mut times = Vec::new();
-    let every = Asks::new(told, 0).every();
+    let every = ProbeSchedule::new(told, 0).interval();
     for mixer in 0..mixers {
-        let mut asks = Asks::new(told, mixer as u64);
-        let mut at = Moment::at_micros(0) + asks.first();
+        let mut asks = ProbeSchedule::new(told, mixer as u64);
+        let mut at = Moment::at_micros(0) + asks.first_delay();
         while at < Moment::at_micros(200_000_000) {
             by_second[(at.micros() / 1_000_000) as usize] += 1;
             times.push(at);
-            at = at + asks.every();
+            at = at + asks.interval();
         }
     }
     times.sort_unstable();
@@ -119,10 +120,10 @@
     println!("{mixers} mixers: {second} in the worst second, {interval} in the worst interval");
     assert!(interval <= mixers, "each asks once in an interval, whenever it begins: {interval}");
     // Eight a second, and what chance adds to the worst of two hundred.
-    assert!(second as f64 <= A_SECOND + 4.5 * A_SECOND.sqrt(), "{second}");
+    assert!(second as f64 <= PROBES_PER_SECOND + 4.5 * PROBES_PER_SECOND.sqrt(), "{second}");
     // Told half of their number they ask twice as often, and told twice half as often.
     let (half, twice) = (asked(mixers, mixers as f64 / 2.0).0, asked(mixers, mixers as f64 * 2.0).0);
-    assert!(half as f64 <= 2.0 * A_SECOND + 4.5 * (2.0 * A_SECOND).sqrt(), "{half}");
+    assert!(half as f64 <= 2.0 * PROBES_PER_SECOND + 4.5 * (2.0 * PROBES_PER_SECOND).sqrt(), "{half}");
     assert!(twice <= second + 4, "{twice} and {second}");
 }
 
@@ -137,26 +138,26 @@
         seed in 0u64..1_000,
         steps in prop::collection::vec((0u64..4_000_000, 0u32..3, 0u8..3), 1..300),
     ) {
-        let mut purse = Purse::new(told, seed);
+        let mut purse = FleetRetryBudget::new(told, seed);
         let (mut now, mut honoured, mut relayed) = (Moment::at_micros(7), [0usize; 3], [0usize; 3]);
         let began = now;
         for (gap, cell, what) in steps {
             now = now + Span::of_micros(gap);
             let here = cell as usize;
             if what == 0 {
-                purse.landed(now, cell, Landing::Honoured);
+                purse.record_outcome(now, cell, Landing::Honoured);
                 honoured[here] += 1;
                 continue;
             }
-            purse.landed(now, cell, Landing::Dropped);
+            purse.record_outcome(now, cell, Landing::Dropped);
             if purse.may_relay(now, cell) {
-                purse.relayed(now, cell);
+                purse.record_relay(now, cell);
                 relayed[here] += 1;
             }
             let times = now.since(began).as_f64() / 10e6 + 1.0;
-            let most = SHARE * honoured[here] as f64 + 10.0 / told * times + 1.0;
+            let most = RETRY_SHARE * honoured[here] as f64 + 10.0 / told * times + 1.0;
             prop_assert!(relayed[here] as f64 <= most + 1e-6, "{} of {most}", relayed[here]);
-            let all = SHARE * honoured.iter().sum::<usize>() as f64 + 100.0 / told * times + 1.0;
+            let all = RETRY_SHARE * honoured.iter().sum::<usize>() as f64 + 100.0 / told * times + 1.0;
             prop_assert!(relayed.iter().sum::<usize>() as f64 <= all + 1e-6);
         }
     }
