--- a/crates/admission/src/descriptors.rs
+++ b/crates/admission/src/descriptors.rs
@@ -1,49 +1,57 @@
-//! What the descriptors are for. One sum: `fixed` + `told` + `links` + `clients` is no more than there are.
+//! The file descriptor budget: `reserved` + `rejections` + `searcher_connections` + `client_connections`
+//! never exceeds the number of descriptors available.
 
 /// How many descriptors each use may hold at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorBudget {
-    /// Standard streams, the poller's, signals', the listener, discovery (its connection and its successor),
-    /// a file that is being read, the reserve that accepts and refuses when there is none left; and one spare.
+    /// Standard streams, the poller, signal handling, the listener, discovery (its connection and the
+    /// replacement), a file being read, the reserve descriptor used to accept and reject a connection when
+    /// none is left, and one spare.
     pub reserved: usize,
-    /// Connections that hear a refusal.
+    /// Connections being rejected, until the client has read the rejection.
     pub rejections: usize,
+    /// Connections to searchers.
     pub searcher_connections: usize,
+    /// Connections from clients, admitted or queued.
     pub client_connections: usize,
 }
 
-/// Counted on a running mixer: 3 streams, 3 of the poller, 4 of signals, 1 listener, 2 for discovery, 1 file,
-/// 1 reserve; and 1 spare, for what the standard library opens for a moment.
-const FIXED: usize = 16;
-/// With fewer there is hardly a place for anybody.
-const LEAST: usize = 24;
+/// Usage of a running mixer: 3 standard streams, 3 for the poller, 4 for signals, 1 listener, 2 for
+/// discovery, 1 file, 1 reserve; and 1 spare, for descriptors that the standard library opens briefly.
+const RESERVED: usize = 16;
+/// With fewer descriptors there is hardly a slot left for any client.
+const MIN_DESCRIPTORS: usize = 24;
 
 impl DescriptorBudget {
-    /// Of what the orders tell and what the system allows the fewer: an operator may lower the one, the system's
-    /// keeper the other. None where they are too few to serve.
+    /// Divides up the descriptors: the smaller of the configured number and the system limit, as the operator
+    /// may lower the one and the system's administrator the other. `None` if they are too few to serve.
     pub fn plan(stated: usize, allowed: Option<usize>) -> Option<Self> {
-        let all = stated.min(allowed.unwrap_or(stated));
-        // A thirty-second hears refusals: half a second each, past which the longest told goes.
-        let told = (all / 32).clamp(2, 32);
-        let rest = all.checked_sub(FIXED + told).filter(|_| all >= LEAST)?;
-        // Searchers are few and clients many: two fifths for links, as each may need more than one.
-        let links = (rest * 2 / 5).max(1);
+        let available = stated.min(allowed.unwrap_or(stated));
+        // 1/32 is for rejections, which take half a second each; beyond that the oldest rejection is dropped.
+        let rejections = (available / 32).clamp(2, 32);
+        let rest = available.checked_sub(RESERVED + rejections).filter(|_| available >= MIN_DESCRIPTORS)?;
+        // Searchers are few and clients many: two fifths go to searcher connections, as a searcher may need
+        // more than one.
+        let searcher_connections = (rest * 2 / 5).max(1);
         Some(Self {
-            reserved: FIXED,
-            rejections: told,
-            searcher_connections: links,
-            client_connections: rest - links,
+            reserved: RESERVED,
+            rejections,
+            searcher_connections,
+            client_connections: rest - searcher_connections,
         })
     }
 
+    /// The descriptors used when every use is at its limit.
     pub fn total(&self) -> usize {
         self.reserved + self.rejections + self.searcher_connections + self.client_connections
     }
 
-    /// The clients' places while more links are held than are meant to be: one that closes takes its time, and
-    /// its successor dials meanwhile. Those come before newcomers at the door.
-    pub fn client_limit(&self, links_held: usize) -> usize {
-        self.client_connections.saturating_sub(links_held.saturating_sub(self.searcher_connections)).max(1)
+    /// The limit on client connections while more searcher connections are open than planned: a closing one
+    /// takes time to close, and its replacement is dialled meanwhile. Those take precedence over new clients.
+    pub fn client_limit(&self, searcher_connections_held: usize) -> usize {
+        self.client_connections
+            .saturating_sub(searcher_connections_held.saturating_sub(self.searcher_connections))
+            .max(1)
     }
 }
 
@@ -57,7 +65,7 @@
         #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
         #[test]
-        fn the_sum_fits_whatever_there_is(stated in 0usize..200_000, allowed in proptest::option::of(0usize..200_000)) {
+        fn the_total_never_exceeds_what_is_available(stated in 0usize..200_000, allowed in proptest::option::of(0usize..200_000)) {
             let all = stated.min(allowed.unwrap_or(stated));
             match DescriptorBudget::plan(stated, allowed) {
                 None => prop_assert!(all < 24),
@@ -69,16 +77,16 @@
         }
 
         #[test]
-        fn links_that_close_take_the_places_of_newcomers(all in 24usize..5000, more in 0usize..5000) {
+        fn excess_searcher_connections_reduce_the_client_limit(all in 24usize..5000, more in 0usize..5000) {
             let plan = DescriptorBudget::plan(all, None).unwrap();
-            let places = plan.client_limit(plan.searcher_connections + more);
-            prop_assert!(places >= 1 && places <= plan.client_connections);
-            prop_assert!(places + more == plan.client_connections || places == 1);
+            let slots = plan.client_limit(plan.searcher_connections + more);
+            prop_assert!(slots >= 1 && slots <= plan.client_connections);
+            prop_assert!(slots + more == plan.client_connections || slots == 1);
         }
     }
 
     #[test]
-    fn what_was_stated_so_far_comes_out_nearly_as_before() {
+    fn common_limits_are_divided_as_expected() {
         let plan = DescriptorBudget::plan(256, Some(1024)).unwrap();
         assert_eq!((plan.searcher_connections, plan.client_connections), (92, 140));
         assert_eq!(DescriptorBudget::plan(256, Some(32)).unwrap().total(), 32);
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,34 +1,37 @@
-//! Who is let in, whose places are kept, and who goes when room is short. Pure: no sockets, no clock; time comes
-//! in as an argument, effects go out as [`AdmissionAction`]s.
+//! Admission control for client connections: which are admitted, which slots are reserved, and which
+//! connections are evicted when slots run out. Pure: no sockets and no clock; time is passed as an argument,
+//! and effects are returned as [`AdmissionAction`]s.
 //!
-//! Called by `routing`, which tells the [`AdmissionController`] of every connection that arrives, changes its [`Activity`] or
-//! is gone, and carries out what it asks for. The house decides about connections only; which *scan* is turned
-//! away is the module's to say (`src/choice.rs`).
+//! Called by the mixer's `routing` module, which reports every connection that is accepted, changes its
+//! [`Activity`] or closes to the [`AdmissionController`] and carries out the returned actions. The controller
+//! decides about connections only; which *scans* are rejected is up to the decision module of the `fernglade`
+//! crate (`src/choice.rs`).
 //!
-//! - [`ClientKey`], [`KnownNetworks`]: by what callers are told apart, and who of them is known
-//! - [`Descriptors`]: what the descriptors are for; one sum, which fits what there is
-//! - [`AdmissionPolicy`]: what the operator sets
-//! - [`AdmissionController`]: the places, the porch, the door
-//! - [`ResourceShortage`]: whether a failed system call is worth a place
+//! - [`ClientKey`], [`KnownNetworks`]: how clients are told apart, and which of them are known
+//! - [`DescriptorBudget`]: how the file descriptors are divided up
+//! - [`AdmissionPolicy`]: the operator's settings
+//! - [`AdmissionController`]: the slots, the queue, and whether connections are accepted
+//! - [`ResourceShortage`]: whether a failed system call is worth evicting a connection
 //!
-//! What empties each table: a guest's line goes when it is gone, a caller's or prefix's tally with its last
-//! guest, a pace with time (and it gives way to others where there are many: `paces.rs`).
+//! How each table is emptied: a connection's entry is removed when it closes, the counts of a client or
+//! prefix with its last connection, and a rate limiter's bucket once it is full again (or earlier, to make
+//! room for others: `rate_limits.rs`).
 
-mod caller;
+mod client_key;
+mod connections;
+mod controller;
 mod descriptors;
-mod guests;
-mod house;
-mod paces;
-mod rules;
+mod policy;
+mod rate_limits;
 mod shortage;
 
-pub use caller::{ClientKey, KnownNetworks, Prefix};
+pub use client_key::{ClientKey, KnownNetworks, Prefix};
+pub use connections::Activity;
+pub use controller::{AdmissionAction, AdmissionController, RejectReason};
 pub use descriptors::DescriptorBudget;
-pub use guests::Activity;
-pub use house::{AdmissionAction, AdmissionController, RejectReason};
-pub use rules::AdmissionPolicy;
+pub use policy::AdmissionPolicy;
 pub use shortage::{FailureResponse, ResourceShortage};
 
-/// A connection, from when it was accepted until its descriptor is free again. Never given twice.
+/// Identifies a connection from when it is accepted until its descriptor is free again. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClientConnectionId(pub u64);
--- a/crates/admission/src/shortage.rs
+++ b/crates/admission/src/shortage.rs
@@ -1,18 +1,19 @@
-//! A system call that failed for want of descriptors or buffers: for a moment, as when other processes hold the
-//! system's last ones, or lastingly. Only the second is worth a client's place.
+//! Handles system calls that fail for lack of descriptors or buffers. The shortage may be momentary, as when
+//! other processes hold the system's last ones, or persistent. Only a persistent one is worth closing a
+//! client's connection.
 
 use fernglade::Span;
 
-/// What follows a failure.
+/// How to respond to a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureResponse {
-    /// It may be over in a moment: the call is made again after this pause, and nobody goes.
+    /// The shortage may be momentary: retry after this pause, and close nothing.
     Retry(Span),
-    /// It lasts: room is to be made.
+    /// The shortage is persistent: free descriptors.
     FreeDescriptors,
 }
 
-/// How often in a row a call has failed.
+/// Counts how often in a row a call has failed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResourceShortage {
     failures: u32,
@@ -20,11 +21,12 @@
 
 /// The first pause; each further one is twice as long.
 const FIRST_PAUSE: Span = Span::of_millis(1);
-/// After so many pauses, 31 ms together, it lasts: far less than any client's time, and longer than another process
-/// takes to give back what it has.
+/// After this many pauses, 31 ms in total, the shortage is persistent: far less than any client's timeout,
+/// and longer than another process takes to release its descriptors.
 const PAUSES: u32 = 5;
 
 impl ResourceShortage {
+    /// Records a failed call and says how to respond.
     pub fn record_failure(&mut self) -> FailureResponse {
         let pause = FIRST_PAUSE * f64::from(1 << self.failures.min(PAUSES));
         self.failures = self.failures.saturating_add(1);
@@ -34,10 +36,12 @@
         }
     }
 
+    /// Records a successful call, which ends the run of failures.
     pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
+    /// Whether the shortage is persistent.
     pub fn is_persistent(&self) -> bool {
         self.failures > PAUSES
     }
--- a/crates/admission/tests/house.rs
+++ b/crates/admission/tests/house.rs
@@ -1,4 +1,5 @@
-//! The house under any sequence of events, and stories for each way of being let in or not.
+//! Tests the admission controller: invariants under any sequence of events, and each way of being admitted or
+//! rejected.
 
 use fernglade::{Moment, Span};
 use fernglade_admission::{
@@ -11,12 +12,12 @@
 use std::net::{IpAddr, Ipv4Addr};
 use test_case::test_case;
 
-const EDITORS: &str = "10.9.0.0/16";
+const KNOWN_NETWORK: &str = "10.9.0.0/16";
 
-fn rules(kept: f64, per_client: Option<usize>, for_open: f64) -> AdmissionPolicy {
-    let known = KnownNetworks::new(vec![EDITORS.parse().unwrap()]);
+fn policy(reserved: f64, per_client: Option<usize>, for_open: f64) -> AdmissionPolicy {
+    let known = KnownNetworks::new(vec![KNOWN_NETWORK.parse().unwrap()]);
     AdmissionPolicy {
-        reserved_share: kept,
+        reserved_share: reserved,
         per_client,
         open_scan_share: for_open,
         known_networks: known,
@@ -24,141 +25,160 @@
     }
 }
 
-fn player(n: u8) -> IpAddr {
+fn unknown_address(n: u8) -> IpAddr {
     Ipv4Addr::new(10, 1, n, 1).into()
 }
 
-fn editor(n: u8) -> IpAddr {
+fn known_address(n: u8) -> IpAddr {
     Ipv4Addr::new(10, 9, n, 1).into()
 }
 
-/// Keeps its own account of who is where, from the acts alone, and checks it against what the house owes.
-struct Checked {
-    house: AdmissionController,
-    most: usize,
+/// Tracks where each connection is from the returned actions alone, and checks the controller's guarantees
+/// against that.
+struct CheckedController {
+    controller: AdmissionController,
+    capacity: usize,
     now: Moment,
-    next: u64,
-    porch: BTreeMap<ClientConnectionId, IpAddr>,
-    inside: BTreeMap<ClientConnectionId, IpAddr>,
-    leaving: BTreeSet<ClientConnectionId>,
-    open: bool,
-    refused: Vec<(ClientConnectionId, RejectReason)>,
+    last_id: u64,
+    queued: BTreeMap<ClientConnectionId, IpAddr>,
+    admitted: BTreeMap<ClientConnectionId, IpAddr>,
+    closing: BTreeSet<ClientConnectionId>,
+    accepting: bool,
+    rejected: Vec<(ClientConnectionId, RejectReason)>,
 }
 
-impl Checked {
-    fn new(rules: AdmissionPolicy, most: usize) -> Self {
+impl CheckedController {
+    fn new(policy: AdmissionPolicy, capacity: usize) -> Self {
         let now = Moment::at_micros(1_764_000_000_000_000);
-        let (porch, inside, leaving) = Default::default();
-        let house = AdmissionController::new(rules, most);
-        Self { house, most, now, next: 0, porch, inside, leaving, open: true, refused: Vec::new() }
+        let (queued, admitted, closing) = Default::default();
+        let controller = AdmissionController::new(policy, capacity);
+        Self {
+            controller,
+            capacity,
+            now,
+            last_id: 0,
+            queued,
+            admitted,
+            closing,
+            accepting: true,
+            rejected: Vec::new(),
+        }
     }
 
     fn is_known(at: &IpAddr) -> bool {
         matches!(at, IpAddr::V4(v4) if v4.octets()[1] == 9)
     }
 
-    fn known_inside(&self) -> usize {
-        self.inside.values().filter(|at| Self::is_known(at)).count()
+    fn known_admitted(&self) -> usize {
+        self.admitted.values().filter(|at| Self::is_known(at)).count()
     }
 
-    fn take(&mut self, acts: Vec<AdmissionAction>) {
-        for act in acts {
-            match act {
-                AdmissionAction::Admit(guest) => {
-                    let at = self.porch.remove(&guest).expect("only who waits is let in");
-                    self.inside.insert(guest, at);
+    fn apply(&mut self, actions: Vec<AdmissionAction>) {
+        for action in actions {
+            match action {
+                AdmissionAction::Admit(id) => {
+                    let at = self.queued.remove(&id).expect("only queued connections are admitted");
+                    self.admitted.insert(id, at);
                 }
-                AdmissionAction::Reject(guest, why) => {
-                    assert!(self.porch.remove(&guest).is_some(), "only who waits is turned away");
-                    self.refused.push((guest, why));
+                AdmissionAction::Reject(id, reason) => {
+                    assert!(self.queued.remove(&id).is_some(), "only queued connections are rejected");
+                    self.rejected.push((id, reason));
                 }
-                AdmissionAction::Evict(guest) => {
-                    assert!(self.inside.contains_key(&guest) && self.leaving.insert(guest), "leaves once");
+                AdmissionAction::Evict(id) => {
+                    assert!(
+                        self.admitted.contains_key(&id) && self.closing.insert(id),
+                        "an admitted connection is evicted once"
+                    );
                 }
-                AdmissionAction::SetAccepting(open) => {
-                    assert_ne!(open, self.open, "the door moves");
-                    self.open = open;
+                AdmissionAction::SetAccepting(accepting) => {
+                    assert_ne!(accepting, self.accepting, "only changes are reported");
+                    self.accepting = accepting;
                 }
             }
         }
-        self.check();
+        self.check_invariants();
     }
 
-    fn check(&self) {
-        let places = self.house.slots(self.now);
-        assert!(self.inside.len() + self.porch.len() <= self.most, "over the descriptors");
-        assert_eq!(self.inside.len(), self.house.admitted());
-        let kept = self.house.policy().reserved_slots(places);
-        let unknown = self.inside.len() - self.known_inside();
-        let squeezed = places < self.most - (self.most / 8).max(1);
-        assert!(squeezed || unknown + kept <= places, "an unknown one took a kept place");
+    fn check_invariants(&self) {
+        let slots = self.controller.slots(self.now);
+        assert!(
+            self.admitted.len() + self.queued.len() <= self.capacity,
+            "more connections than descriptors"
+        );
+        assert_eq!(self.admitted.len(), self.controller.admitted());
+        let reserved = self.controller.policy().reserved_slots(slots);
+        let unknown = self.admitted.len() - self.known_admitted();
+        let withheld = slots < self.capacity - (self.capacity / 8).max(1);
+        assert!(withheld || unknown + reserved <= slots, "an unknown client took a reserved slot");
     }
 
-    fn arrive(&mut self, at: IpAddr) -> ClientConnectionId {
-        self.next += 1;
-        let guest = ClientConnectionId(self.next);
-        let free = self.house.policy().reserved_slots(self.house.slots(self.now)) > self.known_inside();
-        // A place that has just come back is for a known one that waits already.
-        let first = !self.porch.values().any(Self::is_known);
-        let owed = Self::is_known(&at) && free && first && self.inside.len() < self.house.slots(self.now);
-        self.porch.insert(guest, at);
-        let acts = self.house.connection_accepted(self.now, guest, at);
-        self.take(acts);
-        assert!(!owed || self.inside.contains_key(&guest), "a kept place was free");
-        guest
+    fn accept(&mut self, at: IpAddr) -> ClientConnectionId {
+        self.last_id += 1;
+        let id = ClientConnectionId(self.last_id);
+        let free =
+            self.controller.policy().reserved_slots(self.controller.slots(self.now)) > self.known_admitted();
+        // A slot that has just been returned goes to a known client that is queued already.
+        let first = !self.queued.values().any(Self::is_known);
+        let guaranteed =
+            Self::is_known(&at) && free && first && self.admitted.len() < self.controller.slots(self.now);
+        self.queued.insert(id, at);
+        let actions = self.controller.connection_accepted(self.now, id, at);
+        self.apply(actions);
+        assert!(!guaranteed || self.admitted.contains_key(&id), "a reserved slot was free");
+        id
     }
 
-    fn stand(&mut self, guest: ClientConnectionId, standing: Activity) {
-        if standing == Activity::Closing && self.inside.contains_key(&guest) {
-            self.leaving.insert(guest);
+    fn set_activity(&mut self, id: ClientConnectionId, activity: Activity) {
+        if activity == Activity::Closing && self.admitted.contains_key(&id) {
+            self.closing.insert(id);
         }
-        let acts = self.house.activity_changed(self.now, guest, standing);
-        self.take(acts);
+        let actions = self.controller.activity_changed(self.now, id, activity);
+        self.apply(actions);
     }
 
-    fn go(&mut self, guest: ClientConnectionId) {
-        if self.inside.remove(&guest).is_some() {
-            self.leaving.remove(&guest);
-            let acts = self.house.connection_closed(self.now, guest);
-            self.take(acts);
+    fn close(&mut self, id: ClientConnectionId) {
+        if self.admitted.remove(&id).is_some() {
+            self.closing.remove(&id);
+            let actions = self.controller.connection_closed(self.now, id);
+            self.apply(actions);
         }
     }
 
-    /// Whoever was asked to leave does.
-    fn leave(&mut self) {
-        while let Some(guest) = self.leaving.first().copied() {
-            self.go(guest);
+    /// Closes every evicted connection.
+    fn close_evicted(&mut self) {
+        while let Some(id) = self.closing.first().copied() {
+            self.close(id);
         }
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         let until = self.now + Span::of_millis(millis);
-        while let Some(due) = self.house.next_tick(self.now).filter(|due| *due <= until) {
-            assert!(due > self.now, "time that has come is not due again");
+        while let Some(due) = self.controller.next_tick(self.now).filter(|due| *due <= until) {
+            assert!(due > self.now, "the next tick lies in the future");
             self.now = due;
-            let acts = self.house.tick(due);
-            self.take(acts);
+            let actions = self.controller.tick(due);
+            self.apply(actions);
         }
         self.now = until;
     }
 
-    fn why(&self, guest: ClientConnectionId) -> Option<RejectReason> {
-        self.refused.iter().find(|(other, _)| *other == guest).map(|(_, why)| *why)
+    fn reject_reason(&self, id: ClientConnectionId) -> Option<RejectReason> {
+        self.rejected.iter().find(|(other, _)| *other == id).map(|(_, reason)| *reason)
     }
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive(bool, u8),
-    Stand(usize, Activity),
-    Go(usize),
-    Leave,
-    Pass(u64),
-    Short,
-    Rules(f64, Option<usize>, f64),
+    Accept(bool, u8),
+    SetActivity(usize, Activity),
+    Close(usize),
+    CloseEvicted,
+    Advance(u64),
+    ExhaustDescriptors,
+    SetPolicy(f64, Option<usize>, f64),
 }
 
-fn standing() -> impl Strategy<Value = Activity> {
+fn activity() -> impl Strategy<Value = Activity> {
     prop_oneof![
         Just(Activity::Idle),
         Just(Activity::ReceivingRequest),
@@ -171,51 +191,53 @@
     prop_oneof![Just(0.0), 0.0..0.9]
 }
 
-fn cap() -> impl Strategy<Value = Option<usize>> {
+fn limit() -> impl Strategy<Value = Option<usize>> {
     prop_oneof![Just(None), (1usize..6).prop_map(Some)]
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        8 => (any::<bool>(), 0u8..6).prop_map(|(known, n)| Step::Arrive(known, n)),
-        6 => (any::<usize>(), standing()).prop_map(|(which, what)| Step::Stand(which, what)),
-        4 => any::<usize>().prop_map(Step::Go),
-        2 => Just(Step::Leave),
-        3 => (1u64..400).prop_map(Step::Pass),
-        1 => Just(Step::Short),
+        8 => (any::<bool>(), 0u8..6).prop_map(|(known, n)| Step::Accept(known, n)),
+        6 => (any::<usize>(), activity()).prop_map(|(which, what)| Step::SetActivity(which, what)),
+        4 => any::<usize>().prop_map(Step::Close),
+        2 => Just(Step::CloseEvicted),
+        3 => (1u64..400).prop_map(Step::Advance),
+        1 => Just(Step::ExhaustDescriptors),
     ]
 }
 
-fn step_with_rules() -> impl Strategy<Value = Step> {
+fn step_with_policy() -> impl Strategy<Value = Step> {
     prop_oneof![
         20 => step(),
-        1 => (share(), cap(), share()).prop_map(|(kept, one, open)| Step::Rules(kept, one, open)),
+        1 => (share(), limit(), share()).prop_map(|(reserved, per_client, for_open)| Step::SetPolicy(reserved, per_client, for_open)),
     ]
 }
 
-fn play(house: &mut Checked, step: Step) {
-    let inside: Vec<ClientConnectionId> = house.inside.keys().copied().collect();
+fn apply_step(checked: &mut CheckedController, step: Step) {
+    let admitted: Vec<ClientConnectionId> = checked.admitted.keys().copied().collect();
     match step {
-        Step::Arrive(known, n) => {
-            house.arrive(if known { editor(n) } else { player(n) });
+        Step::Accept(known, n) => {
+            checked.accept(if known { known_address(n) } else { unknown_address(n) });
         }
-        Step::Stand(which, standing) if !inside.is_empty() => {
-            house.stand(inside[which % inside.len()], standing);
+        Step::SetActivity(which, activity) if !admitted.is_empty() => {
+            checked.set_activity(admitted[which % admitted.len()], activity);
         }
-        Step::Go(which) if !inside.is_empty() => house.go(inside[which % inside.len()]),
-        Step::Stand(..) | Step::Go(_) => {}
-        Step::Leave => house.leave(),
-        Step::Pass(millis) => house.pass(millis),
-        Step::Short => {
-            let acts = house.house.descriptors_exhausted(house.now);
-            house.take(acts);
+        Step::Close(which) if !admitted.is_empty() => checked.close(admitted[which % admitted.len()]),
+        Step::SetActivity(..) | Step::Close(_) => {}
+        Step::CloseEvicted => checked.close_evicted(),
+        Step::Advance(millis) => checked.advance(millis),
+        Step::ExhaustDescriptors => {
+            let actions = checked.controller.descriptors_exhausted(checked.now);
+            checked.apply(actions);
         }
-        Step::Rules(kept, per_client, for_open) => {
-            // Who is inside already stays: unknown ones may be over what is kept from now on.
-            let acts = house.house.set_policy(house.now, rules(kept, per_client, for_open));
-            let unkept = house.house.policy().reserved_slots(house.house.slots(house.now));
-            if house.inside.len() - house.known_inside() + unkept <= house.house.slots(house.now) {
-                house.take(acts);
+        Step::SetPolicy(reserved, per_client, for_open) => {
+            // Admitted connections stay: unknown clients may hold more than the new reservation leaves them.
+            let actions = checked.controller.set_policy(checked.now, policy(reserved, per_client, for_open));
+            let reserved = checked.controller.policy().reserved_slots(checked.controller.slots(checked.now));
+            if checked.admitted.len() - checked.known_admitted() + reserved
+                <= checked.controller.slots(checked.now)
+            {
+                checked.apply(actions);
             }
         }
     }
@@ -224,180 +246,188 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Places never over the bound, kept ones never taken by others, no known one refused while a kept place is
-    /// free, everyone who is let in leaves once, and nothing is left of them.
+    /// The limits are never exceeded, reserved slots are never taken by others, no known client is rejected
+    /// while a reserved slot is free, every admitted connection leaves once, and nothing is left of it.
     #[test]
-    fn whatever_happens_the_house_keeps_its_word(
-        kept in share(), per_client in cap(), for_open in share(), most in 2usize..40,
+    fn invariants_hold_for_any_sequence_of_events(
+        reserved in share(), per_client in limit(), for_open in share(), capacity in 2usize..40,
         steps in proptest::collection::vec(step(), 1..200),
     ) {
-        let mut house = Checked::new(rules(kept, per_client, for_open), most);
-        steps.into_iter().for_each(|step| play(&mut house, step));
-        house.pass(2_000);
-        while let Some((guest, _)) = house.inside.first_key_value() {
-            let guest = *guest;
-            house.go(guest);
+        let mut checked = CheckedController::new(policy(reserved, per_client, for_open), capacity);
+        steps.into_iter().for_each(|step| apply_step(&mut checked, step));
+        checked.advance(2_000);
+        while let Some((id, _)) = checked.admitted.first_key_value() {
+            let id = *id;
+            checked.close(id);
         }
-        house.pass(2_000);
-        prop_assert!(house.porch.is_empty() && house.house.is_empty());
-        prop_assert_eq!(house.house.table_entries(), 0);
+        checked.advance(2_000);
+        prop_assert!(checked.queued.is_empty() && checked.controller.is_empty());
+        prop_assert_eq!(checked.controller.table_entries(), 0);
     }
 
-    /// One who has an open scan is never asked to leave.
+    /// A connection with an open scan is never evicted.
     #[test]
-    fn who_has_an_open_scan_stays(
-        most in 2usize..20, steps in proptest::collection::vec(step_with_rules(), 1..120),
+    fn connections_with_an_open_scan_are_never_evicted(
+        capacity in 2usize..20, steps in proptest::collection::vec(step_with_policy(), 1..120),
     ) {
-        let mut house = Checked::new(AdmissionPolicy::default(), most);
-        let busy = house.arrive(player(0));
-        house.stand(busy, Activity::ScanOpen);
+        let mut checked = CheckedController::new(AdmissionPolicy::default(), capacity);
+        let busy = checked.accept(unknown_address(0));
+        checked.set_activity(busy, Activity::ScanOpen);
         for step in steps {
-            let touches = |guest: &ClientConnectionId| *guest == busy;
-            let inside: Vec<ClientConnectionId> = house.inside.keys().copied().collect();
+            let touches = |id: &ClientConnectionId| *id == busy;
+            let admitted: Vec<ClientConnectionId> = checked.admitted.keys().copied().collect();
             let own = match &step {
-                Step::Stand(which, _) | Step::Go(which) => inside.get(which % inside.len().max(1)).is_some_and(touches),
+                Step::SetActivity(which, _) | Step::Close(which) => admitted.get(which % admitted.len().max(1)).is_some_and(touches),
                 _ => false,
             };
-            if !own && !matches!(step, Step::Rules(kept, ..) if kept > 0.0) {
-                play(&mut house, step);
+            if !own && !matches!(step, Step::SetPolicy(reserved, ..) if reserved > 0.0) {
+                apply_step(&mut checked, step);
             }
-            prop_assert!(!house.leaving.contains(&busy) && house.inside.contains_key(&busy));
+            prop_assert!(!checked.closing.contains(&busy) && checked.admitted.contains_key(&busy));
         }
     }
 }
 
 #[test]
-fn one_address_that_opens_thousands_costs_others_nothing() {
-    let mut house = Checked::new(AdmissionPolicy::default(), 32);
+fn one_address_that_opens_thousands_does_not_affect_others() {
+    let mut checked = CheckedController::new(AdmissionPolicy::default(), 32);
     for _ in 0..28 {
-        house.arrive(player(0));
+        checked.accept(unknown_address(0));
     }
     for n in 0..5_000u32 {
-        house.arrive(player(0));
+        checked.accept(unknown_address(0));
         if n % 100 == 7 {
-            let other = house.arrive(player(1 + (n % 200) as u8));
-            house.leave();
-            assert!(house.inside.contains_key(&other), "at once, though nobody has settled");
-            house.stand(other, Activity::ScanOpen);
-            house.stand(other, Activity::Idle);
-            house.go(other);
+            let other = checked.accept(unknown_address(1 + (n % 200) as u8));
+            checked.close_evicted();
+            assert!(
+                checked.admitted.contains_key(&other),
+                "admitted at once, though all are within the grace period"
+            );
+            checked.set_activity(other, Activity::ScanOpen);
+            checked.set_activity(other, Activity::Idle);
+            checked.close(other);
         }
         if n % 50 == 0 {
-            house.pass(1);
+            checked.advance(1);
         }
     }
 }
 
 #[test]
-fn a_burst_waits_outside_and_a_crowd_that_goes_on_is_told() {
-    let mut house = Checked::new(AdmissionPolicy::default(), 16);
-    let guests: Vec<ClientConnectionId> = (0..16).map(|_| house.arrive(player(0))).collect();
-    guests[..14].iter().for_each(|guest| house.stand(*guest, Activity::ScanOpen));
-    assert!(!house.open, "two wait, the rest outside");
-    house.pass(350);
-    assert!(!house.open);
-    house.pass(60);
-    assert_eq!(house.why(guests[14]), Some(RejectReason::NoFreeSlot), "none waits for long");
-    assert!(house.open, "two more may wait");
-    (0..2).for_each(|_| assert_eq!(house.arrive(player(0)).0, house.next));
-    assert!(!house.open);
-    house.pass(100);
-    assert!(house.open, "it has been a crowd for half a second");
-    let late = house.arrive(player(0));
-    assert_eq!(house.why(late), Some(RejectReason::NoFreeSlot));
+fn a_burst_waits_in_the_backlog_and_lasting_overload_is_rejected() {
+    let mut checked = CheckedController::new(AdmissionPolicy::default(), 16);
+    let ids: Vec<ClientConnectionId> = (0..16).map(|_| checked.accept(unknown_address(0))).collect();
+    ids[..14].iter().for_each(|id| checked.set_activity(*id, Activity::ScanOpen));
+    assert!(!checked.accepting, "two are queued, the rest wait in the backlog");
+    checked.advance(350);
+    assert!(!checked.accepting);
+    checked.advance(60);
+    assert_eq!(checked.reject_reason(ids[14]), Some(RejectReason::NoFreeSlot), "the queue wait is bounded");
+    assert!(checked.accepting, "two more may be queued");
+    (0..2).for_each(|_| assert_eq!(checked.accept(unknown_address(0)).0, checked.last_id));
+    assert!(!checked.accepting);
+    checked.advance(100);
+    assert!(checked.accepting, "the overload has lasted half a second");
+    let late = checked.accept(unknown_address(0));
+    assert_eq!(checked.reject_reason(late), Some(RejectReason::NoFreeSlot));
 }
 
 #[test_case(Some(2), None, None, RejectReason::ClientLimit; "connections of one address")]
-#[test_case(None, Some(2), None, RejectReason::PrefixLimit; "of one prefix")]
-#[test_case(None, None, Some(2.0), RejectReason::RateLimit; "new ones a second")]
-fn what_is_over_a_cap_is_refused_and_known_ones_are_not(
+#[test_case(None, Some(2), None, RejectReason::PrefixLimit; "connections of one prefix")]
+#[test_case(None, None, Some(2.0), RejectReason::RateLimit; "new connections a second")]
+fn connections_over_a_limit_are_rejected_unless_a_slot_is_reserved(
     per_client: Option<usize>,
     per_prefix: Option<usize>,
     client_rate: Option<f64>,
-    why: RejectReason,
+    reason: RejectReason,
 ) {
-    let rules = AdmissionPolicy { per_client, per_prefix, client_rate, ..rules(0.5, None, 0.0) };
-    let mut house = Checked::new(rules, 16);
-    let guests: Vec<ClientConnectionId> = (0..3).map(|_| house.arrive(player(0))).collect();
-    assert_eq!((house.why(guests[1]), house.why(guests[2])), (None, Some(why)));
-    let known: Vec<ClientConnectionId> = (0..7).map(|_| house.arrive(editor(0))).collect();
-    assert!(known.iter().all(|guest| house.inside.contains_key(guest)), "as many as are kept");
-    let over: Vec<ClientConnectionId> = (0..3).map(|_| house.arrive(editor(0))).collect();
-    assert_eq!(house.why(over[2]), Some(why), "beyond, they are like others");
+    let policy = AdmissionPolicy { per_client, per_prefix, client_rate, ..policy(0.5, None, 0.0) };
+    let mut checked = CheckedController::new(policy, 16);
+    let ids: Vec<ClientConnectionId> = (0..3).map(|_| checked.accept(unknown_address(0))).collect();
+    assert_eq!((checked.reject_reason(ids[1]), checked.reject_reason(ids[2])), (None, Some(reason)));
+    let known: Vec<ClientConnectionId> = (0..7).map(|_| checked.accept(known_address(0))).collect();
+    assert!(known.iter().all(|id| checked.admitted.contains_key(id)), "as many as are reserved");
+    let over: Vec<ClientConnectionId> = (0..3).map(|_| checked.accept(known_address(0))).collect();
+    assert_eq!(
+        checked.reject_reason(over[2]),
+        Some(reason),
+        "beyond the reserved slots they are treated like others"
+    );
 }
 
-/// A known client arrives when all places are full.
-#[test_case(Activity::ScanOpen, true; "all waiting on scans")]
-#[test_case(Activity::ReceivingRequest, true; "all half asked")]
+/// A known client connects when all slots are taken.
+#[test_case(Activity::ScanOpen, true; "all have open scans")]
+#[test_case(Activity::ReceivingRequest, true; "all have sent half a request")]
 #[test_case(Activity::Idle, true; "all idle")]
-#[test_case(Activity::ScanOpen, false; "with nothing kept it waits its turn")]
-fn a_known_client_finds_its_place(others: Activity, kept: bool) {
-    let mut house = Checked::new(rules(if kept { 0.25 } else { 0.0 }, None, 0.0), 16);
+#[test_case(Activity::ScanOpen, false; "with nothing reserved it is queued")]
+fn a_known_client_gets_its_reserved_slot(others: Activity, reserved: bool) {
+    let mut checked = CheckedController::new(policy(if reserved { 0.25 } else { 0.0 }, None, 0.0), 16);
     for n in 0..40 {
-        let guest = house.arrive(player(n));
-        house.stand(guest, others);
+        let id = checked.accept(unknown_address(n));
+        checked.set_activity(id, others);
     }
-    let known = house.arrive(editor(0));
-    assert_eq!(house.inside.contains_key(&known), kept);
-    assert_eq!(house.why(known), None, "it takes the turn of an unknown one at the least");
+    let known = checked.accept(known_address(0));
+    assert_eq!(checked.admitted.contains_key(&known), reserved);
+    assert_eq!(checked.reject_reason(known), None, "it displaces a queued unknown client at least");
 }
 
 #[test]
-fn a_cap_lowered_below_what_is_held_sends_off_idle_ones_now_and_busy_ones_once_answered() {
-    let mut house = Checked::new(AdmissionPolicy::default(), 16);
-    let guests: Vec<ClientConnectionId> = (0..6).map(|_| house.arrive(player(0))).collect();
-    guests[..4].iter().for_each(|guest| house.stand(*guest, Activity::ScanOpen));
-    let acts = house.house.set_policy(house.now, rules(0.0, Some(2), 0.0));
-    house.take(acts);
-    assert_eq!(house.leaving.iter().collect::<Vec<_>>(), [&guests[4], &guests[5]]);
-    house.leave();
-    for guest in &guests[..4] {
-        house.stand(*guest, Activity::Idle);
-        house.leave();
+fn a_lowered_limit_evicts_idle_connections_at_once_and_busy_ones_once_answered() {
+    let mut checked = CheckedController::new(AdmissionPolicy::default(), 16);
+    let ids: Vec<ClientConnectionId> = (0..6).map(|_| checked.accept(unknown_address(0))).collect();
+    ids[..4].iter().for_each(|id| checked.set_activity(*id, Activity::ScanOpen));
+    let actions = checked.controller.set_policy(checked.now, policy(0.0, Some(2), 0.0));
+    checked.apply(actions);
+    assert_eq!(checked.closing.iter().collect::<Vec<_>>(), [&ids[4], &ids[5]]);
+    checked.close_evicted();
+    for id in &ids[..4] {
+        checked.set_activity(*id, Activity::Idle);
+        checked.close_evicted();
     }
-    assert_eq!(house.inside.len(), 2);
+    assert_eq!(checked.admitted.len(), 2);
 }
 
 #[test]
-fn who_has_an_open_scan_finds_a_share_that_idle_ones_cannot_take() {
-    let mut house = Checked::new(rules(0.0, None, 0.5), 16);
-    let guests: Vec<ClientConnectionId> = (0..14).map(|n| house.arrive(player(n))).collect();
-    assert_eq!(house.inside.len(), 7);
-    house.stand(guests[0], Activity::ScanOpen);
-    assert_eq!(house.inside.len(), 8, "one more may ask");
-    house.stand(guests[0], Activity::Idle);
-    assert_eq!(house.leaving.len(), 1, "and one that is still goes");
+fn idle_connections_cannot_take_the_slots_for_open_scans() {
+    let mut checked = CheckedController::new(policy(0.0, None, 0.5), 16);
+    let ids: Vec<ClientConnectionId> = (0..14).map(|n| checked.accept(unknown_address(n))).collect();
+    assert_eq!(checked.admitted.len(), 7);
+    checked.set_activity(ids[0], Activity::ScanOpen);
+    assert_eq!(checked.admitted.len(), 8, "one more may send a request");
+    checked.set_activity(ids[0], Activity::Idle);
+    assert_eq!(checked.closing.len(), 1, "and an idle one is evicted");
 }
 
 #[test]
-fn where_descriptors_run_short_places_are_taken_off_and_come_back() {
-    let mut house = Checked::new(AdmissionPolicy::default(), 32);
-    let guests: Vec<ClientConnectionId> = (0..10).map(|n| house.arrive(player(n))).collect();
-    house.pass(150);
-    let acts = house.house.descriptors_exhausted(house.now);
-    house.take(acts);
-    assert_eq!(house.leaving.first(), Some(&guests[0]));
-    house.leave();
-    house.arrive(player(50));
-    assert_eq!(house.inside.len(), 9, "it waits: there is no descriptor for it");
-    house.pass(400);
-    assert_eq!(house.inside.len(), 10);
-    assert_eq!(house.house.slots(house.now + Span::of_millis(10_000)), 28);
+fn slots_are_withheld_when_descriptors_run_out_and_returned_later() {
+    let mut checked = CheckedController::new(AdmissionPolicy::default(), 32);
+    let ids: Vec<ClientConnectionId> = (0..10).map(|n| checked.accept(unknown_address(n))).collect();
+    checked.advance(150);
+    let actions = checked.controller.descriptors_exhausted(checked.now);
+    checked.apply(actions);
+    assert_eq!(checked.closing.first(), Some(&ids[0]));
+    checked.close_evicted();
+    checked.accept(unknown_address(50));
+    assert_eq!(checked.admitted.len(), 9, "it is queued: there is no descriptor for it");
+    checked.advance(400);
+    assert_eq!(checked.admitted.len(), 10);
+    assert_eq!(checked.controller.slots(checked.now + Span::of_millis(10_000)), 28);
 }
 
 #[test]
-fn a_hundred_thousand_addresses_that_come_once_leave_nothing() {
-    let rules = AdmissionPolicy { client_rate: Some(5.0), per_prefix: Some(50), ..rules(0.2, Some(4), 0.0) };
-    let mut house = Checked::new(rules, 64);
+fn one_time_clients_leave_no_table_entries() {
+    let policy =
+        AdmissionPolicy { client_rate: Some(5.0), per_prefix: Some(50), ..policy(0.2, Some(4), 0.0) };
+    let mut checked = CheckedController::new(policy, 64);
     for n in 0..100_000u32 {
-        let guest = house.arrive(IpAddr::V4(Ipv4Addr::from_bits(0x0b00_0000 + n * 7)));
-        house.go(guest);
+        let id = checked.accept(IpAddr::V4(Ipv4Addr::from_bits(0x0b00_0000 + n * 7)));
+        checked.close(id);
         if n % 40 == 0 {
-            house.pass(1);
+            checked.advance(1);
         }
     }
-    house.pass(2_000);
-    assert!(house.house.table_entries() <= 2048, "{}", house.house.table_entries());
-    house.arrive(player(0));
-    assert!(house.house.table_entries() < 10, "the paces were forgotten with their time");
+    checked.advance(2_000);
+    assert!(checked.controller.table_entries() <= 2048, "{}", checked.controller.table_entries());
+    checked.accept(unknown_address(0));
+    assert!(checked.controller.table_entries() < 10, "full buckets were dropped");
 }
