--- a/crates/shedding/src/lib.rs
+++ b/crates/shedding/src/lib.rs
@@ -1,36 +1,39 @@
-//! What a fleet of mixers does as one, so that what is harmless in one does not add up to harm: which scans are turned
-//! away when there is more to do than can be done, what of lost parts is relayed, how often who is down is asked.
-//! Pure: no sockets, no clock; time and seeds come in as arguments. Mixers do not talk: what one sheds the others shed
-//! too because they put scans in the same order and hear the same searchers; what each may relay and ask is its part.
+//! Policies that a fleet of mixers follows together, so that what is harmless for one mixer does not add up
+//! to harm: which scans are rejected under overload, how many lost parts are relayed again, and how often a
+//! searcher that is down is probed. Pure: no sockets and no clock; time and seeds are passed as arguments.
+//! Mixers do not communicate. What one sheds the others shed too, because they order scans alike and see the
+//! same searchers; of relays and probes each takes its share.
 //!
-//! Called by the decision module (`src/choice.rs`) by the trait [`fernglade::Fleet`]: it asks before a scan's parts
-//! are placed, and tells of each part that lands. Switched on by the operator's file; without it nothing is shed here.
+//! Called by the decision module (`src/choice.rs`) through the trait [`fernglade::Fleet`], before the parts
+//! of a scan are placed and after each part ends. The operator's file enables it; without that nothing is
+//! shed here.
 //!
-//! - [`PriorityOrder`]: where a scan stands between nothing and one; who stands low is let in first
-//! - [`ShedController`]: how much is shed, from how long parts take; damped for a fleet (docs/overload.md has the argument)
-//! - [`LoadShedder`]: one level of all cells and one a cell, asked and told by the module
-//! - [`FleetRetryBudget`]: relays of lost parts, held to a share in sum over the fleet
-//! - [`ProbeSchedule`]: how often a searcher that is down is asked by all together
-//! - [`FleetPolicy`]: those of the three that the operator wants
+//! - [`PriorityOrder`]: a scan's position between 0 and 1; low positions are admitted first
+//! - [`ShedController`]: how much is shed, from the latency of parts; damped for a fleet (docs/overload.md
+//!   has the argument)
+//! - [`LoadShedder`]: one controller for all cells and one for each cell
+//! - [`FleetRetryBudget`]: limits relays of lost parts to a share, summed over the fleet
+//! - [`ProbeSchedule`]: how often all mixers together probe a searcher that is down
+//! - [`FleetPolicy`]: those of the three that the operator enabled
 //!
-//! What empties each table: the order's bands are a fixed number and fade; levels and purses are one a cell of
-//! the deployment.
+//! How each table is bounded: the bands of the order are a fixed number and decay; there is one controller
+//! and one budget for each cell of the deployment.
 
-mod asks;
 mod fleet;
-mod level;
-mod order;
-mod purse;
-mod shedder;
+mod load_shedder;
+mod priority_order;
+mod probe_schedule;
+mod retry_budget;
+mod shed_controller;
 
-/// A hash as a number from nothing to just under one.
-fn unit(hash: u64) -> f64 {
+/// Maps a hash to a number from 0 to just under 1.
+fn unit_fraction(hash: u64) -> f64 {
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
 
-pub use asks::{ProbeSchedule, PROBES_PER_SECOND};
 pub use fleet::FleetPolicy;
-pub use level::{ControlParameters, OverloadSignal, ShedController, MAX_SHED};
-pub use order::PriorityOrder;
-pub use purse::{FleetRetryBudget, RETRY_SHARE};
-pub use shedder::{overload_signal, LoadShedder};
+pub use load_shedder::{overload_signal, LoadShedder};
+pub use priority_order::PriorityOrder;
+pub use probe_schedule::{ProbeSchedule, PROBES_PER_SECOND};
+pub use retry_budget::{FleetRetryBudget, RETRY_SHARE};
+pub use shed_controller::{ControlParameters, OverloadSignal, ShedController, MAX_SHED};
--- a/crates/shedding/tests/fleet.rs
+++ b/crates/shedding/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Many mixers before one queue in made-up time: each hears only of its own parts, and the sums are judged.
+//! Simulates many mixers in front of one queue in virtual time: each sees the outcomes of its own parts only,
+//! and the totals are checked.
 
 use fernglade::{Heard, Knock, Landing, Moment, PartTaken, Span};
 use fernglade_shedding::LoadShedder;
@@ -9,61 +10,61 @@
 use std::collections::BinaryHeap;
 use test_case::test_case;
 
-const QUOTED: u64 = 500_000;
-/// What a part takes with no queue, and what a queue may come to before it is full.
-const WORK: u64 = 20_000;
-const FULL: u64 = 400_000;
+const TIMEOUT: u64 = 500_000;
+/// The latency of a part without a queue, and the wait at which the queue is full; all in microseconds.
+const WORK_LATENCY: u64 = 20_000;
+const MAX_QUEUE_WAIT: u64 = 400_000;
 
-/// One second: parts offered, let in, turned away by the queue, and served in their quoted time.
+/// One second: parts offered, admitted, rejected by the queue, and served in time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Second {
     offered: usize,
-    let_in: usize,
-    full: usize,
+    admitted: usize,
+    rejected_by_queue: usize,
     served: usize,
 }
 
-/// So many mixers, a queue that can do so many parts a second, and so many times as many offered in each second. One
-/// mixer may have a share of all to itself.
-fn play(mixers: usize, can: f64, loads: &[f64], first: f64, seed: u64) -> Vec<Second> {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+/// Simulates a number of mixers and a queue with a capacity in parts a second; `loads` has the offered load
+/// of each second as a multiple of the capacity. The first mixer may get a share of the load to itself.
+fn simulate(mixers: usize, capacity: f64, loads: &[f64], first_mixer_share: f64, seed: u64) -> Vec<Second> {
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut fleet: Vec<LoadShedder> = (0..mixers).map(|_| LoadShedder::default()).collect();
     let mut seconds = vec![Second::default(); loads.len()];
     let (mut now, mut free) = (100_000_000u64, 100_000_000u64);
-    let mut landings: BinaryHeap<Reverse<(u64, usize, bool, u64)>> = BinaryHeap::new();
+    let mut completions: BinaryHeap<Reverse<(u64, usize, bool, u64)>> = BinaryHeap::new();
     loop {
         let second = ((now - 100_000_000) / 1_000_000) as usize;
         let Some(load) = loads.get(second) else { return seconds };
-        let pause = Exp::new(load * can / 1e6).unwrap().sample(&mut chance);
+        let pause = Exp::new(load * capacity / 1e6).unwrap().sample(&mut rng);
         now += (pause as u64).max(1);
         while let Some(Reverse((at, mixer, served, took))) =
-            landings.peek().copied().filter(|l| l.0 .0 <= now)
+            completions.peek().copied().filter(|l| l.0 .0 <= now)
         {
-            landings.pop();
+            completions.pop();
             let how = if served { Landing::Honoured } else { Landing::TurnedAway };
-            let (took, quoted) = (Span::of_micros(took), Span::of_micros(QUOTED));
-            let heard = Heard { cell: 0, how, took, quoted, shortest: Span::of_micros(WORK) };
-            fleet[mixer].record_outcome(Moment::at_micros(at), &heard);
+            let (took, quoted) = (Span::of_micros(took), Span::of_micros(TIMEOUT));
+            let outcome = Heard { cell: 0, how, took, quoted, shortest: Span::of_micros(WORK_LATENCY) };
+            fleet[mixer].record_outcome(Moment::at_micros(at), &outcome);
         }
-        let mixer = if chance.random_bool(first) { 0 } else { chance.random_range(0..mixers) };
-        let parts = [PartTaken { shard: chance.random_range(0..1 << 20), weight: 1.0 }];
-        let knock = Knock { worth: 1.0, repeat: false, parts: &parts, cells: 1 };
-        let line = &mut seconds[second];
-        line.offered += 1;
-        if fleet[mixer].admit(Moment::at_micros(now), &knock).is_err() {
+        let mixer = if rng.random_bool(first_mixer_share) { 0 } else { rng.random_range(0..mixers) };
+        let parts = [PartTaken { shard: rng.random_range(0..1 << 20), weight: 1.0 }];
+        let scan = Knock { worth: 1.0, repeat: false, parts: &parts, cells: 1 };
+        let counts = &mut seconds[second];
+        counts.offered += 1;
+        if fleet[mixer].admit(Moment::at_micros(now), &scan).is_err() {
             continue;
         }
-        line.let_in += 1;
+        counts.admitted += 1;
         let wait = free.saturating_sub(now);
-        if wait > FULL {
-            line.full += 1;
-            landings.push(Reverse((now + 1_000, mixer, false, 1_000)));
+        if wait > MAX_QUEUE_WAIT {
+            counts.rejected_by_queue += 1;
+            completions.push(Reverse((now + 1_000, mixer, false, 1_000)));
             continue;
         }
-        free = free.max(now) + (1e6 / can) as u64;
-        let took = wait + WORK;
-        line.served += usize::from(took <= QUOTED);
-        landings.push(Reverse((now + took, mixer, true, took)));
+        free = free.max(now) + (1e6 / capacity) as u64;
+        let took = wait + WORK_LATENCY;
+        counts.served += usize::from(took <= TIMEOUT);
+        completions.push(Reverse((now + took, mixer, true, took)));
     }
 }
 
@@ -71,9 +72,9 @@
     seconds.iter().map(of).sum::<usize>() as f64
 }
 
-/// What the queue can do grows with the fleet, as searchers do; three mixers hear 67 parts a second each, a thousand
-/// ten each.
-fn can(mixers: usize) -> f64 {
+/// The capacity of the queue grows with the fleet, as the number of searchers does: three mixers see 67 parts
+/// a second each, a thousand see ten each.
+fn capacity(mixers: usize) -> f64 {
     (10.0 * mixers as f64).max(200.0)
 }
 
@@ -82,20 +83,21 @@
 #[test_case(40, 0.0)]
 #[test_case(300, 0.0)]
 #[test_case(1_000, 0.0)]
-#[test_case(40, 0.25; "one of forty has a quarter of all")]
-fn at_five_times_the_load_the_queue_is_used_and_does_not_swing(mixers: usize, first: f64) {
-    let (can, seconds) = (can(mixers), 40);
+#[test_case(40, 0.25; "one of forty mixers gets a quarter of the load")]
+fn overload_keeps_the_queue_used_and_stable(mixers: usize, first_mixer_share: f64) {
+    let (capacity, seconds) = (capacity(mixers), 40);
     for load in [1.5, 2.0, 5.0] {
-        let played = play(mixers, can, &vec![load; seconds], first, 5);
-        let settled = &played[20..];
-        let of_can = sum(settled, |s| s.served) / (can * settled.len() as f64);
-        let full = sum(settled, |s| s.full) / sum(settled, |s| s.let_in);
-        let swing = settled.iter().map(|s| (s.let_in as f64 / can - 1.0).abs()).fold(0.0, f64::max);
-        println!("{mixers} mixers, load {load}: {of_can:.3} of what can be done, {full:.3} turned away by the queue, swing {swing:.2}");
-        assert!(of_can >= 0.9, "{mixers} at {load}: {of_can}");
-        assert!(full <= 0.05, "{mixers} at {load}: {full}");
-        // Two hundred parts a second where mixers are few: chance alone moves a second by a tenth and more.
-        assert!(swing <= if mixers < 40 { 0.6 } else { 0.35 }, "{mixers} at {load}: {swing}");
+        let simulated = simulate(mixers, capacity, &vec![load; seconds], first_mixer_share, 5);
+        let settled = &simulated[20..];
+        let utilization = sum(settled, |s| s.served) / (capacity * settled.len() as f64);
+        let rejected = sum(settled, |s| s.rejected_by_queue) / sum(settled, |s| s.admitted);
+        let deviation =
+            settled.iter().map(|s| (s.admitted as f64 / capacity - 1.0).abs()).fold(0.0, f64::max);
+        println!("{mixers} mixers, load {load}: {utilization:.3} of capacity, {rejected:.3} rejected by the queue, deviation {deviation:.2}");
+        assert!(utilization >= 0.9, "{mixers} at {load}: {utilization}");
+        assert!(rejected <= 0.05, "{mixers} at {load}: {rejected}");
+        // With few mixers there are 200 parts a second: chance alone moves a second by a tenth and more.
+        assert!(deviation <= if mixers < 40 { 0.6 } else { 0.35 }, "{mixers} at {load}: {deviation}");
     }
 }
 
@@ -103,16 +105,16 @@
 #[test_case(40)]
 #[test_case(300)]
 #[test_case(1_000)]
-fn what_was_served_before_a_burst_is_served_again_within_ten_seconds(mixers: usize) {
+fn service_recovers_within_ten_seconds_after_a_burst(mixers: usize) {
     let loads: Vec<f64> = (0..30).map(|at| if (10..15).contains(&at) { 5.0 } else { 0.8 }).collect();
-    let played = play(mixers, can(mixers), &loads, 0.0, 6);
+    let simulated = simulate(mixers, capacity(mixers), &loads, 0.0, 6);
     let share = |of: &[Second]| sum(of, |s| s.served) / sum(of, |s| s.offered);
-    let (before, after) = (share(&played[5..10]), share(&played[20..25]));
+    let (before, after) = (share(&simulated[5..10]), share(&simulated[20..25]));
     println!(
-        "{mixers} mixers: {before:.3} before, in the burst {:.3} of what can be done, after {:.3} {after:.3}",
-        sum(&played[10..15], |s| s.served) / (5.0 * can(mixers)),
-        share(&played[15..20])
+        "{mixers} mixers: {before:.3} before, in the burst {:.3} of capacity, after {:.3} {after:.3}",
+        sum(&simulated[10..15], |s| s.served) / (5.0 * capacity(mixers)),
+        share(&simulated[15..20])
     );
-    assert!(before >= 0.97, "nothing is shed where all can be done: {before}");
+    assert!(before >= 0.97, "nothing is shed below capacity: {before}");
     assert!(after >= 0.9 * before, "{before}, then {after}");
 }
--- a/crates/shedding/tests/order.rs
+++ b/crates/shedding/tests/order.rs
@@ -1,4 +1,4 @@
-//! The order of shedding, and what holds of levels whatever is heard.
+//! Tests the priority order, the bounds of the shed level, and that mixers shed alike.
 
 use fernglade::{Heard, Knock, Landing, Moment, PartTaken, Span};
 use fernglade_shedding::{
@@ -7,99 +7,108 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const BEGAN: u64 = 100_000_000;
+const START_MICROS: u64 = 100_000_000;
 
 fn parts(shards: &[u32]) -> Vec<PartTaken> {
     shards.iter().map(|shard| PartTaken { shard: *shard, weight: 1.0 }).collect()
 }
 
-fn knock(worth: f64, repeat: bool, parts: &[PartTaken]) -> Knock<'_> {
+fn scan(worth: f64, repeat: bool, parts: &[PartTaken]) -> Knock<'_> {
     Knock { worth, repeat, parts, cells: 4 }
 }
 
-fn heard(cell: u32, how: Landing, took: u64) -> Heard {
+fn outcome(cell: u32, how: Landing, took: u64) -> Heard {
     let (quoted, shortest) = (Span::of_millis(500), Span::of_millis(20));
     Heard { cell, how, took: Span::of_millis(took), quoted, shortest }
 }
 
 #[test]
-fn worth_comes_first_then_firsts_and_a_scan_stands_alike_at_every_mixer() {
+fn scans_are_ordered_by_worth_then_first_attempts_alike_at_every_mixer() {
     let mut fleet = [PriorityOrder::default(), PriorityOrder::default(), PriorityOrder::default()];
-    let at = |step: u64| Moment::at_micros(BEGAN + step * 10_000);
-    // Each of the three sees other scans of the same mix.
+    let at = |step: u64| Moment::at_micros(START_MICROS + step * 10_000);
+    // Each of the three mixers sees different scans of the same mix.
     for step in 0..600 {
         for (mixer, order) in fleet.iter_mut().enumerate() {
             let shards = parts(&[(step * 3 + mixer as u64) as u32 % 97]);
-            order.position(at(step), &knock(1.0, false, &shards));
-            order.position(at(step), &knock(0.2, step % 2 == 0, &shards));
+            order.position(at(step), &scan(1.0, false, &shards));
+            order.position(at(step), &scan(0.2, step % 2 == 0, &shards));
         }
     }
     let now = at(600);
     for shard in 0..50 {
         let shards = parts(&[shard, shard + 7]);
-        let of = |order: &PriorityOrder, worth, repeat| {
-            order.clone().position(now, &knock(worth, repeat, &shards))
-        };
-        let here: Vec<[f64; 3]> = fleet
+        let position_of =
+            |order: &PriorityOrder, worth, repeat| order.clone().position(now, &scan(worth, repeat, &shards));
+        let positions: Vec<[f64; 3]> = fleet
             .iter()
-            .map(|order| [of(order, 1.0, false), of(order, 0.2, false), of(order, 0.2, true)])
+            .map(|order| {
+                [
+                    position_of(order, 1.0, false),
+                    position_of(order, 0.2, false),
+                    position_of(order, 0.2, true),
+                ]
+            })
             .collect();
-        for [edit, first, retry] in &here {
-            assert!(edit < first && first < retry, "{here:?}");
+        for [edit, first, retry] in &positions {
+            assert!(edit < first && first < retry, "{positions:?}");
         }
-        let apart = |at: usize| here.iter().map(|place| (place[at] - here[0][at]).abs()).fold(0.0, f64::max);
-        assert!(apart(0) < 0.02 && apart(1) < 0.02 && apart(2) < 0.02, "{here:?}");
+        let max_spread = |at: usize| {
+            positions.iter().map(|position| (position[at] - positions[0][at]).abs()).fold(0.0, f64::max)
+        };
+        assert!(max_spread(0) < 0.02 && max_spread(1) < 0.02 && max_spread(2) < 0.02, "{positions:?}");
     }
 }
 
-/// A cell that is short sheds the same scans at all mixers, and a scan that needs it is turned away whole.
+/// An overloaded cell sheds the same scans at all mixers, and a scan that needs it is rejected as a whole.
 #[test]
-fn a_scan_is_let_in_by_all_of_its_cells_or_by_none() {
+fn a_scan_is_admitted_for_all_of_its_cells_or_for_none() {
     let mut fleet = [LoadShedder::default(), LoadShedder::default()];
-    let at = |step: u64| Moment::at_micros(BEGAN + step * 5_000);
+    let at = |step: u64| Moment::at_micros(START_MICROS + step * 5_000);
     for step in 0..1_500 {
         for mixer in &mut fleet {
             for cell in 0..4 {
                 let how = if cell == 2 { Landing::TurnedAway } else { Landing::Honoured };
-                mixer.record_outcome(at(step), &heard(cell, how, 20));
+                mixer.record_outcome(at(step), &outcome(cell, how, 20));
             }
             let shards = parts(&[step as u32 % 50]);
-            let _ = mixer.admit(at(step), &knock(1.0, false, &shards));
+            let _ = mixer.admit(at(step), &scan(1.0, false, &shards));
         }
     }
     let now = at(1_500);
     assert!(fleet[0].cell_shed_level(now, 2) > 1.0 && fleet[0].cell_shed_level(now, 0) == 0.0);
     let (mut alike, mut shed) = (0, 0);
     for shard in 0..200 {
-        // Cells 0, 1 and 3 have room; shards that leave 2 lie in the one that has none.
-        let (sound, wide) = (parts(&[4 * shard, 4 * shard + 1]), parts(&[4 * shard, 4 * shard + 2]));
-        assert!(fleet.iter().all(|mixer| takes(mixer, now, &sound)));
-        let told: Vec<bool> = fleet.iter().map(|mixer| takes(mixer, now, &wide)).collect();
-        alike += usize::from(told[0] == told[1]);
-        shed += usize::from(!told[0]);
+        // Cells 0, 1 and 3 have capacity left; shards that leave 2 when divided by 4 are in the overloaded
+        // cell.
+        let (without_overloaded, with_overloaded) =
+            (parts(&[4 * shard, 4 * shard + 1]), parts(&[4 * shard, 4 * shard + 2]));
+        assert!(fleet.iter().all(|mixer| admits(mixer, now, &without_overloaded)));
+        let verdicts: Vec<bool> = fleet.iter().map(|mixer| admits(mixer, now, &with_overloaded)).collect();
+        alike += usize::from(verdicts[0] == verdicts[1]);
+        shed += usize::from(!verdicts[0]);
     }
-    assert!(alike >= 198 && (100..200).contains(&shed), "{alike} alike, {shed} turned away of 200");
+    assert!(alike >= 198 && (100..200).contains(&shed), "{alike} alike, {shed} rejected of 200");
 }
 
-/// Asked of a copy, so that asking changes nothing.
-fn takes(mixer: &LoadShedder, now: Moment, parts: &[PartTaken]) -> bool {
-    mixer.clone().admit(now, &knock(1.0, false, parts)).is_ok()
+/// Uses a copy, so that the question does not count as a scan.
+fn admits(mixer: &LoadShedder, now: Moment, parts: &[PartTaken]) -> bool {
+    mixer.clone().admit(now, &scan(1.0, false, parts)).is_ok()
 }
 
 #[test]
-fn the_lowest_is_a_trickle_and_those_turned_away_are_spread() {
+fn at_most_shedding_a_trickle_is_admitted_and_pauses_are_spread() {
     let mut mixer = LoadShedder::default();
-    let at = |step: u64| Moment::at_micros(BEGAN + step * 5_000);
-    (0..6_000).for_each(|step| mixer.record_outcome(at(step), &heard(0, Landing::TurnedAway, 1)));
-    let (mut let_in, mut pauses) = (0, Vec::new());
+    let at = |step: u64| Moment::at_micros(START_MICROS + step * 5_000);
+    (0..6_000).for_each(|step| mixer.record_outcome(at(step), &outcome(0, Landing::TurnedAway, 1)));
+    let (mut admitted, mut pauses) = (0, Vec::new());
     for step in 6_000..16_000 {
-        mixer.record_outcome(at(step), &heard(0, Landing::TurnedAway, 1));
-        match mixer.admit(at(step), &knock(1.0, false, &parts(&[step as u32]))) {
-            Ok(_) => let_in += 1,
+        mixer.record_outcome(at(step), &outcome(0, Landing::TurnedAway, 1));
+        match mixer.admit(at(step), &scan(1.0, false, &parts(&[step as u32]))) {
+            Ok(_) => admitted += 1,
             Err(pause) => pauses.push(pause),
         }
     }
-    assert!((100..400).contains(&let_in), "one in fifty of ten thousand: {let_in}");
+    assert!((100..400).contains(&admitted), "one in fifty of ten thousand: {admitted}");
     assert!(pauses.iter().all(|pause| (0.0..=1.0).contains(pause)));
     let late = |from: f64| pauses.iter().filter(|pause| **pause >= from && **pause < from + 0.125).count();
     let quarters = [late(0.5), late(0.625), late(0.75), late(0.875)];
@@ -107,23 +116,24 @@
 }
 
 #[test]
-fn unheard_it_fades_and_lets_in_again() {
-    let mut level = ShedController::default();
-    let by = ControlParameters { latency_unit: Span::of_millis(120), target_latency: Span::of_millis(140) };
-    let at = |millis: u64| Moment::at_micros(BEGAN + millis * 1_000);
+fn without_feedback_shedding_decays() {
+    let mut controller = ShedController::default();
+    let parameters =
+        ControlParameters { latency_unit: Span::of_millis(120), target_latency: Span::of_millis(140) };
+    let at = |millis: u64| Moment::at_micros(START_MICROS + millis * 1_000);
     (0..2_000).for_each(|step| {
-        level.update(at(step * 10), OverloadSignal { queue_excess: 1.0, saturation: 1.0 }, by)
+        controller.update(at(step * 10), OverloadSignal { queue_excess: 1.0, saturation: 1.0 }, parameters)
     });
-    assert!(level.shed_level(at(20_000), by) > 3.0);
-    assert!(level.shed_level(at(40_000), by) < 0.1, "twenty seconds without a word");
+    assert!(controller.shed_level(at(20_000), parameters) > 3.0);
+    assert!(controller.shed_level(at(40_000), parameters) < 0.1, "twenty seconds without feedback");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(29), ..ProptestConfig::default() })]
 
-    /// Letting in all that stands below a share lets in about that share of the parts, whatever the mix.
+    /// Admitting all positions below a share admits about that share of the parts, whatever the mix.
     #[test]
-    fn the_share_let_in_is_the_share_asked_for(
+    fn the_admitted_share_is_the_requested_share(
         mix in prop::collection::vec((0.01f64..1.0, any::<bool>(), 1usize..12), 1..5),
         share in 0.1f64..0.9,
         seed in 0u32..1_000,
@@ -132,47 +142,48 @@
         for step in 0..6_000u32 {
             let (worth, repeat, count) = mix[step as usize % mix.len()];
             let shards: Vec<u32> = (0..count as u32).map(|part| seed + step * 31 + part).collect();
-            let now = Moment::at_micros(BEGAN + u64::from(step) * 5_000);
-            let stands = order.position(now, &knock(worth, repeat, &parts(&shards)));
-            prop_assert!((0.0..1.0).contains(&stands));
-            // The first seconds know little of the mix.
+            let now = Moment::at_micros(START_MICROS + u64::from(step) * 5_000);
+            let position = order.position(now, &scan(worth, repeat, &parts(&shards)));
+            prop_assert!((0.0..1.0).contains(&position));
+            // In the first seconds the mix is hardly known.
             if step >= 1_000 {
                 all += count as f64;
-                below += if stands < share { count as f64 } else { 0.0 };
+                below += if position < share { count as f64 } else { 0.0 };
             }
         }
         prop_assert!((below / all - share).abs() < 0.06, "{} of {}", below / all, share);
     }
 
-    /// Whatever is heard, in whatever order of times, a level is a number between nothing and the most.
+    /// The shed level lies between 0 and the maximum, whatever the signals and the order of their times.
     #[test]
-    fn a_level_stays_within_its_bounds(
-        told in prop::collection::vec((0u64..20_000_000, -1.0f64..1.0, -1.0f64..1.0), 1..300),
-        width in 1u64..5_000_000,
-        target in 0u64..5_000_000,
+    fn the_shed_level_stays_within_its_bounds(
+        signals in prop::collection::vec((0u64..20_000_000, -1.0f64..1.0, -1.0f64..1.0), 1..300),
+        latency_unit in 1u64..5_000_000,
+        target_latency in 0u64..5_000_000,
     ) {
-        let by = ControlParameters { latency_unit: Span::of_micros(width), target_latency: Span::of_micros(target) };
-        let mut level = ShedController::default();
-        for (at, queue, beyond) in told {
-            level.update(Moment::at_micros(BEGAN + at), OverloadSignal { queue_excess: queue, saturation: beyond }, by);
-            let shed = level.shed_level(Moment::at_micros(BEGAN + at), by);
+        let parameters = ControlParameters { latency_unit: Span::of_micros(latency_unit), target_latency: Span::of_micros(target_latency) };
+        let mut controller = ShedController::default();
+        for (at, queue_excess, saturation) in signals {
+            controller.update(Moment::at_micros(START_MICROS + at), OverloadSignal { queue_excess, saturation }, parameters);
+            let shed = controller.shed_level(Moment::at_micros(START_MICROS + at), parameters);
             prop_assert!((0.0..=MAX_SHED).contains(&shed), "{shed}");
         }
     }
 
-    /// Whatever lands, at any times: the answer is a place or a share, and no table grows past the cells.
+    /// Whatever the outcomes and their times, the result is a position or a share, and no table grows beyond
+    /// the cells.
     #[test]
-    fn a_shedder_answers_whatever_it_hears(
-        told in prop::collection::vec((0u64..5_000_000, 0u32..6, 0usize..8, 0u64..3_000), 0..200),
+    fn the_load_shedder_handles_any_outcomes(
+        outcomes in prop::collection::vec((0u64..5_000_000, 0u32..6, 0usize..8, 0u64..3_000), 0..200),
     ) {
         let ends = [Landing::Honoured, Landing::Erred, Landing::TurnedAway, Landing::Unreached, Landing::Silent,
             Landing::Dropped, Landing::CalledOff, Landing::Unsent];
         let mut mixer = LoadShedder::default();
-        for (at, cell, how, took) in told {
-            let now = Moment::at_micros(BEGAN + at);
-            mixer.record_outcome(now, &heard(cell, ends[how], took));
-            match mixer.admit(now, &knock(0.5, false, &parts(&[cell]))) {
-                Ok(stands) => prop_assert!((0.0..1.0).contains(&stands)),
+        for (at, cell, how, took) in outcomes {
+            let now = Moment::at_micros(START_MICROS + at);
+            mixer.record_outcome(now, &outcome(cell, ends[how], took));
+            match mixer.admit(now, &scan(0.5, false, &parts(&[cell]))) {
+                Ok(position) => prop_assert!((0.0..1.0).contains(&position)),
                 Err(pause) => prop_assert!((0.0..=1.0).contains(&pause)),
             }
         }
