--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -1,14 +1,14 @@
-//! One instance: the module, and the desk that turns its calls into actions of the wire.
+//! One simulated instance: the decision module, and the writer that turns its calls into actions on the wire.
 
-use crate::wire::{Fields, Malformed, Reply};
+use crate::wire::{Fields, Reply, WireError};
 use fernglade::choice::Mixer;
 use fernglade::{Host, Landing, Listing, Moment, PartTaken, ScanId, ScanTaken, Searcher, Span, Ticket};
 use fernglade_fronts::{Numbers, Readings, Slots};
 use std::collections::{BTreeSet, HashMap};
 
-/// A line of a numbered list, as it was sent.
+/// An entry of a numbered searcher list, as received.
 #[derive(Clone, Copy)]
-pub struct Entry {
+pub struct ListEntry {
     pub wire_id: u32,
     pub zone: u8,
     pub status: u8,
@@ -16,27 +16,28 @@
     pub started: u64,
 }
 
-/// A scan that is open: its wire ids, and how many relays each part has had.
-struct Open {
-    corr: u64,
+/// An open scan: its wire ids, and for each part its wire id and the number of relays sent.
+struct OpenScan {
+    correlation: u64,
     job: u32,
     parts: Vec<(u64, u16)>,
 }
 
-/// Where ids become small indices, and calls become actions. What it holds of a scan goes with its final
-/// answer; what it holds of a relay goes with its result.
-struct Desk<'a> {
-    books: &'a mut Books,
+/// The host of the decision module: translates internal ids to wire ids and calls to actions. What it keeps
+/// of a scan is removed with the scan's final answer, and what it keeps of a relay with its result.
+struct ActionWriter<'a> {
+    ids: &'a mut IdTables,
     reply: &'a mut Reply,
     now: Moment,
 }
 
+/// Maps between the ids on the wire and the ids of the decision module.
 #[derive(Default)]
-struct Books {
-    number: u16,
-    /// The wire lets a relay be called off; where not, it ends by its own time.
-    may_call_off: bool,
-    open: Slots<Open>,
+struct IdTables {
+    instance: u16,
+    /// Whether the wire allows cancelling a relay; if not, the relay ends by its own timeout.
+    can_cancel: bool,
+    open: Slots<OpenScan>,
     scans: HashMap<u64, ScanId>,
     jobs: HashMap<u32, ScanId>,
     relays: HashMap<(u64, u16), Ticket>,
@@ -44,23 +45,23 @@
     searchers: Numbers<u32>,
 }
 
-impl Books {
-    fn open(&mut self, corr: u64, job: u32) -> ScanId {
-        let id = self.open.open(Open { corr, job, parts: Vec::new() });
-        self.scans.insert(corr, id);
+impl IdTables {
+    fn open(&mut self, correlation: u64, job: u32) -> ScanId {
+        let id = self.open.open(OpenScan { correlation, job, parts: Vec::new() });
+        self.scans.insert(correlation, id);
         self.jobs.insert(job, id);
         id
     }
 
     fn close(&mut self, id: ScanId) {
-        if let Some(held) = self.open.close(id) {
-            self.scans.remove(&held.corr);
-            self.jobs.remove(&held.job);
+        if let Some(open_scan) = self.open.close(id) {
+            self.scans.remove(&open_scan.correlation);
+            self.jobs.remove(&open_scan.job);
         }
     }
 
-    fn corr(&self, id: ScanId) -> Option<[u8; 8]> {
-        self.open.get(id).map(|held| held.corr.to_be_bytes())
+    fn correlation(&self, id: ScanId) -> Option<[u8; 8]> {
+        self.open.get(id).map(|open_scan| open_scan.correlation.to_be_bytes())
     }
 
     fn wire_id(&self, searcher: Searcher) -> Option<[u8; 4]> {
@@ -68,137 +69,147 @@
     }
 }
 
-impl Desk<'_> {
-    fn act(&mut self, code: u8, fields: &[&[u8]]) {
-        self.reply.action(self.books.number, code, fields);
+impl ActionWriter<'_> {
+    fn action(&mut self, code: u8, fields: &[&[u8]]) {
+        self.reply.action(self.ids.instance, code, fields);
     }
 }
 
-fn short(span: Span) -> [u8; 4] {
+/// A span in microseconds as a wire field, at most `u32::MAX`.
+fn micros_field(span: Span) -> [u8; 4] {
     u32::try_from(span.micros()).unwrap_or(u32::MAX).to_be_bytes()
 }
 
-impl Host for Desk<'_> {
+impl Host for ActionWriter<'_> {
     fn now(&self) -> Moment {
         self.now
     }
 
     fn relay(&mut self, ticket: Ticket, scan: ScanId, part: usize, to: Searcher, patience: Span) {
-        let Some(to) = self.books.wire_id(to) else { return };
-        let Some(held) = self.books.open.get_mut(scan) else { return };
-        let (corr, sent) = &mut held.parts[part];
-        let relay = (*corr, *sent);
+        let Some(to) = self.ids.wire_id(to) else { return };
+        let Some(open_scan) = self.ids.open.get_mut(scan) else { return };
+        let (correlation, sent) = &mut open_scan.parts[part];
+        let relay = (*correlation, *sent);
         *sent += 1;
-        self.books.relays.insert(relay, ticket);
-        self.books.tickets.insert(ticket, relay);
-        self.act(16, &[&relay.0.to_be_bytes(), &to, &short(patience)]);
+        self.ids.relays.insert(relay, ticket);
+        self.ids.tickets.insert(ticket, relay);
+        self.action(16, &[&relay.0.to_be_bytes(), &to, &micros_field(patience)]);
     }
 
     fn call_off(&mut self, relay: Ticket) {
-        let relay = self.books.tickets.get(&relay).copied().filter(|_| self.books.may_call_off);
-        if let Some((corr, number)) = relay {
-            self.act(19, &[&corr.to_be_bytes(), &number.to_be_bytes()]);
+        let relay = self.ids.tickets.get(&relay).copied().filter(|_| self.ids.can_cancel);
+        if let Some((correlation, number)) = relay {
+            self.action(19, &[&correlation.to_be_bytes(), &number.to_be_bytes()]);
         }
     }
 
     fn answer(&mut self, scan: ScanId, whole: bool, last: bool) {
-        let Some(corr) = self.books.corr(scan) else { return };
-        self.act(28, &[&corr, &[u8::from(whole)]]);
+        let Some(correlation) = self.ids.correlation(scan) else { return };
+        self.action(28, &[&correlation, &[u8::from(whole)]]);
         if last {
-            self.books.close(scan);
+            self.ids.close(scan);
         }
     }
 
     fn bounce(&mut self, scan: ScanId, pause: Span) {
-        let Some(corr) = self.books.corr(scan) else { return };
-        self.act(17, &[&corr, &short(pause)]);
-        self.books.close(scan);
+        let Some(correlation) = self.ids.correlation(scan) else { return };
+        self.action(17, &[&correlation, &micros_field(pause)]);
+        self.ids.close(scan);
     }
 
     fn write_off(&mut self, scan: ScanId) {
-        let Some(corr) = self.books.corr(scan) else { return };
-        self.act(18, &[&corr]);
-        self.books.close(scan);
+        let Some(correlation) = self.ids.correlation(scan) else { return };
+        self.action(18, &[&correlation]);
+        self.ids.close(scan);
     }
 
     fn wake(&mut self, ticket: Ticket, at: Moment) {
-        self.act(20, &[&at.micros().to_be_bytes(), &ticket.0.to_be_bytes()]);
+        self.action(20, &[&at.micros().to_be_bytes(), &ticket.0.to_be_bytes()]);
     }
 
     fn check(&mut self, searcher: Searcher) {
-        if let Some(wire_id) = self.books.wire_id(searcher) {
-            self.act(21, &[&wire_id]);
+        if let Some(wire_id) = self.ids.wire_id(searcher) {
+            self.action(21, &[&wire_id]);
         }
     }
 
     fn hang_up(&mut self, searcher: Searcher) {
-        if let Some(wire_id) = self.books.wire_id(searcher) {
-            self.act(22, &[&wire_id]);
+        if let Some(wire_id) = self.ids.wire_id(searcher) {
+            self.action(22, &[&wire_id]);
         }
     }
 
     fn watch_list(&mut self) {
-        self.act(26, &[&[1]]);
+        self.action(26, &[&[1]]);
     }
 }
 
 /// A scan whose parts are still being read.
-struct Arriving {
+struct PartialScan {
     id: ScanId,
-    /// None for the parts of a second step.
+    /// `None` for the parts of a second step.
     scan: Option<ScanTaken>,
     parts: Vec<PartTaken>,
 }
 
-/// The status of a searcher that has left the list.
-const GONE: u8 = 3;
+/// The status of a searcher that was removed from the list.
+const STATUS_GONE: u8 = 3;
 
+/// A simulated mixer and the ids it uses on the wire.
 pub struct Instance {
     mixer: Mixer,
-    books: Books,
-    arriving: Option<Arriving>,
-    /// The zone that it has a price to leave.
-    dear_outside: Option<u8>,
+    ids: IdTables,
+    partial: Option<PartialScan>,
+    /// The zone of this instance, if relays that leave it have a cost.
+    home_zone: Option<u8>,
 }
 
 impl Instance {
-    pub fn start(number: u16, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<Self, Malformed> {
+    /// Starts an instance from the fields of a `PowerOn` event.
+    pub fn start(number: u16, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<Self, WireError> {
         let mut fields = Fields::new(fields, "PowerOn");
         let seed = fields.u64()?;
         let length = fields.u32()? as usize;
         let readings = Readings::parse(fields.bytes(length)?)?;
         let mixer = readings.mixer(seed)?;
-        let books = Books { number, may_call_off: readings.yes("limits.cancel"), ..Books::default() };
-        let mut instance = Self { mixer, books, arriving: None, dear_outside: readings.dear_outside()? };
+        let ids =
+            IdTables { instance: number, can_cancel: readings.yes("limits.cancel"), ..IdTables::default() };
+        let mut instance = Self { mixer, ids, partial: None, home_zone: readings.dear_outside()? };
         if readings.says("discovery", "on_request") {
-            instance.with(now, reply, |mixer, host| mixer.watch(host, 0));
+            instance.call_mixer(now, reply, |mixer, host| mixer.watch(host, 0));
         }
         Ok(instance)
     }
 
-    fn with(&mut self, now: Moment, reply: &mut Reply, call: impl FnOnce(&mut Mixer, &mut Desk)) {
-        call(&mut self.mixer, &mut Desk { books: &mut self.books, reply, now });
+    fn call_mixer(
+        &mut self,
+        now: Moment,
+        reply: &mut Reply,
+        call: impl FnOnce(&mut Mixer, &mut ActionWriter),
+    ) {
+        call(&mut self.mixer, &mut ActionWriter { ids: &mut self.ids, reply, now });
     }
 
-    /// Hands over the scan whose parts have all been read.
-    pub fn hand_over(&mut self, now: Moment, reply: &mut Reply) {
-        let Some(Arriving { id, scan, parts }) = self.arriving.take() else { return };
-        self.with(now, reply, |mixer, host| match scan {
+    /// Passes the scan on once all of its parts have been read.
+    pub fn submit_scan(&mut self, now: Moment, reply: &mut Reply) {
+        let Some(PartialScan { id, scan, parts }) = self.partial.take() else { return };
+        self.call_mixer(now, reply, |mixer, host| match scan {
             Some(scan) => mixer.taken(host, id, ScanTaken { parts, ..scan }),
             None => mixer.more_parts(host, id, &parts),
         });
     }
 
-    pub fn request(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), Malformed> {
+    /// Handles a request: opens a scan where the shard is negative, or adds a part to one.
+    pub fn request(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), WireError> {
         let mut fields = Fields::new(fields, "Req");
-        let corr = fields.u64()?;
+        let correlation = fields.u64()?;
         let (class, team, _key) = (fields.u16()?, fields.u16()?, fields.u64()?);
         let (left, hint) = (fields.u32()?, fields.u32()?);
         let (job, shard, weight) = (fields.u32()?, fields.f32()?, fields.f32()?);
         let options = fields.u16()?;
         let work = (options & 1 != 0).then(|| Span::of_micros(hint.into()));
         if shard < 0.0 {
-            self.hand_over(now, reply);
+            self.submit_scan(now, reply);
             let scan = ScanTaken {
                 traffic_type: class.into(),
                 customer: team.into(),
@@ -207,45 +218,49 @@
                 repeat: options & 2 != 0,
                 parts: Vec::new(),
             };
-            let id = self.books.open(corr, job);
-            self.arriving = Some(Arriving { id, scan: Some(scan), parts: Vec::new() });
+            let id = self.ids.open(correlation, job);
+            self.partial = Some(PartialScan { id, scan: Some(scan), parts: Vec::new() });
             return Ok(());
         }
-        let Some(id) = self.books.jobs.get(&job).copied() else { return Ok(()) };
-        if self.arriving.as_ref().is_none_or(|a| a.id != id) {
-            self.hand_over(now, reply);
-            self.arriving = Some(Arriving { id, scan: None, parts: Vec::new() });
+        let Some(id) = self.ids.jobs.get(&job).copied() else { return Ok(()) };
+        if self.partial.as_ref().is_none_or(|partial| partial.id != id) {
+            self.submit_scan(now, reply);
+            self.partial = Some(PartialScan { id, scan: None, parts: Vec::new() });
         }
         let part = PartTaken { shard: shard as u32, weight: f64::from(weight) };
-        self.arriving.iter_mut().for_each(|a| a.parts.push(part));
-        self.books.open.get_mut(id).into_iter().for_each(|held| held.parts.push((corr, 0)));
+        self.partial.iter_mut().for_each(|partial| partial.parts.push(part));
+        self.ids.open.get_mut(id).into_iter().for_each(|open_scan| open_scan.parts.push((correlation, 0)));
         Ok(())
     }
 
-    pub fn listed(&mut self, how: u8, entries: Option<&Vec<Entry>>, now: Moment, reply: &mut Reply) {
+    /// Applies a list of searchers, or restarts the watch after it failed (`how` 2).
+    pub fn list_update(&mut self, how: u8, entries: Option<&Vec<ListEntry>>, now: Moment, reply: &mut Reply) {
         if how == 2 {
-            return self.with(now, reply, |mixer, host| mixer.watch(host, 1));
+            return self.call_mixer(now, reply, |mixer, host| mixer.watch(host, 1));
         }
         let entries = entries.map_or(&[][..], Vec::as_slice);
-        let dear_outside = self.dear_outside;
-        let listing = |entry: &Entry| Listing {
-            searcher: self.books.searchers.number(&entry.wire_id),
+        let home_zone = self.home_zone;
+        let listing = |entry: &ListEntry| Listing {
+            searcher: self.ids.searchers.number(&entry.wire_id),
             cell: entry.cell.into(),
             ready: entry.status == 0,
             started: (entry.started != 0).then(|| Moment::at_micros(entry.started)),
-            dear: dear_outside.is_some_and(|home| entry.zone != home),
+            dear: home_zone.is_some_and(|home| entry.zone != home),
         };
         let listings: Vec<Listing> = entries.iter().map(listing).collect();
-        self.with(now, reply, |mixer, host| mixer.listed(host, how != 0, &listings));
-        let (gone, here): (Vec<&Entry>, Vec<&Entry>) = entries.iter().partition(|entry| entry.status == GONE);
-        let ids = |entries: Vec<&Entry>| entries.iter().map(|entry| entry.wire_id).collect::<BTreeSet<u32>>();
-        let (gone, here) = (ids(gone), ids(here));
-        self.books.searchers.keep(|id| if how != 0 { here.contains(id) } else { !gone.contains(id) });
+        self.call_mixer(now, reply, |mixer, host| mixer.listed(host, how != 0, &listings));
+        let (gone, present): (Vec<&ListEntry>, Vec<&ListEntry>) =
+            entries.iter().partition(|entry| entry.status == STATUS_GONE);
+        let ids =
+            |entries: Vec<&ListEntry>| entries.iter().map(|entry| entry.wire_id).collect::<BTreeSet<u32>>();
+        let (gone, present) = (ids(gone), ids(present));
+        self.ids.searchers.keep(|id| if how != 0 { present.contains(id) } else { !gone.contains(id) });
     }
 
-    pub fn result(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), Malformed> {
+    /// Handles the result of a relay.
+    pub fn relay_result(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), WireError> {
         let mut fields = Fields::new(fields, "Result");
-        let (corr, number, _searcher) = (fields.u64()?, fields.u16()?, fields.u32()?);
+        let (correlation, number, _searcher) = (fields.u64()?, fields.u16()?, fields.u32()?);
         let how = match fields.u8()? {
             0 => Landing::Honoured,
             5 => Landing::Erred,
@@ -255,36 +270,39 @@
             111 => Landing::Unreached,
             114 => Landing::Unsent,
             125 => Landing::CalledOff,
-            other => return Err(Malformed(format!("Result: unknown disposition {other}"))),
+            other => return Err(WireError(format!("Result: unknown disposition {other}"))),
         };
         let took = Span::of_micros(fields.u32()?.into());
-        if let Some(ticket) = self.books.relays.remove(&(corr, number)) {
-            self.books.tickets.remove(&ticket);
-            self.with(now, reply, |mixer, host| mixer.landed(host, ticket, how, took));
+        if let Some(ticket) = self.ids.relays.remove(&(correlation, number)) {
+            self.ids.tickets.remove(&ticket);
+            self.call_mixer(now, reply, |mixer, host| mixer.landed(host, ticket, how, took));
         }
         Ok(())
     }
 
-    pub fn expired(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), Malformed> {
-        let corr = Fields::new(fields, "Expired").u64()?;
-        if let Some(id) = self.books.scans.get(&corr).copied() {
-            self.with(now, reply, |mixer, host| mixer.client_left(host, id));
-            self.books.close(id);
+    /// Handles the end of a client's wait for its scan.
+    pub fn scan_expired(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), WireError> {
+        let correlation = Fields::new(fields, "Expired").u64()?;
+        if let Some(id) = self.ids.scans.get(&correlation).copied() {
+            self.call_mixer(now, reply, |mixer, host| mixer.client_left(host, id));
+            self.ids.close(id);
         }
         Ok(())
     }
 
-    pub fn ring(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), Malformed> {
+    /// Handles a timer that the decision module asked for.
+    pub fn timer(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), WireError> {
         let ticket = Ticket(Fields::new(fields, "Ring").u32()?);
-        self.with(now, reply, |mixer, host| mixer.woken(host, ticket));
+        self.call_mixer(now, reply, |mixer, host| mixer.woken(host, ticket));
         Ok(())
     }
 
-    pub fn ping(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), Malformed> {
+    /// Handles the result of a health check.
+    pub fn ping_result(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), WireError> {
         let mut fields = Fields::new(fields, "PingResult");
-        let (there, wire_id) = (fields.u8()? == 0, fields.u32()?);
-        if let Some(searcher) = self.books.searchers.known(&wire_id) {
-            self.with(now, reply, |mixer, host| mixer.checked(host, searcher, there));
+        let (reachable, wire_id) = (fields.u8()? == 0, fields.u32()?);
+        if let Some(searcher) = self.ids.searchers.known(&wire_id) {
+            self.call_mixer(now, reply, |mixer, host| mixer.checked(host, searcher, reachable));
         }
         Ok(())
     }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! Speaks the bench's wire on standard input and output; every decision is in `fernglade::choice`.
+//! Speaks the simulator's wire protocol on standard input and output. Every decision is made in
+//! `fernglade::choice`.
 
 mod instance;
 mod process;
@@ -11,8 +12,8 @@
     let (input, output) = (BufReader::new(io::stdin().lock()), BufWriter::new(io::stdout().lock()));
     match process::serve(input, output) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("fernglade-simhost: {problem}");
+        Err(error) => {
+            eprintln!("fernglade-simhost: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simhost/src/process.rs
+++ b/crates/simhost/src/process.rs
@@ -1,7 +1,7 @@
-//! The process: instances and numbered lists, one reply to each batch.
+//! The process: holds the instances and the numbered lists, and sends one reply for each batch.
 
-use crate::instance::{Entry, Instance};
-use crate::wire::{Batch, Fields, Malformed, Reply};
+use crate::instance::{Instance, ListEntry};
+use crate::wire::{Batch, Fields, Reply, WireError};
 use fernglade::Moment;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -9,36 +9,36 @@
 #[derive(Default)]
 struct Process {
     instances: BTreeMap<u16, Instance>,
-    lists: BTreeMap<u16, Vec<Entry>>,
+    lists: BTreeMap<u16, Vec<ListEntry>>,
     selected: Option<u16>,
     reply: Reply,
 }
 
-/// Answers batches until the input ends.
-pub fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), Malformed> {
+/// Handles batches until the input ends.
+pub fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), WireError> {
     let mut process = Process::default();
     while let Some(batch) = Batch::read(&mut input)? {
         let now = Moment::at_micros(batch.clock);
         process.selected = None;
-        batch.each(|code, fields| process.event(code, fields, now))?;
-        process.hand_over(now);
-        output.write_all(&process.reply.take())?;
+        batch.for_each_record(|code, fields| process.handle_event(code, fields, now))?;
+        process.submit_scan(now);
+        output.write_all(&process.reply.finish())?;
         output.flush()?;
     }
     Ok(())
 }
 
 impl Process {
-    /// A scan's parts end where any other event begins.
-    fn hand_over(&mut self, now: Moment) {
-        if let Some(instance) = self.selected.and_then(|i| self.instances.get_mut(&i)) {
-            instance.hand_over(now, &mut self.reply);
+    /// The parts of a scan end where any other event begins.
+    fn submit_scan(&mut self, now: Moment) {
+        if let Some(instance) = self.selected.and_then(|number| self.instances.get_mut(&number)) {
+            instance.submit_scan(now, &mut self.reply);
         }
     }
 
-    fn event(&mut self, code: u8, fields: &[u8], now: Moment) -> Result<(), Malformed> {
+    fn handle_event(&mut self, code: u8, fields: &[u8], now: Moment) -> Result<(), WireError> {
         if code != 18 {
-            self.hand_over(now);
+            self.submit_scan(now);
         }
         match code {
             27 => {
@@ -47,9 +47,9 @@
             }
             26 => return self.manifest(fields),
             16..=25 => {}
-            other => return Err(Malformed(format!("unknown event code {other}"))),
+            other => return Err(WireError(format!("unknown event code {other}"))),
         }
-        let number = self.selected.ok_or_else(|| Malformed(format!("event {code} before any About")))?;
+        let number = self.selected.ok_or_else(|| WireError(format!("event {code} before any About")))?;
         if code == 16 {
             let instance = Instance::start(number, fields, now, &mut self.reply)?;
             self.instances.insert(number, instance);
@@ -59,41 +59,41 @@
             self.instances.remove(&number);
             return Ok(());
         }
-        let no_instance = || Malformed(format!("event {code} for instance {number}, which is not running"));
-        let instance = self.instances.get_mut(&number).ok_or_else(no_instance)?;
+        let not_running = || WireError(format!("event {code} for instance {number}, which is not running"));
+        let instance = self.instances.get_mut(&number).ok_or_else(not_running)?;
         match code {
             17 => {
                 let mut fields = Fields::new(fields, "PeersKnown");
                 let (how, _epoch, list) = (fields.u8()?, fields.u64()?, fields.u16()?);
                 let entries = self.lists.get(&list);
                 if how > 3 {
-                    return Err(Malformed(format!("PeersKnown: unknown kind {how}")));
+                    return Err(WireError(format!("PeersKnown: unknown kind {how}")));
                 }
                 if how != 2 && entries.is_none() {
-                    return Err(Malformed(format!("PeersKnown: list {list} was never sent")));
+                    return Err(WireError(format!("PeersKnown: list {list} was never sent")));
                 }
-                instance.listed(how, entries, now, &mut self.reply);
+                instance.list_update(how, entries, now, &mut self.reply);
                 Ok(())
             }
             18 => instance.request(fields, now, &mut self.reply),
-            20 => instance.result(fields, now, &mut self.reply),
-            21 => instance.expired(fields, now, &mut self.reply),
-            22 => instance.ring(fields, now, &mut self.reply),
-            23 => instance.ping(fields, now, &mut self.reply),
-            // Streams and notes between instances: nothing here uses them.
+            20 => instance.relay_result(fields, now, &mut self.reply),
+            21 => instance.scan_expired(fields, now, &mut self.reply),
+            22 => instance.timer(fields, now, &mut self.reply),
+            23 => instance.ping_result(fields, now, &mut self.reply),
+            // Streams and messages between instances are not used here.
             _ => Ok(()),
         }
     }
 
-    fn manifest(&mut self, fields: &[u8]) -> Result<(), Malformed> {
+    fn manifest(&mut self, fields: &[u8]) -> Result<(), WireError> {
         let mut fields = Fields::new(fields, "Manifest");
         let (list, count) = (fields.u16()?, fields.u32()?);
         let mut entries = Vec::new();
         for _ in 0..count {
-            let mut line = Fields::new(fields.bytes(22)?, "Manifest entry");
-            let (_machine, _share, zone) = (line.u16()?, line.f32()?, line.u8()?);
-            let (status, cell, wire_id, started) = (line.u8()?, line.u16()?, line.u32()?, line.u64()?);
-            entries.push(Entry { wire_id, zone, status, cell, started });
+            let mut entry = Fields::new(fields.bytes(22)?, "Manifest entry");
+            let (_machine, _share, zone) = (entry.u16()?, entry.f32()?, entry.u8()?);
+            let (status, cell, wire_id, started) = (entry.u8()?, entry.u16()?, entry.u32()?, entry.u64()?);
+            entries.push(ListEntry { wire_id, zone, status, cell, started });
         }
         self.lists.insert(list, entries);
         Ok(())
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The process as the bench meets it: frames in, frames out, and one plain line on what is malformed.
+//! Tests the process through its standard streams: frames in, frames out, and a one-line error for malformed
+//! input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -34,8 +35,8 @@
     record(27, &instance.to_be_bytes())
 }
 
-/// The page's own list of two searchers, of cells 0 and 0, and its cached news of it.
-fn page_list() -> Vec<Vec<u8>> {
+/// The documented list of two searchers, both of cell 0, and the cached `PeersKnown` event for it.
+fn documented_list() -> Vec<Vec<u8>> {
     let list = bytes(
         "0000 00000002 0000 3f800000 00 00 0000 03124a07 0000000000000000 \
          0000 3fc00000 00 00 0000 2c9011f2 00000000005d1420",
@@ -61,51 +62,51 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_fernglade-simhost"));
     let piped = command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = piped.spawn().unwrap();
-    // A process that has found a fault may be gone before all is written.
+    // A process that has found an error may exit before all input is written.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
 
-/// The page's batch for two instances: of what it names, neither holds anything yet.
+/// The documented batch for two instances; neither of them has what it refers to yet.
 #[test]
-fn the_pages_batch_for_two_instances_is_read_whole() {
+fn the_documented_batch_for_two_instances_is_read() {
     let empty = bytes("0000000000805c5a 00000000 00000000");
     let start = batch(8_000_000, &[about(3), power_on(SETTINGS), about(5), power_on(SETTINGS)]);
-    let page = bytes(
+    let documented = bytes(
         "0000000000805c5a 00000053 00000005 1b 00000002 0003 \
          12 0000002a 0006e30c5d3a91c4 0000 0000 91f03b7c55d20a64 0003a980 00002ee0 43560000 00000000 3e000000 0001 \
          16 00000004 0000004d 1b 00000002 0005 15 00000008 000187810e6f2b19",
     );
-    let out = run(&[start, page, empty].concat());
+    let out = run(&[start, documented, empty].concat());
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    assert!(out.stdout.ends_with(&[0; 16]), "the page's empty reply, twice");
+    assert!(out.stdout.ends_with(&[0; 16]), "two empty replies, as documented");
 }
 
 #[test]
-fn a_watch_is_asked_for_at_the_start_and_again_when_it_fails() {
-    let asked = |frames: &[u8]| frames.windows(6).filter(|w| *w == [26, 0, 0, 0, 1, 1]).count();
-    let start = batch(9_000_000, &[vec![about(3), power_on(SETTINGS)], page_list()].concat());
+fn a_watch_is_requested_at_the_start_and_after_a_failure() {
+    let watches = |frames: &[u8]| frames.windows(6).filter(|w| *w == [26, 0, 0, 0, 1, 1]).count();
+    let start = batch(9_000_000, &[vec![about(3), power_on(SETTINGS)], documented_list()].concat());
     let ring = |clock, ticket: u32| batch(clock, &[about(3), record(22, &ticket.to_be_bytes())]);
     let first = [start, ring(9_005_000, 0)].concat();
-    assert_eq!(asked(&run(&first).stdout), 1);
+    assert_eq!(watches(&run(&first).stdout), 1);
     let failed = batch(9_500_000, &[about(3), record(17, &bytes("02 0000000000000000 0000"))]);
     let again = [first, failed, ring(10_500_000, 0)].concat();
-    assert_eq!(asked(&run(&again).stdout), 2);
+    assert_eq!(watches(&run(&again).stdout), 2);
 }
 
 #[test]
-fn a_scan_is_sent_and_its_result_answers_it() {
-    let start = [vec![about(3), power_on(SETTINGS)], page_list()].concat();
-    let ask = [about(3), query(41, -1.0), query(42, 0.0)];
+fn a_scan_is_relayed_and_answered_with_its_result() {
+    let start = [vec![about(3), power_on(SETTINGS)], documented_list()].concat();
+    let query_batch = [about(3), query(41, -1.0), query(42, 0.0)];
     let result = [&42u64.to_be_bytes()[..], &bytes("0000 03124a07 00 00004844 01 00")].concat();
-    let other = [&42u64.to_be_bytes()[..], &bytes("0000 2c9011f2 00 00004844 01 00")].concat();
-    let input = [batch(9_000_000, &start), batch(9_100_000, &ask)].concat();
+    let other_result = [&42u64.to_be_bytes()[..], &bytes("0000 2c9011f2 00 00004844 01 00")].concat();
+    let input = [batch(9_000_000, &start), batch(9_100_000, &query_batch)].concat();
     let sent = run(&input).stdout;
-    let head = [&[16, 0, 0, 0, 16][..], &42u64.to_be_bytes()].concat();
-    let at = sent.windows(13).position(|window| window == head).expect("the part is sent");
-    let pass_on = &sent[at + 5..at + 21];
-    assert_eq!(&pass_on[12..], &1_985_000u32.to_be_bytes());
-    let result = if pass_on[8..12] == bytes("03124a07")[..] { result } else { other };
+    let record_start = [&[16, 0, 0, 0, 16][..], &42u64.to_be_bytes()].concat();
+    let at = sent.windows(13).position(|window| window == record_start).expect("the part is relayed");
+    let relay = &sent[at + 5..at + 21];
+    assert_eq!(&relay[12..], &1_985_000u32.to_be_bytes());
+    let result = if relay[8..12] == bytes("03124a07")[..] { result } else { other_result };
     let input = [input, batch(9_200_000, &[about(3), record(20, &result)])].concat();
     let out = run(&input);
     assert!(out.status.success());
@@ -115,13 +116,13 @@
 
 #[test]
 fn a_killed_instance_starts_again_empty_in_the_same_batch() {
-    let start = [vec![about(3), power_on(SETTINGS)], page_list()].concat();
-    let again = [vec![about(3), record(25, &[]), power_on(SETTINGS)], page_list()].concat();
-    let gone = record(21, &41u64.to_be_bytes());
+    let start = [vec![about(3), power_on(SETTINGS)], documented_list()].concat();
+    let again = [vec![about(3), record(25, &[]), power_on(SETTINGS)], documented_list()].concat();
+    let expired = record(21, &41u64.to_be_bytes());
     let input = [
         batch(9_000_000, &start),
         batch(9_100_000, &[about(3), query(41, -1.0), query(42, 0.0)]),
-        batch(9_200_000, &[again, vec![gone]].concat()),
+        batch(9_200_000, &[again, vec![expired]].concat()),
     ];
     let out = run(&input.concat());
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
@@ -134,12 +135,12 @@
 #[test_case(&batch(5, &[about(1), power_on("tick")]), "without a value"; "settings line without a value")]
 #[test_case(&batch(5, &[about(1), power_on("services.count=99999999999")]), "too many"; "settings count too large")]
 #[test_case(&batch(5, &[record(26, &[0, 0, 255, 255, 255, 255])]), "Manifest"; "list count that does not fit")]
-#[test_case(&batch(5, &[about(1), power_on(SETTINGS), record(17, &[9; 11])]), "unknown kind 9"; "unknown kind of news")]
+#[test_case(&batch(5, &[about(1), power_on(SETTINGS), record(17, &[9; 11])]), "unknown kind 9"; "unknown kind of list update")]
 #[test_case(&bytes("0000000000000005 00000008 00000001 1b 00000002 0003 ff"), "after the last record"; "bytes left over")]
-fn what_is_malformed_ends_the_process_with_one_plain_line(input: &[u8], says: &str) {
+fn malformed_input_ends_the_process_with_a_one_line_error(input: &[u8], message: &str) {
     let out = run(input);
     assert_eq!(out.status.code(), Some(1));
     let line = String::from_utf8(out.stderr).unwrap();
-    assert!(line.contains(says), "{line}");
+    assert!(line.contains(message), "{line}");
     assert_eq!(line.lines().count(), 1);
 }
