--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -5,14 +5,14 @@
 //! | --- | --- | --- |
 //! | new | `connection_accepted`, over a limit or a rate | rejected |
 //! | new | `connection_accepted`, a slot is free for it | admitted, idle |
-//! | new | `connection_accepted`, no slot is free, the queue has room | queued; another one is evicted, if one may be |
-//! | new | `connection_accepted`, the queue is full, it may displace another | queued; the other is rejected |
-//! | new | `connection_accepted`, the queue is full, it may displace nobody | rejected |
+//! | new | `connection_accepted`, no free slot, the queue has room | queued; another is evicted if possible |
+//! | new | `connection_accepted`, the queue is full, may displace another | queued; the other is rejected |
+//! | new | `connection_accepted`, the queue is full, may displace nobody | rejected |
 //! | queued | a slot that it may use becomes free, and it is next | admitted, idle |
 //! | queued | `tick` after [`MAX_QUEUE_WAIT`], or `shut_down` | rejected |
 //! | admitted, idle | `activity_changed` to `ReceivingRequest` or `ScanOpen` | as given |
 //! | admitted, idle or receiving | chosen to free a slot, or over a lowered limit | closing |
-//! | admitted, scan open | `activity_changed` to `Idle`; over a lowered limit, or over the limit on idle connections | idle; closing |
+//! | admitted, scan open | `activity_changed` to `Idle`, over a lowered or the idle limit | idle; closing |
 //! | any | `connection_closed` | forgotten; its slot becomes free |
 //!
 //! A connection with an open scan is never evicted.
--- a/crates/admission/src/descriptors.rs
+++ b/crates/admission/src/descriptors.rs
@@ -25,8 +25,8 @@
 impl DescriptorBudget {
     /// Divides up the descriptors: the smaller of the configured number and the system limit, as the operator
     /// may lower the one and the system's administrator the other. `None` if they are too few to serve.
-    pub fn plan(stated: usize, allowed: Option<usize>) -> Option<Self> {
-        let available = stated.min(allowed.unwrap_or(stated));
+    pub fn plan(configured: usize, system_limit: Option<usize>) -> Option<Self> {
+        let available = configured.min(system_limit.unwrap_or(configured));
         // 1/32 is for rejections, which take half a second each; beyond that the oldest rejection is dropped.
         let rejections = (available / 32).clamp(2, 32);
         let rest = available.checked_sub(RESERVED + rejections).filter(|_| available >= MIN_DESCRIPTORS)?;
@@ -65,9 +65,9 @@
         #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
         #[test]
-        fn the_total_never_exceeds_what_is_available(stated in 0usize..200_000, allowed in proptest::option::of(0usize..200_000)) {
-            let all = stated.min(allowed.unwrap_or(stated));
-            match DescriptorBudget::plan(stated, allowed) {
+        fn the_total_never_exceeds_what_is_available(configured in 0usize..200_000, system_limit in proptest::option::of(0usize..200_000)) {
+            let all = configured.min(system_limit.unwrap_or(configured));
+            match DescriptorBudget::plan(configured, system_limit) {
                 None => prop_assert!(all < 24),
                 Some(plan) => {
                     prop_assert_eq!(plan.total(), all);
--- a/crates/shedding/src/probe_schedule.rs
+++ b/crates/shedding/src/probe_schedule.rs
@@ -6,9 +6,9 @@
 use fernglade::Span;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Health probes a second to one searcher, from all mixers together. A handshake and one message cost it about
-/// half a millisecond, so that eight are less than half a hundredth of a core. Forty mixers reach this rate
-/// at the minimum interval.
+/// Health probes a second to one searcher, from all mixers together. A handshake and one message cost it
+/// about half a millisecond, so that eight are less than half a hundredth of a core. Forty mixers reach this
+/// rate at the minimum interval.
 pub const PROBES_PER_SECOND: f64 = 8.0;
 
 /// The minimum interval in seconds, at which a single mixer probes.
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -203,17 +203,17 @@
     pub fn request(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), WireError> {
         let mut fields = Fields::new(fields, "Req");
         let correlation = fields.u64()?;
-        let (class, team, _key) = (fields.u16()?, fields.u16()?, fields.u64()?);
-        let (left, hint) = (fields.u32()?, fields.u32()?);
+        let (traffic_type, customer, _key) = (fields.u16()?, fields.u16()?, fields.u64()?);
+        let (time_left, work_hint) = (fields.u32()?, fields.u32()?);
         let (job, shard, weight) = (fields.u32()?, fields.f32()?, fields.f32()?);
         let options = fields.u16()?;
-        let work = (options & 1 != 0).then(|| Span::of_micros(hint.into()));
+        let work = (options & 1 != 0).then(|| Span::of_micros(work_hint.into()));
         if shard < 0.0 {
             self.submit_scan(now, reply);
             let scan = ScanTaken {
-                traffic_type: class.into(),
-                customer: team.into(),
-                left: Span::of_micros(left.into()),
+                traffic_type: traffic_type.into(),
+                customer: customer.into(),
+                left: Span::of_micros(time_left.into()),
                 work,
                 repeat: options & 2 != 0,
                 parts: Vec::new(),
@@ -233,9 +233,15 @@
         Ok(())
     }
 
-    /// Applies a list of searchers, or restarts the watch after it failed (`how` 2).
-    pub fn list_update(&mut self, how: u8, entries: Option<&Vec<ListEntry>>, now: Moment, reply: &mut Reply) {
-        if how == 2 {
+    /// Applies a list of searchers, or restarts the watch after it failed (`kind` 2).
+    pub fn list_update(
+        &mut self,
+        kind: u8,
+        entries: Option<&Vec<ListEntry>>,
+        now: Moment,
+        reply: &mut Reply,
+    ) {
+        if kind == 2 {
             return self.call_mixer(now, reply, |mixer, host| mixer.watch(host, 1));
         }
         let entries = entries.map_or(&[][..], Vec::as_slice);
@@ -248,20 +254,20 @@
             dear: home_zone.is_some_and(|home| entry.zone != home),
         };
         let listings: Vec<Listing> = entries.iter().map(listing).collect();
-        self.call_mixer(now, reply, |mixer, host| mixer.listed(host, how != 0, &listings));
+        self.call_mixer(now, reply, |mixer, host| mixer.listed(host, kind != 0, &listings));
         let (gone, present): (Vec<&ListEntry>, Vec<&ListEntry>) =
             entries.iter().partition(|entry| entry.status == STATUS_GONE);
         let ids =
             |entries: Vec<&ListEntry>| entries.iter().map(|entry| entry.wire_id).collect::<BTreeSet<u32>>();
         let (gone, present) = (ids(gone), ids(present));
-        self.ids.searchers.keep(|id| if how != 0 { present.contains(id) } else { !gone.contains(id) });
+        self.ids.searchers.keep(|id| if kind != 0 { present.contains(id) } else { !gone.contains(id) });
     }
 
     /// Handles the result of a relay.
     pub fn relay_result(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), WireError> {
         let mut fields = Fields::new(fields, "Result");
         let (correlation, number, _searcher) = (fields.u64()?, fields.u16()?, fields.u32()?);
-        let how = match fields.u8()? {
+        let outcome = match fields.u8()? {
             0 => Landing::Honoured,
             5 => Landing::Erred,
             11 => Landing::TurnedAway,
@@ -275,7 +281,7 @@
         let took = Span::of_micros(fields.u32()?.into());
         if let Some(ticket) = self.ids.relays.remove(&(correlation, number)) {
             self.ids.tickets.remove(&ticket);
-            self.call_mixer(now, reply, |mixer, host| mixer.landed(host, ticket, how, took));
+            self.call_mixer(now, reply, |mixer, host| mixer.landed(host, ticket, outcome, took));
         }
         Ok(())
     }
--- a/crates/simhost/src/process.rs
+++ b/crates/simhost/src/process.rs
@@ -64,15 +64,15 @@
         match code {
             17 => {
                 let mut fields = Fields::new(fields, "PeersKnown");
-                let (how, _epoch, list) = (fields.u8()?, fields.u64()?, fields.u16()?);
+                let (kind, _epoch, list) = (fields.u8()?, fields.u64()?, fields.u16()?);
                 let entries = self.lists.get(&list);
-                if how > 3 {
-                    return Err(WireError(format!("PeersKnown: unknown kind {how}")));
+                if kind > 3 {
+                    return Err(WireError(format!("PeersKnown: unknown kind {kind}")));
                 }
-                if how != 2 && entries.is_none() {
+                if kind != 2 && entries.is_none() {
                     return Err(WireError(format!("PeersKnown: list {list} was never sent")));
                 }
-                instance.list_update(how, entries, now, &mut self.reply);
+                instance.list_update(kind, entries, now, &mut self.reply);
                 Ok(())
             }
             18 => instance.request(fields, now, &mut self.reply),
