--- a/crates/mixer/src/program/clients.rs
+++ b/crates/mixer/src/program/clients.rs
@@ -127,7 +127,7 @@
                     scans::dialect_response(*status, body, *pause, opaque.as_deref(), last)
                 }
                 Reply::Health(ready) => scans::health_response(*ready, last),
-                Reply::Figures(figures) => scans::metrics_response(&self.who.tells(figures).text(), last),
+                Reply::Figures(figures) => scans::metrics_response(&self.who.tells(figures).encode(), last),
                 Reply::Refusal(why) if !last && !connection.sent_off.get() => {
                     return handle.spawn(connection.clone().blame(scans::error_response(why, last)));
                 }
--- a/crates/mixer/src/program/hub.rs
+++ b/crates/mixer/src/program/hub.rs
@@ -78,7 +78,12 @@
             leave: Bell::default(),
         }
     });
-    log::info!("{} listens on {}, {} searchers known", orders.name, orders.listen, orders.known.rows.len());
+    log::info!(
+        "{} listens on {}, {} searchers known",
+        orders.name,
+        orders.listen,
+        orders.known.entries.len()
+    );
     first.into_iter().for_each(|effect| hub.act(effect));
     let handle = &hub.handle;
     for (which, listener) in listeners.into_iter().enumerate() {
--- a/crates/mixer/src/program/identity.rs
+++ b/crates/mixer/src/program/identity.rs
@@ -1,7 +1,7 @@
 //! Who this mixer is, for those who may read its figures: its program, the settings in force, this life of it.
 
 use super::Orders;
-use crate::protocol::metrics::{bounds, MixerMetrics, TrafficTypeMetrics};
+use crate::protocol::metrics::{bucket_bounds_micros, MixerMetrics, TrafficTypeMetrics};
 use crate::routing::{Figures, Line};
 use fernglade_orders::{digest, Operator};
 use std::cell::{Cell, RefCell};
@@ -59,21 +59,23 @@
             refused: line.refused,
             failed: line.failed,
             open: line.open,
-            within: bounds().map(|bound| line.took.count_between(0, bound)).collect(),
-            seconds: line.took.mean() * line.served as f64 / 1e6,
+            cumulative_counts: bucket_bounds_micros()
+                .map(|bound| line.took.count_between(0, bound))
+                .collect(),
+            total_seconds: line.took.mean() * line.served as f64 / 1e6,
         };
         MixerMetrics {
             version: env!("CARGO_PKG_VERSION").into(),
-            program: self.program.clone(),
-            settings: self.settings.borrow().clone(),
+            program_digest: self.program.clone(),
+            settings_digest: self.settings.borrow().clone(),
             incarnation: self.incarnation.clone(),
-            process: std::process::id(),
+            process_id: std::process::id(),
             ready: figures.ready,
-            refused_settings: self.refused.get(),
-            memory: resident(),
-            listed: figures.listed,
+            settings_refused: self.refused.get(),
+            resident_bytes: resident(),
+            searchers_ready: figures.listed,
             relays: figures.relays,
-            types: figures.types.iter().map(of_type).collect(),
+            traffic_types: figures.types.iter().map(of_type).collect(),
         }
     }
 }
--- a/crates/mixer/src/program/links.rs
+++ b/crates/mixer/src/program/links.rs
@@ -157,7 +157,7 @@
         Err(error) => not_up(&error),
         Ok(stream) => {
             handle.feed(Event::LinkUp(link));
-            let (mut amid, mut reader) = (false, Reader::of_answers(MAX_BODY_BYTES));
+            let (mut amid, mut reader) = (false, Reader::for_responses(MAX_BODY_BYTES));
             let read = |inbox: &mut Inbox| {
                 let (flow, is_amid) = match near.tongue {
                     Tongue::Frames => {
@@ -166,7 +166,7 @@
                     }
                     Tongue::Dialect => {
                         let flow = hear(&handle, link, &near, &mut reader, inbox);
-                        (flow, reader.is_amid(inbox.unread()))
+                        (flow, reader.is_mid_message(inbox.unread()))
                     }
                 };
                 if amid != is_amid {
@@ -189,7 +189,7 @@
             match pump(&stream, &near.line, Inbox::new(4 + MAX_FRAME_BYTES), read, written).await {
                 Stop::Ended => {
                     // An answer of no length is whole now.
-                    let flow = reader.ended().map(|message| heard(&handle, link, &near, &message));
+                    let flow = reader.finish().map(|message| heard(&handle, link, &near, &message));
                     flow.and_then(ControlFlow::break_value).unwrap_or(Ending::Ended)
                 }
                 Stop::Broke => Ending::Broke,
@@ -297,10 +297,10 @@
             }
         };
         match frame {
-            Frame::Part { id, end, value } => handle.feed(Event::PartBack { link, id, end, value }),
-            Frame::Check(there) => handle.feed(Event::CheckBack(link, there)),
-            Frame::Report => {}
-            Frame::Objection(words) => {
+            Frame::Part { id, outcome: end, value } => handle.feed(Event::PartBack { link, id, end, value }),
+            Frame::ProbeResult(there) => handle.feed(Event::CheckBack(link, there)),
+            Frame::LoadReport => {}
+            Frame::ProtocolError(words) => {
                 log::warn!("a searcher could not use a frame of ours: {words:?}");
                 return ControlFlow::Break(Ending::Objected);
             }
@@ -339,11 +339,11 @@
             let (end, value) = nodes::part_outcome(message);
             handle.feed(Event::PartBack { link, id, end, value });
         }
-        Some(Question::Check) => handle.feed(Event::CheckBack(link, message.start[1] == "200")),
+        Some(Question::Check) => handle.feed(Event::CheckBack(link, message.start_line[1] == "200")),
         Some(Question::Version) => handle.feed(Event::Speaks(link, nodes::node_version(message))),
         None => return ControlFlow::Break(Ending::Garbled),
     }
-    if message.keeps() {
+    if message.keep_alive() {
         ControlFlow::Continue(())
     } else {
         ControlFlow::Break(Ending::Ended)
--- a/crates/mixer/src/program/listening.rs
+++ b/crates/mixer/src/program/listening.rs
@@ -83,11 +83,11 @@
                     inbox.used(used);
                     self.arrivals.used(used);
                     let Some(message) = message else {
-                        self.begun = begun.filter(|_| self.reader.is_amid(inbox.unread()));
+                        self.begun = begun.filter(|_| self.reader.is_mid_message(inbox.unread()));
                         self.tell_begun(handle, client);
                         break;
                     };
-                    if !message.keeps() {
+                    if !message.keep_alive() {
                         connection.is_last.set(true);
                     }
                     self.event(client, &message)
@@ -129,9 +129,9 @@
             Ok(ClientRequest::Query(request)) => Event::Queried(client, request),
             Ok(ClientRequest::Scan(ask)) => Event::Asked(client, ask),
             Ok(ClientRequest::Health) => Event::HealthAsked(client),
-            Ok(ClientRequest::Figures) if self.may_read_figures() => Event::FiguresAsked(client),
+            Ok(ClientRequest::Metrics) if self.may_read_figures() => Event::FiguresAsked(client),
             // As if there were nothing of that name.
-            Ok(ClientRequest::Figures) => Event::Misasked(client, RequestError::Method, false),
+            Ok(ClientRequest::Metrics) => Event::Misasked(client, RequestError::Method, false),
             Err(blame) => Event::Misasked(client, blame, false),
         }
     }
--- a/crates/mixer/src/program/orders.rs
+++ b/crates/mixer/src/program/orders.rs
@@ -71,15 +71,16 @@
     fn from_json(json: &Json, variable: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
         let text = |name: &str, variable_name: &str| {
             let given =
-                variable(variable_name).or_else(|| json.get(name).and_then(Json::text).map(String::from));
+                variable(variable_name).or_else(|| json.get(name).and_then(Json::as_str).map(String::from));
             given.ok_or_else(|| format!("no {name}, and {variable_name} is not set"))
         };
         let address = |name: &str, variable_name: &str| {
             let given = text(name, variable_name)?;
             given.parse::<SocketAddr>().map_err(|_| format!("{name} is no address and port: {given:.60}"))
         };
-        let seed = json.get("seed").and_then(Json::text).and_then(|seed| u64::from_str_radix(seed, 16).ok());
-        let sockets = json.get("limits").and_then(|limits| limits.get("sockets")).and_then(Json::whole);
+        let seed =
+            json.get("seed").and_then(Json::as_str).and_then(|seed| u64::from_str_radix(seed, 16).ok());
+        let sockets = json.get("limits").and_then(|limits| limits.get("sockets")).and_then(Json::as_u64);
         let known = json.get("known").map_or(Ok(ListUpdate::default()), parse_update);
         let settings = json.get("settings").filter(|settings| matches!(settings, Json::Object(_)));
         let mut pairs = BTreeMap::new();
@@ -134,11 +135,11 @@
     let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
     match json {
         Json::Object(fields) => fields.iter().for_each(|(name, value)| flatten(value, below(name), into)),
-        Json::List(items) if items.iter().any(|item| matches!(item, Json::Object(_))) => {
+        Json::Array(items) if items.iter().any(|item| matches!(item, Json::Object(_))) => {
             into.insert(below("count"), items.len().to_string());
             items.iter().enumerate().for_each(|(at, item)| flatten(item, below(&at.to_string()), into));
         }
-        Json::List(items) => {
+        Json::Array(items) => {
             let words: Vec<String> = items.iter().map(plain).collect();
             into.insert(path, words.join(","));
         }
@@ -150,8 +151,8 @@
     match json {
         Json::Bool(value) => value.to_string(),
         Json::Number(digits) => digits.clone(),
-        Json::Text(text) => text.clone(),
-        Json::Null | Json::List(_) | Json::Object(_) => String::new(),
+        Json::String(text) => text.clone(),
+        Json::Null | Json::Array(_) | Json::Object(_) => String::new(),
     }
 }
 
--- a/crates/mixer/src/program/watch.rs
+++ b/crates/mixer/src/program/watch.rs
@@ -116,12 +116,12 @@
             None => dial(self.at, at_once).await.map_err(|e| e.to_string())?,
         };
         let (answer, stays) = self.exchange(&stream, path).await?;
-        self.stream = Some(stream).filter(|_| stays && answer.keeps());
+        self.stream = Some(stream).filter(|_| stays && answer.keep_alive());
         self.heard(answer)
     }
 
     fn heard(&mut self, answer: Message) -> Result<ListUpdate, String> {
-        let [_, status, _] = &answer.start;
+        let [_, status, _] = &answer.start_line;
         if status != "200" {
             return Err(format!("status {status:.10}"));
         }
@@ -133,7 +133,7 @@
     async fn exchange(&self, stream: &Stream, path: &str) -> Result<(Message, bool), String> {
         let failed = |e: std::io::Error| e.to_string();
         write_all(stream, &get_request(path, &self.at.to_string())).await.map_err(failed)?;
-        let (mut inbox, mut reader) = (Inbox::new(MAX_UNREAD_BYTES), Reader::of_answers(MOST_LIST));
+        let (mut inbox, mut reader) = (Inbox::new(MAX_UNREAD_BYTES), Reader::for_responses(MOST_LIST));
         loop {
             let (used, message) = reader.read(inbox.unread()).map_err(|fault| format!("{fault:?}"))?;
             inbox.used(used);
@@ -142,7 +142,7 @@
             }
             match read(stream, inbox.space()).await.map_err(failed)? {
                 0 => {
-                    let whole = reader.ended().map(|message| (message, false));
+                    let whole = reader.finish().map(|message| (message, false));
                     return whole.ok_or_else(|| "it closed the connection".into());
                 }
                 count => inbox.came(count),
--- a/crates/mixer/src/protocol/discovery.rs
+++ b/crates/mixer/src/protocol/discovery.rs
@@ -13,46 +13,50 @@
     pub cell: u32,
     pub ready: bool,
     /// Off the list.
-    pub gone: bool,
+    pub removed: bool,
     /// In Unix time.
-    pub started: Option<Moment>,
+    pub started_at: Option<Moment>,
 }
 
 /// The whole list, or what has changed in it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ListUpdate {
     pub version: u64,
-    pub whole: bool,
-    pub rows: Vec<SearcherEntry>,
+    pub is_full: bool,
+    pub entries: Vec<SearcherEntry>,
 }
 
 pub fn parse_update(json: &Json) -> Result<ListUpdate, String> {
     let field = |name: &str| json.get(name).ok_or_else(|| format!("no {name}"));
-    let version = field("generation")?.whole().ok_or("generation is not a whole number")?;
-    let whole = field("reset")?.bool().ok_or("reset is neither true nor false")?;
-    let rows = field("instances")?.list().ok_or("instances is not a list")?;
+    let version = field("generation")?.as_u64().ok_or("generation is not a whole number")?;
+    let whole = field("reset")?.as_bool().ok_or("reset is neither true nor false")?;
+    let rows = field("instances")?.as_array().ok_or("instances is not a list")?;
     let row = |(at, json)| parse_entry(json).map_err(|what| format!("instances[{at}]: {what}"));
-    Ok(ListUpdate { version, whole, rows: rows.iter().enumerate().map(row).collect::<Result<_, _>>()? })
+    Ok(ListUpdate {
+        version,
+        is_full: whole,
+        entries: rows.iter().enumerate().map(row).collect::<Result<_, _>>()?,
+    })
 }
 
 fn parse_entry(json: &Json) -> Result<SearcherEntry, String> {
     let text = |name: &str| {
-        let value = json.get(name).and_then(Json::text).filter(|text| !text.is_empty());
+        let value = json.get(name).and_then(Json::as_str).filter(|text| !text.is_empty());
         value.ok_or_else(|| format!("no {name}"))
     };
     let address = text("hostPort")?;
-    let cell = json.get("cell").and_then(Json::whole).and_then(|cell| u32::try_from(cell).ok());
+    let cell = json.get("cell").and_then(Json::as_u64).and_then(|cell| u32::try_from(cell).ok());
     // A start that is no whole number is still one: who started is not to be taken for long warm.
-    let started = json.get("startedAtMs").and_then(Json::number).filter(|at| *at > 0.0).map(|at| at as u64);
+    let started = json.get("startedAtMs").and_then(Json::as_f64).filter(|at| *at > 0.0).map(|at| at as u64);
     Ok(SearcherEntry {
         name: text("instanceId")?.into(),
         address: address.parse().map_err(|_| format!("hostPort is no address: {address:.60}"))?,
-        zone: json.get("zone").and_then(Json::text).unwrap_or_default().into(),
+        zone: json.get("zone").and_then(Json::as_str).unwrap_or_default().into(),
         cell: cell.ok_or("no cell")?,
         // Draining, gone and whatever else: it wants nothing new.
         ready: text("lifecycle")? == "SERVING",
-        gone: text("lifecycle")? == "DELETED",
-        started: started.map(|at| Moment::at_micros(at.saturating_mul(1000))),
+        removed: text("lifecycle")? == "DELETED",
+        started_at: started.map(|at| Moment::at_micros(at.saturating_mul(1000))),
     })
 }
 
@@ -80,16 +84,16 @@
     #[test]
     fn the_pages_list_is_read() {
         let news = read(PAGE).unwrap();
-        assert_eq!((news.version, news.whole, news.rows.len()), (41, true, 1));
-        let row = &news.rows[0];
-        assert_eq!((row.name.as_str(), row.cell, row.ready, row.started), ("s-5be2a07c", 3, true, None));
+        assert_eq!((news.version, news.is_full, news.entries.len()), (41, true, 1));
+        let row = &news.entries[0];
+        assert_eq!((row.name.as_str(), row.cell, row.ready, row.started_at), ("s-5be2a07c", 3, true, None));
         for word in ["DRAINING", "DELETED", "NOVEL"] {
-            let row = &read(&PAGE.replace("SERVING", word)).unwrap().rows[0];
-            assert_eq!((row.ready, row.gone), (false, word == "DELETED"));
+            let row = &read(&PAGE.replace("SERVING", word)).unwrap().entries[0];
+            assert_eq!((row.ready, row.removed), (false, word == "DELETED"));
         }
-        let started = read(&PAGE.replace("Ms\":0", "Ms\":1764598377123")).unwrap().rows[0].started;
+        let started = read(&PAGE.replace("Ms\":0", "Ms\":1764598377123")).unwrap().entries[0].started_at;
         assert_eq!(started, Some(Moment::at_micros(1_764_598_377_123_000)));
-        let started = read(&PAGE.replace("Ms\":0", "Ms\":1764598377123.5")).unwrap().rows[0].started;
+        let started = read(&PAGE.replace("Ms\":0", "Ms\":1764598377123.5")).unwrap().entries[0].started_at;
         assert_eq!(started, Some(Moment::at_micros(1_764_598_377_123_000)), "with decimals");
     }
 
--- a/crates/mixer/src/protocol/frames.rs
+++ b/crates/mixer/src/protocol/frames.rs
@@ -22,15 +22,15 @@
 pub enum Frame {
     Part {
         id: String,
-        end: PartOutcome,
+        outcome: PartOutcome,
         value: String,
     },
     /// A check's answer.
-    Check(bool),
+    ProbeResult(bool),
     /// A load report, which nothing here asks for.
-    Report,
+    LoadReport,
     /// The frame before could not be used.
-    Objection(String),
+    ProtocolError(String),
 }
 
 /// One part of a call, on its way to a searcher.
@@ -38,11 +38,11 @@
 pub struct PartRequest {
     pub id: String,
     pub shard: u32,
-    pub waits_ms: u64,
-    pub label: Option<String>,
+    pub timeout_ms: u64,
+    pub idempotency_key: Option<String>,
     pub text: std::rc::Rc<str>,
     /// The same for a node that speaks the query dialect; none where it can't be said there.
-    pub asked: Option<std::rc::Rc<NodeRequest>>,
+    pub node_request: Option<std::rc::Rc<NodeRequest>>,
 }
 
 /// A part as a node of the query dialect is asked it.
@@ -52,7 +52,7 @@
     pub path: String,
     pub body: String,
     /// A search, of one shard; else an edit.
-    pub search: bool,
+    pub is_search: bool,
 }
 
 /// The next frame, where all of it has come, and how many bytes it took.
@@ -65,13 +65,13 @@
     let Some((letter, body)) = rest.get(..length).and_then(<[u8]>::split_first) else { return Ok(None) };
     let frame = match letter {
         b'q' => part(body)?,
-        b'o' => Frame::Check(match body {
+        b'o' => Frame::ProbeResult(match body {
             b"good" => true,
             b"bad" => false,
             _ => return Err("a check's answer is unknown"),
         }),
-        b'p' => Frame::Report,
-        b'r' => Frame::Objection(String::from_utf8_lossy(body).chars().take(200).collect()),
+        b'p' => Frame::LoadReport,
+        b'r' => Frame::ProtocolError(String::from_utf8_lossy(body).chars().take(200).collect()),
         _ => return Err("a frame's letter is unknown"),
     };
     Ok(Some((frame, 4 + length)))
@@ -96,7 +96,7 @@
         return Err("a part's score is no number");
     }
     let value = std::str::from_utf8(value).map_err(|_| "a value is not text")?;
-    Ok(Frame::Part { id: id.into(), end, value: value.into() })
+    Ok(Frame::Part { id: id.into(), outcome: end, value: value.into() })
 }
 
 fn frame(letter: u8, body: &[u8]) -> Vec<u8> {
@@ -110,8 +110,8 @@
 pub fn encode_call(errands: &[PartRequest], waited_ms: u64) -> Vec<u8> {
     let mut body = String::new();
     for errand in errands {
-        let label = errand.label.as_ref().map_or(String::new(), |label| format!(",k={label}"));
-        let PartRequest { id, shard, waits_ms, text, .. } = errand;
+        let label = errand.idempotency_key.as_ref().map_or(String::new(), |label| format!(",k={label}"));
+        let PartRequest { id, shard, timeout_ms: waits_ms, text, .. } = errand;
         let waits_ms = waits_ms.saturating_sub(waited_ms).max(1);
         body.push_str(&format!("{id} {shard} d={waits_ms}{label} {}\n{text}", text.len()));
     }
@@ -120,7 +120,7 @@
 
 /// About how many bytes a call takes.
 pub fn estimated_call_size(errands: &[PartRequest]) -> usize {
-    let label = |errand: &PartRequest| errand.label.as_ref().map_or(0, String::len);
+    let label = |errand: &PartRequest| errand.idempotency_key.as_ref().map_or(0, String::len);
     errands.iter().map(|errand| errand.id.len() + label(errand) + errand.text.len() + CALL_LINE).sum()
 }
 
@@ -145,17 +145,24 @@
     fn a_call_is_written_as_the_page_shows() {
         let label = Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211".to_string());
         let id = "9b1f03aa5c7e2d41.3".to_string();
-        let errand = PartRequest { id, shard: 3, waits_ms: 240, label, text: "c41e77d0".into(), asked: None };
+        let errand = PartRequest {
+            id,
+            shard: 3,
+            timeout_ms: 240,
+            idempotency_key: label,
+            text: "c41e77d0".into(),
+            node_request: None,
+        };
         let line = "9b1f03aa5c7e2d41.3 3 d=240,k=5c0f6e1a2b3d4c59a8b7c6d5e4f30211 8\nc41e77d0";
         assert_eq!(encode_call(std::slice::from_ref(&errand), 0), said(b'm', line));
-        let plain = PartRequest { label: None, shard: 4, text: "é\n".into(), ..errand.clone() };
+        let plain = PartRequest { idempotency_key: None, shard: 4, text: "é\n".into(), ..errand.clone() };
         let second = "9b1f03aa5c7e2d41.3 4 d=240 3\né\n";
         assert_eq!(encode_call(&[errand, plain], 0), said(b'm', &format!("{line}{second}")));
         assert_eq!((encode_cancel("a.3"), encode_probe()), (said(b'n', "a.3"), said(b'o', "")));
     }
 
     fn ended(end: PartOutcome, value: &str) -> Frame {
-        Frame::Part { id: "a.3".into(), end, value: value.into() }
+        Frame::Part { id: "a.3".into(), outcome: end, value: value.into() }
     }
 
     #[test_case(b'q', "a.3 good 1840277719 -\n5be2\n x", ended(PartOutcome::Succeeded, "5be2\n x"); "honoured")]
@@ -163,10 +170,10 @@
     #[test_case(b'q', "a.3 good 7 \n5be2", ended(PartOutcome::Succeeded, "5be2"); "an empty report")]
     #[test_case(b'q', "a.3 bad 0 -\n", ended(PartOutcome::Failed, ""); "erred")]
     #[test_case(b'q', "a.3 later 0 q=2\n", ended(PartOutcome::Rejected, ""); "turned away")]
-    #[test_case(b'o', "good", Frame::Check(true); "there")]
-    #[test_case(b'o', "bad", Frame::Check(false); "not there")]
-    #[test_case(b'p', "-", Frame::Report; "report")]
-    #[test_case(b'r', "no such shard", Frame::Objection("no such shard".into()); "objection")]
+    #[test_case(b'o', "good", Frame::ProbeResult(true); "there")]
+    #[test_case(b'o', "bad", Frame::ProbeResult(false); "not there")]
+    #[test_case(b'p', "-", Frame::LoadReport; "report")]
+    #[test_case(b'r', "no such shard", Frame::ProtocolError("no such shard".into()); "objection")]
     fn a_frame_is_read_whole_and_never_before(letter: u8, body: &str, frame: Frame) {
         let bytes = [said(letter, body), vec![0]].concat();
         for cut in 0..bytes.len() - 1 {
--- a/crates/mixer/src/protocol/http.rs
+++ b/crates/mixer/src/protocol/http.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct Message {
     /// The start line's three parts.
-    pub start: [String; 3],
+    pub start_line: [String; 3],
     /// Names in lower case.
     headers: Vec<(String, String)>,
     pub body: Vec<u8>,
@@ -32,8 +32,8 @@
     }
 
     /// Whether the connection may carry another message after this one.
-    pub fn keeps(&self) -> bool {
-        let old = self.start.iter().any(|word| word == "HTTP/1.0");
+    pub fn keep_alive(&self) -> bool {
+        let old = self.start_line.iter().any(|word| word == "HTTP/1.0");
         let says = |word| self.header("connection").is_some_and(|v| has_word(v, word));
         if old {
             says("keep-alive")
@@ -80,13 +80,13 @@
 }
 
 impl Reader {
-    pub fn of_answers(most: usize) -> Self {
+    pub fn for_responses(most: usize) -> Self {
         Self { of_answers: true, most, ..Self::default() }
     }
 
     /// The other side has ended the connection in order, and all that came was read: the message that this makes
     /// whole. A connection that breaks makes none whole, as nobody can tell what was still to come.
-    pub fn ended(&mut self) -> Option<Message> {
+    pub fn finish(&mut self) -> Option<Message> {
         let whole = matches!(self.stage, Stage::ToTheEnd);
         whole.then(|| {
             self.stage = Stage::Head;
@@ -95,7 +95,7 @@
     }
 
     /// Whether a message has begun and is not whole. Bytes handed in and left unused count too.
-    pub fn is_amid(&self, unread: &[u8]) -> bool {
+    pub fn is_mid_message(&self, unread: &[u8]) -> bool {
         !matches!(self.stage, Stage::Head) || unread.iter().any(|byte| !matches!(byte, b'\r' | b'\n'))
     }
 
@@ -230,12 +230,12 @@
         Ok((name.to_ascii_lowercase(), value.trim().to_string()))
     };
     let headers = lines.map(header).collect::<Result<_, _>>()?;
-    Ok(Message { start: [a.into(), b.into(), c.into()], headers, body: Vec::new() })
+    Ok(Message { start_line: [a.into(), b.into(), c.into()], headers, body: Vec::new() })
 }
 
 /// Whether an answer of this status has a body, whose end may then be that of its connection.
 fn has_body(answer: &Message) -> bool {
-    let status = answer.start[1].as_str();
+    let status = answer.start_line[1].as_str();
     !(status.starts_with('1') || matches!(status, "204" | "304"))
 }
 
@@ -322,8 +322,11 @@
         let twice = [bytes, bytes].concat();
         let (used, message) = whole(&twice).unwrap();
         let message = message.expect("whole");
-        assert_eq!((used, message.start[0].as_str(), message.body.as_slice()), (bytes.len(), first, body));
-        assert_eq!(message.keeps(), bytes != BARE);
+        assert_eq!(
+            (used, message.start_line[0].as_str(), message.body.as_slice()),
+            (bytes.len(), first, body)
+        );
+        assert_eq!(message.keep_alive(), bytes != BARE);
         let messages = by_bytes(&twice).unwrap();
         assert_eq!((messages.len(), &messages[0], &messages[1]), (2, &message, &message));
         for cut in 0..bytes.len() {
@@ -375,20 +378,20 @@
     #[test_case(&LENGTH[..LENGTH.len() - 1], None; "a length that is not reached")]
     #[test_case(b"HTTP/1.1 200 OK\r\nTransfer-Enc", None; "half a head")]
     fn an_answer_of_no_length_is_whole_at_its_connections_end(bytes: &[u8], says: Option<&[u8]>) {
-        let mut reader = Reader::of_answers(MAX_BODY_BYTES);
+        let mut reader = Reader::for_responses(MAX_BODY_BYTES);
         let whole = reader.read(bytes).unwrap().1;
         assert_eq!(whole.is_some(), bytes.starts_with(b"HTTP/1.1 204"));
-        assert_eq!(reader.ended().map(|message| message.body).as_deref(), says);
+        assert_eq!(reader.finish().map(|message| message.body).as_deref(), says);
         assert_eq!(Reader::default().read(OPEN).map(|(_, message)| message.is_some()), Ok(true), "a request");
         let long = [OPEN, &[b'x'; MAX_BODY_BYTES]].concat();
-        assert_eq!(Reader::of_answers(MAX_BODY_BYTES).read(&long), Err(ParseError::BodyTooLong));
+        assert_eq!(Reader::for_responses(MAX_BODY_BYTES).read(&long), Err(ParseError::BodyTooLong));
     }
 
     #[test]
     fn a_response_is_read_back() {
         let bytes = response(503, &[("Retry-After", "0.500")], "{}", true);
         let message = whole(&bytes).unwrap().1.unwrap();
-        assert_eq!((message.start[1].as_str(), message.header("retry-after")), ("503", Some("0.500")));
-        assert!(message.body == b"{}" && !message.keeps());
+        assert_eq!((message.start_line[1].as_str(), message.header("retry-after")), ("503", Some("0.500")));
+        assert!(message.body == b"{}" && !message.keep_alive());
     }
 }
--- a/crates/mixer/src/protocol/json.rs
+++ b/crates/mixer/src/protocol/json.rs
@@ -9,8 +9,8 @@
     Bool(bool),
     /// As it was written.
     Number(String),
-    Text(String),
-    List(Vec<Json>),
+    String(String),
+    Array(Vec<Json>),
     Object(Vec<(String, Json)>),
 }
 
@@ -32,23 +32,23 @@
         fields.iter().find(|(name, _)| name == key).map(|(_, value)| value)
     }
 
-    pub fn text(&self) -> Option<&str> {
-        if let Json::Text(text) = self {
+    pub fn as_str(&self) -> Option<&str> {
+        if let Json::String(text) = self {
             Some(text)
         } else {
             None
         }
     }
 
-    pub fn list(&self) -> Option<&[Json]> {
-        if let Json::List(items) = self {
+    pub fn as_array(&self) -> Option<&[Json]> {
+        if let Json::Array(items) = self {
             Some(items)
         } else {
             None
         }
     }
 
-    pub fn bool(&self) -> Option<bool> {
+    pub fn as_bool(&self) -> Option<bool> {
         if let Json::Bool(value) = self {
             Some(*value)
         } else {
@@ -57,13 +57,13 @@
     }
 
     /// A number, where it is finite.
-    pub fn number(&self) -> Option<f64> {
+    pub fn as_f64(&self) -> Option<f64> {
         let Json::Number(digits) = self else { return None };
         digits.parse().ok().filter(|n: &f64| n.is_finite())
     }
 
     /// A whole number that is not negative.
-    pub fn whole(&self) -> Option<u64> {
+    pub fn as_u64(&self) -> Option<u64> {
         if let Json::Number(digits) = self {
             digits.parse().ok()
         } else {
@@ -130,7 +130,7 @@
         match self.peek() {
             Some(b'{') => self.object(depth),
             Some(b'[') => self.items(depth),
-            Some(b'"') => self.string().map(Json::Text),
+            Some(b'"') => self.string().map(Json::String),
             Some(b'-' | b'0'..=b'9') => self.digits(),
             _ => self.word(),
         }
@@ -167,13 +167,13 @@
         self.expect(b'[')?;
         let mut items = Vec::new();
         if self.takes(b']') {
-            return Ok(Json::List(items));
+            return Ok(Json::Array(items));
         }
         loop {
             items.push(self.value(depth + 1)?);
             if !self.takes(b',') {
                 self.expect(b']')?;
-                return Ok(Json::List(items));
+                return Ok(Json::Array(items));
             }
         }
     }
@@ -283,19 +283,19 @@
         for text in ["", "c41e77d0", "a\"b\\c/\u{1}\n\r\t\u{7f}é€😀", "\u{fffd}"] {
             let mut quoted = String::new();
             quote(text, &mut quoted);
-            assert_eq!(Json::parse(quoted.as_bytes()), Ok(Json::Text(text.into())));
+            assert_eq!(Json::parse(quoted.as_bytes()), Ok(Json::String(text.into())));
         }
         let escaped = br#" "\u00e9\ud83d\ude00\/\b\f\n\r\t\"\\" "#;
-        assert_eq!(Json::parse(escaped), Ok(Json::Text("é😀/\u{8}\u{c}\n\r\t\"\\".into())));
+        assert_eq!(Json::parse(escaped), Ok(Json::String("é😀/\u{8}\u{c}\n\r\t\"\\".into())));
     }
 
     #[test]
     fn fields_are_found_by_name() {
         let json = Json::parse(br#"{"a":[1,-2.5e3,true,null,{}],"b":{"c":18446744073709551615}}"#).unwrap();
-        let items = json.get("a").and_then(Json::list).unwrap();
-        assert_eq!((items[0].whole(), items[1].number()), (Some(1), Some(-2500.0)));
-        assert_eq!((items[1].whole(), items[2].bool(), &items[3]), (None, Some(true), &Json::Null));
-        assert_eq!(json.get("b").and_then(|b| b.get("c")).and_then(Json::whole), Some(u64::MAX));
+        let items = json.get("a").and_then(Json::as_array).unwrap();
+        assert_eq!((items[0].as_u64(), items[1].as_f64()), (Some(1), Some(-2500.0)));
+        assert_eq!((items[1].as_u64(), items[2].as_bool(), &items[3]), (None, Some(true), &Json::Null));
+        assert_eq!(json.get("b").and_then(|b| b.get("c")).and_then(Json::as_u64), Some(u64::MAX));
     }
 
     #[test]
--- a/crates/mixer/src/protocol/nodes.rs
+++ b/crates/mixer/src/protocol/nodes.rs
@@ -5,14 +5,15 @@
 
 /// A part's question; nothing where it can't be asked there.
 pub fn encode_part_request(errand: &PartRequest, host: &str) -> Option<Vec<u8>> {
-    let asked = errand.asked.as_ref()?;
-    let (path, body, waits) = (&asked.path, &asked.body, errand.waits_ms);
-    let wanted = if asked.search {
+    let asked = errand.node_request.as_ref()?;
+    let (path, body, waits) = (&asked.path, &asked.body, errand.timeout_ms);
+    let wanted = if asked.is_search {
         format!("?preference=_shards:{}&allow_partial_search_results=false&timeout={waits}ms", errand.shard)
     } else {
         format!("?timeout={waits}ms")
     };
-    let key = errand.label.as_ref().map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
+    let key =
+        errand.idempotency_key.as_ref().map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
     let head = format!(
         "POST {path}{wanted} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n{key}Content-Length: {}\r\n\r\n",
         body.len()
@@ -22,7 +23,7 @@
 
 /// How a part ended, by the answer's status; what it holds is looked at where the part is known.
 pub fn part_outcome(message: &Message) -> (PartOutcome, String) {
-    let [_, status, _] = &message.start;
+    let [_, status, _] = &message.start_line;
     let value = String::from_utf8(message.body.clone());
     match (status.as_str(), value) {
         ("200" | "201", Ok(value)) => (PartOutcome::Succeeded, value),
--- a/crates/mixer/src/protocol/scans.rs
+++ b/crates/mixer/src/protocol/scans.rs
@@ -9,12 +9,12 @@
 /// A scan as its client asks for it, names not looked up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScanRequest {
-    pub name: String,
+    pub request_id: String,
     pub traffic_type: String,
     pub customer: String,
-    pub left: Span,
-    pub repeat: bool,
-    pub label: Option<String>,
+    pub time_left: Span,
+    pub is_retry: bool,
+    pub idempotency_key: Option<String>,
     pub text: String,
     pub parts: Vec<ScanPart>,
 }
@@ -31,7 +31,7 @@
 pub enum ClientRequest {
     Health,
     /// What this mixer tells of itself, of those who may ask.
-    Figures,
+    Metrics,
     Scan(ScanRequest),
     /// In the query dialect.
     Query(Box<Request>),
@@ -55,7 +55,7 @@
 
 /// `indices` are those of the query dialect, which is not spoken where there are none.
 pub fn parse_request(message: &Message, indices: &BTreeSet<String>) -> Result<ClientRequest, RequestError> {
-    let [method, target, _] = &message.start;
+    let [method, target, _] = &message.start_line;
     let path = target.split('?').next().unwrap_or_default();
     let mut steps = path.trim_start_matches('/').split('/');
     let (first, second) = (steps.next().unwrap_or_default(), steps.next().unwrap_or_default());
@@ -68,7 +68,7 @@
     match (method.as_str(), path) {
         ("GET" | "HEAD", "/healthz") => Ok(ClientRequest::Health),
         (_, "/healthz") => Err(RequestError::Method),
-        ("GET", "/figures") => Ok(ClientRequest::Figures),
+        ("GET", "/figures") => Ok(ClientRequest::Metrics),
         ("POST", path) => scan(message, path).map(ClientRequest::Scan),
         ("GET" | "HEAD" | "PUT" | "DELETE" | "PATCH" | "OPTIONS", _) => Err(RequestError::Method),
         _ => Err(blame("an unknown method")),
@@ -87,24 +87,24 @@
     let label =
         label.map(|key| token(key).ok_or_else(|| blame("a malformed Idempotency-Key"))).transpose()?;
     let body = Json::parse(&message.body).map_err(|what| blame(format!("the body is no JSON: {what}")))?;
-    let text = body.get("predicate").and_then(Json::text).ok_or_else(|| blame("no predicate"))?;
-    let ranges = body.get("ranges").and_then(Json::list).ok_or_else(|| blame("no ranges"))?;
+    let text = body.get("predicate").and_then(Json::as_str).ok_or_else(|| blame("no predicate"))?;
+    let ranges = body.get("ranges").and_then(Json::as_array).ok_or_else(|| blame("no ranges"))?;
     Ok(ScanRequest {
-        name,
+        request_id: name,
         traffic_type: traffic_type.into(),
         customer: message.header("x-tenant-id").unwrap_or_default().into(),
-        left,
-        repeat: message.header("x-retried") == Some("1"),
-        label,
+        time_left: left,
+        is_retry: message.header("x-retried") == Some("1"),
+        idempotency_key: label,
         text: text.into(),
         parts: ranges.iter().map(part).collect::<Result<_, _>>()?,
     })
 }
 
 fn part(range: &Json) -> Result<ScanPart, RequestError> {
-    let shard = range.get("range").and_then(Json::whole).and_then(|shard| u32::try_from(shard).ok());
-    let weight = range.get("portion").and_then(Json::number).filter(|w| (0.0..=1.001).contains(w));
-    let work = range.get("price").and_then(Json::number).filter(|price| *price >= 0.0);
+    let shard = range.get("range").and_then(Json::as_u64).and_then(|shard| u32::try_from(shard).ok());
+    let weight = range.get("portion").and_then(Json::as_f64).filter(|w| (0.0..=1.001).contains(w));
+    let work = range.get("price").and_then(Json::as_f64).filter(|price| *price >= 0.0);
     Ok(ScanPart {
         shard: shard.ok_or_else(|| blame("a range has no number"))?,
         weight: weight.ok_or_else(|| blame("a range has no sensible portion"))?,
@@ -210,8 +210,8 @@
         let Ok(ClientRequest::Scan(ask)) = asked("/checkout?key=7f", HEADERS, BODY) else {
             panic!("no scan")
         };
-        assert_eq!((ask.name.as_str(), ask.customer.as_str(), ask.repeat), ("9b1f", "acme", true));
-        assert_eq!((ask.left, ask.label.as_deref()), (Span::of_millis(480), Some("5c0f")));
+        assert_eq!((ask.request_id.as_str(), ask.customer.as_str(), ask.is_retry), ("9b1f", "acme", true));
+        assert_eq!((ask.time_left, ask.idempotency_key.as_deref()), (Span::of_millis(480), Some("5c0f")));
         assert_eq!(ask.text, "cé\n", "escapes are undone once");
         let work = Some(Span::of_millis(9));
         assert_eq!(ask.parts[0], ScanPart { shard: 3, weight: 0.5, work });
--- a/crates/mixer/src/routing/any_order.rs
+++ b/crates/mixer/src/routing/any_order.rs
@@ -94,8 +94,8 @@
         zone: "a".into(),
         cell: 0,
         ready,
-        gone: false,
-        started: None,
+        removed: false,
+        started_at: None,
     }
 }
 
@@ -124,7 +124,7 @@
             left: false,
         };
         let rows = (0..SEARCHERS).map(|number| row(number, true)).collect();
-        let known = ListUpdate { version: 5, whole: true, rows };
+        let known = ListUpdate { version: 5, is_full: true, entries: rows };
         let effects = world.state.begin(&known, DISCOVERY, world.now);
         world.take(effects);
         world
@@ -321,19 +321,19 @@
         self.scans.insert(name.clone(), scan);
         let weight = 1.0 / f64::from(parts);
         let ask = ScanRequest {
-            name,
+            request_id: name,
             traffic_type: TYPES[kind].into(),
             customer: "any".into(),
-            left: Span::of_millis(900),
-            repeat: false,
-            label: Some("k".into()),
+            time_left: Span::of_millis(900),
+            is_retry: false,
+            idempotency_key: Some("k".into()),
             text: "c41e".into(),
             parts: shards.map(|shard| ScanPart { shard, weight, work: None }).collect(),
         };
         if half {
             self.feed(Event::Stirred(client, Span::ZERO));
         }
-        self.clients.get_mut(&client).unwrap().waits = Some(ask.name.clone());
+        self.clients.get_mut(&client).unwrap().waits = Some(ask.request_id.clone());
         self.feed(Event::Asked(client, ask));
     }
 
@@ -351,11 +351,11 @@
         self.ready[usize::from(which)] ^= true;
         let all = (0..SEARCHERS).map(|number| row(number, self.ready[usize::from(number)]));
         let rows = if whole { all.collect() } else { vec![row(which, self.ready[usize::from(which)])] };
-        self.feed(Event::Told(ListUpdate { version: self.version, whole, rows }));
+        self.feed(Event::Told(ListUpdate { version: self.version, is_full: whole, entries: rows }));
         if how == 2 {
             // What is older than that tells nothing, whatever it says.
             let rows = (0..SEARCHERS).map(|number| row(number, true)).collect();
-            self.feed(Event::Told(ListUpdate { version: self.version - 1, whole: false, rows }));
+            self.feed(Event::Told(ListUpdate { version: self.version - 1, is_full: false, entries: rows }));
         }
     }
 
--- a/crates/mixer/src/routing/desk.rs
+++ b/crates/mixer/src/routing/desk.rs
@@ -210,7 +210,7 @@
         let errand = |ticket: &Ticket| {
             let relay = self.relays.get(ticket)?;
             let waits_ms = (relay.due.since(self.now).micros() / 1000).max(1);
-            Some(PartRequest { waits_ms, ..relay.errand.clone() })
+            Some(PartRequest { timeout_ms: waits_ms, ..relay.errand.clone() })
         };
         let errands = call.parts.iter().filter_map(errand).collect();
         self.effects.push(Effect::Call { link: link_id, call: call_id, errands });
@@ -305,7 +305,7 @@
 
     /// What can't be said in the query dialect never gets there.
     fn place_at_node(&mut self, to: Searcher, ticket: Ticket) {
-        if self.relays.get(&ticket).is_some_and(|relay| relay.errand.asked.is_some()) {
+        if self.relays.get(&ticket).is_some_and(|relay| relay.errand.node_request.is_some()) {
             self.place(to, &[ticket]);
         } else {
             self.land(ticket, Landing::Unsent);
@@ -401,7 +401,14 @@
         };
         let shard = open.parts[part].0;
         let (id, label, text) = (format!("{}.{shard}", open.name), open.label.clone(), open.text.clone());
-        let errand = PartRequest { id, shard, waits_ms: 0, label, text, asked: open.asked.clone() };
+        let errand = PartRequest {
+            id,
+            shard,
+            timeout_ms: 0,
+            idempotency_key: label,
+            text,
+            node_request: open.asked.clone(),
+        };
         let relay =
             Relay { scan, part, to, left: self.now, due, moved: false, unwanted: false, errand, place: None };
         self.relays.insert(ticket, relay);
--- a/crates/mixer/src/routing/doors.rs
+++ b/crates/mixer/src/routing/doors.rs
@@ -200,11 +200,11 @@
                 zone: "a".into(),
                 cell: 0,
                 ready: true,
-                gone: false,
-                started: None,
+                removed: false,
+                started_at: None,
             }
         };
-        let known = ListUpdate { version: 5, whole: true, rows: (0..5).map(row).collect() };
+        let known = ListUpdate { version: 5, is_full: true, entries: (0..5).map(row).collect() };
         let first = state.begin(&known, ([127, 0, 0, 1], 8500).into(), now);
         let lines = if seed == 1 { recorded() } else { night(seed) };
         let mut night = Self {
@@ -378,12 +378,12 @@
         Kind::Fix => ("fix", 5_000),
     };
     ScanRequest {
-        name: format!("r{number}"),
+        request_id: format!("r{number}"),
         traffic_type: traffic_type.into(),
         customer: "acme".into(),
-        left: Span::of_millis(left),
-        repeat: false,
-        label: (line.kind == Kind::Fix).then(|| format!("k{number}")),
+        time_left: Span::of_millis(left),
+        is_retry: false,
+        idempotency_key: (line.kind == Kind::Fix).then(|| format!("k{number}")),
         text: "c41e".into(),
         parts: line.shards.iter().map(|&shard| ScanPart { shard, weight, work: None }).collect(),
     }
--- a/crates/mixer/src/routing/query.rs
+++ b/crates/mixer/src/routing/query.rs
@@ -161,12 +161,12 @@
         self.count += 1;
         let weight = 1.0 / shards.len() as f64;
         let ask = ScanRequest {
-            name: format!("q{:x}-{}", self.nonce, self.count),
+            request_id: format!("q{:x}-{}", self.nonce, self.count),
             traffic_type: traffic_type.clone(),
             customer: index.customer.clone(),
-            left: request.timeout.map_or(kind.abandon, |timeout| timeout.min(kind.abandon)),
-            repeat: false,
-            label,
+            time_left: request.timeout.map_or(kind.abandon, |timeout| timeout.min(kind.abandon)),
+            is_retry: false,
+            idempotency_key: label,
             text,
             parts: shards.into_iter().map(|shard| ScanPart { shard, weight, work: None }).collect(),
         };
@@ -216,10 +216,10 @@
         match &self.request.what {
             What::Edit { index, edit } => {
                 let path = format!("/{index}/{}/{}", edit.step, encoded(&edit.id));
-                Some(NodeRequest { path, body: edit.body.clone(), search: false })
+                Some(NodeRequest { path, body: edit.body.clone(), is_search: false })
             }
             What::Search { index, .. } | What::Count { index, .. } => {
-                Some(NodeRequest { path: format!("/{index}/_search"), body: text.into(), search: true })
+                Some(NodeRequest { path: format!("/{index}/_search"), body: text.into(), is_search: true })
             }
             _ => None,
         }
--- a/crates/mixer/src/routing/roll.rs
+++ b/crates/mixer/src/routing/roll.rs
@@ -52,17 +52,17 @@
     /// Takes news in, and gives what the module is to hear. Of changes that are older than what was told before
     /// nothing is taken, as they might have a searcher ready again that drains: the whole list is to be had.
     pub fn take(&mut self, news: &ListUpdate) -> Vec<Listing> {
-        let back = !news.whole && self.version.is_some_and(|version| news.version < version);
+        let back = !news.is_full && self.version.is_some_and(|version| news.version < version);
         (self.version, self.unheard) = ((!back).then_some(news.version), false);
         if back {
             return Vec::new();
         }
-        let named: BTreeSet<&String> = news.rows.iter().map(|row| &row.name).collect();
-        if news.whole {
+        let named: BTreeSet<&String> = news.entries.iter().map(|row| &row.name).collect();
+        if news.is_full {
             self.keep(|name| named.contains(name));
         }
-        let listings = news.rows.iter().map(|row| self.list(row)).collect();
-        for gone in news.rows.iter().filter(|row| row.gone) {
+        let listings = news.entries.iter().map(|row| self.list(row)).collect();
+        for gone in news.entries.iter().filter(|row| row.removed) {
             let searcher = self.numbers.remove(&gone.name);
             searcher.iter().for_each(|searcher| drop(self.lines.remove(searcher)));
         }
@@ -81,7 +81,7 @@
         let version = known.and_then(|line| line.version.clone());
         self.lines.insert(searcher, Line { tongue, version, address: row.address, ready: row.ready });
         let dear = self.dear_outside.as_ref().is_some_and(|home| *home != row.zone);
-        Listing { searcher, cell: row.cell, ready: row.ready, started: row.started, dear }
+        Listing { searcher, cell: row.cell, ready: row.ready, started: row.started_at, dear }
     }
 
     pub fn address(&self, searcher: Searcher) -> Option<SocketAddr> {
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -209,7 +209,7 @@
 
     fn hear(&mut self, news: &ListUpdate) {
         let listings = self.desk.roll.take(news);
-        self.mixer.listed(&mut self.desk, news.whole, &listings);
+        self.mixer.listed(&mut self.desk, news.is_full, &listings);
         self.desk.keep_drains();
     }
 
@@ -273,8 +273,8 @@
 
     fn open(&mut self, client: ClientId, mut ask: ScanRequest, began: Moment, query: Option<Held>) {
         // A name of ours that somebody's request has taken by chance or malice gives way.
-        while query.is_some() && self.desk.names.contains(&ask.name) {
-            ask.name.push('x');
+        while query.is_some() && self.desk.names.contains(&ask.request_id) {
+            ask.request_id.push('x');
         }
         let scan = match self.taken(&ask, began) {
             Ok(scan) => scan,
@@ -288,15 +288,15 @@
         };
         let parts: Vec<_> = ask.parts.iter().map(|part| (part.shard, None)).collect();
         self.desk.held += 1 + parts.len();
-        let (name, lost) = (ask.name.clone(), vec![None; parts.len()]);
+        let (name, lost) = (ask.request_id.clone(), vec![None; parts.len()]);
         let asked = query.as_ref().and_then(|held| held.asked(&ask.text)).map(Rc::new);
-        let (label, text) = (ask.label, ask.text.into());
+        let (label, text) = (ask.idempotency_key, ask.text.into());
         let (traffic_type, since) = (scan.traffic_type, began);
         let open =
             Open { client, name, label, text, traffic_type, since, parts, lost, size: 0, query, asked };
         self.desk.sums.taken(traffic_type);
         let id = self.desk.scans.open(open);
-        self.desk.names.insert(ask.name);
+        self.desk.names.insert(ask.request_id);
         self.desk.clients.set(client, Doing::Waiting(id), self.desk.now);
         // The bench turns such scans away before they reach a mixer; here they come this far.
         if self.desk.held > self.most_held || self.last_call {
@@ -315,10 +315,11 @@
         if customer.is_none() && !self.customers.is_empty() {
             return wrong("an unknown X-Tenant-Id".into());
         }
-        if matches!(self.types[traffic_type].1.effect, Redoing::Labelled(_)) && ask.label.is_none() {
+        if matches!(self.types[traffic_type].1.effect, Redoing::Labelled(_)) && ask.idempotency_key.is_none()
+        {
             return wrong("no Idempotency-Key".into());
         }
-        if self.desk.names.contains(&ask.name) {
+        if self.desk.names.contains(&ask.request_id) {
             return Err(RequestError::Conflict);
         }
         if let Some(part) = ask.parts.iter().find(|part| part.shard >= self.shards) {
@@ -337,9 +338,9 @@
         Ok(ScanTaken {
             traffic_type,
             customer: customer.unwrap_or(0),
-            left: ask.left.less(self.desk.now.since(began)),
+            left: ask.time_left.less(self.desk.now.since(began)),
             work: ask.parts.iter().filter_map(|part| part.work).reduce(|a, b| a + b),
-            repeat: ask.repeat,
+            repeat: ask.is_retry,
             parts,
         })
     }
--- a/crates/mixer/src/routing/tests.rs
+++ b/crates/mixer/src/routing/tests.rs
@@ -53,13 +53,13 @@
         zone: "a".into(),
         cell: 0,
         ready,
-        gone: false,
-        started: None,
+        removed: false,
+        started_at: None,
     }
 }
 
 fn news(version: u64, whole: bool, rows: Vec<SearcherEntry>) -> ListUpdate {
-    ListUpdate { version, whole, rows }
+    ListUpdate { version, is_full: whole, entries: rows }
 }
 
 /// So many inside; the porch takes an eighth beside them, one at least.
@@ -86,12 +86,12 @@
 fn ask(name: &str, traffic_type: &str, shards: &[u32]) -> ScanRequest {
     let weight = 1.0 / shards.len() as f64;
     ScanRequest {
-        name: name.into(),
+        request_id: name.into(),
         traffic_type: traffic_type.into(),
         customer: "acme".into(),
-        left: Span::of_millis(4000),
-        repeat: false,
-        label: Some("k1".into()),
+        time_left: Span::of_millis(4000),
+        is_retry: false,
+        idempotency_key: Some("k1".into()),
         text: "c41e".into(),
         parts: shards.iter().map(|&shard| ScanPart { shard, weight, work: None }).collect(),
     }
@@ -195,7 +195,10 @@
     let mut ids = Vec::new();
     for Handed { link, errands, .. } in &handed {
         let errand = &errands[0];
-        assert_eq!((errand.waits_ms, errand.label.as_deref(), &*errand.text), (1985, Some("k1"), "c41e"));
+        assert_eq!(
+            (errand.timeout_ms, errand.idempotency_key.as_deref(), &*errand.text),
+            (1985, Some("k1"), "c41e")
+        );
         ids.push(errand.id.clone());
         play.back(*link, &errand.id, PartOutcome::Succeeded, &format!("v{}", errand.shard));
     }
@@ -573,7 +576,11 @@
 fn changes_older_than_what_was_told_change_nothing() {
     let mut play = play(2);
     play.feed(Event::Told(news(8, false, vec![row(0, false)])));
-    play.feed(Event::Told(news(7, false, vec![row(0, true), SearcherEntry { gone: true, ..row(1, false) }])));
+    play.feed(Event::Told(news(
+        7,
+        false,
+        vec![row(0, true), SearcherEntry { removed: true, ..row(1, false) }],
+    )));
     assert!(play.did(&look(None)) || play.did(&watch(None)), "the whole list is asked for");
     play.ask(ask("a", "look", &[0, 1, 2, 3]));
     assert!(play.dials().iter().all(|(_, to)| *to == 1));
@@ -623,8 +630,11 @@
     let mut play = play(1);
     let client = play.come();
     play.feed(Event::Stirred(client, Span::of_millis(300)));
-    play.feed(Event::Asked(client, ScanRequest { left: Span::of_millis(800), ..ask("a", "look", &[0]) }));
-    assert_eq!(play.send()[0].errands[0].waits_ms, 800 - 300 - 15);
+    play.feed(Event::Asked(
+        client,
+        ScanRequest { time_left: Span::of_millis(800), ..ask("a", "look", &[0]) },
+    ));
+    assert_eq!(play.send()[0].errands[0].timeout_ms, 800 - 300 - 15);
 }
 
 /// Half a request at the last call once became a scan that nobody might be there to answer.
@@ -663,7 +673,7 @@
     let mut play = play(1);
     let mut before = 0;
     for number in 1..200 {
-        let gone = SearcherEntry { gone: true, ..row(number - 1, false) };
+        let gone = SearcherEntry { removed: true, ..row(number - 1, false) };
         let changes = if number % 10 == 0 {
             news(5 + u64::from(number), true, vec![row(number, true)])
         } else {
@@ -689,7 +699,7 @@
 
 #[test_case(ask("a", "nothing", &[0]), RequestError::Path; "unknown traffic type")]
 #[test_case(ScanRequest { customer: "b".into(), ..ask("a", "look", &[0]) }, wrong("an unknown X-Tenant-Id"); "customer")]
-#[test_case(ScanRequest { label: None, ..ask("a", "fix", &[0]) }, wrong("no Idempotency-Key"); "no label")]
+#[test_case(ScanRequest { idempotency_key: None, ..ask("a", "fix", &[0]) }, wrong("no Idempotency-Key"); "no label")]
 #[test_case(ask("a", "look", &[8]), wrong("no range 8"); "unknown shard")]
 #[test_case(ask("a", "look", &[1, 1]), wrong("a range stands twice"); "a part twice")]
 #[test_case(ask("a", "look", &[]), wrong("the portions are not a whole"); "no parts")]
