--- a/crates/fronts/src/ids.rs
+++ b/crates/fronts/src/ids.rs
@@ -5,19 +5,19 @@
 
 /// What a front holds of each open scan. A slot is let again once its scan is closed, with a new turn, so an
 /// id that is kept too long finds nothing.
-pub struct Slots<T> {
+pub struct SlotMap<T> {
     slots: Vec<(u32, Option<T>)>,
     free: Vec<u32>,
 }
 
-impl<T> Default for Slots<T> {
+impl<T> Default for SlotMap<T> {
     fn default() -> Self {
         Self { slots: Vec::new(), free: Vec::new() }
     }
 }
 
-impl<T> Slots<T> {
-    pub fn open(&mut self, held: T) -> ScanId {
+impl<T> SlotMap<T> {
+    pub fn insert(&mut self, held: T) -> ScanId {
         let slot = self.free.pop().unwrap_or(self.slots.len() as u32);
         if slot as usize == self.slots.len() {
             self.slots.push((0, None));
@@ -35,7 +35,7 @@
         self.slots.get_mut(id.slot as usize).filter(|(turn, _)| *turn == id.turn)?.1.as_mut()
     }
 
-    pub fn close(&mut self, id: ScanId) -> Option<T> {
+    pub fn remove(&mut self, id: ScanId) -> Option<T> {
         let place = self.slots.get_mut(id.slot as usize).filter(|(turn, _)| *turn == id.turn);
         let held = place.and_then(|(_, held)| held.take())?;
         self.free.push(id.slot);
@@ -52,19 +52,19 @@
 }
 
 /// Searchers by name, as long as they are kept. A number is never given twice.
-pub struct Numbers<K> {
+pub struct SearcherRegistry<K> {
     numbers: BTreeMap<K, Searcher>,
     names: BTreeMap<Searcher, K>,
     given: u32,
 }
 
-impl<K> Default for Numbers<K> {
+impl<K> Default for SearcherRegistry<K> {
     fn default() -> Self {
         Self { numbers: BTreeMap::new(), names: BTreeMap::new(), given: 0 }
     }
 }
 
-impl<K: Ord + Clone> Numbers<K> {
+impl<K: Ord + Clone> SearcherRegistry<K> {
     /// Who had this name has it no more.
     pub fn remove(&mut self, name: &K) -> Option<Searcher> {
         let number = self.numbers.remove(name)?;
@@ -72,7 +72,7 @@
         Some(number)
     }
 
-    pub fn number(&mut self, name: &K) -> Searcher {
+    pub fn get_or_assign(&mut self, name: &K) -> Searcher {
         if let Some(known) = self.numbers.get(name) {
             return *known;
         }
@@ -83,7 +83,7 @@
         new
     }
 
-    pub fn known(&self, name: &K) -> Option<Searcher> {
+    pub fn get(&self, name: &K) -> Option<Searcher> {
         self.numbers.get(name).copied()
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Lets go of all but these; one that comes back gets a new number.
-    pub fn keep(&mut self, keep: impl Fn(&K) -> bool) {
+    pub fn retain(&mut self, keep: impl Fn(&K) -> bool) {
         self.numbers.retain(|name, _| keep(name));
         self.names.retain(|_, name| keep(name));
     }
@@ -100,28 +100,28 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{Numbers, Slots};
+    use super::{SearcherRegistry, SlotMap};
     use fernglade::Searcher;
 
     #[test]
     fn an_id_kept_too_long_finds_nothing() {
-        let mut slots = Slots::default();
-        let old = slots.open("a");
-        assert_eq!((slots.close(old), slots.close(old), slots.len()), (Some("a"), None, 0));
-        let new = slots.open("b");
+        let mut slots = SlotMap::default();
+        let old = slots.insert("a");
+        assert_eq!((slots.remove(old), slots.remove(old), slots.len()), (Some("a"), None, 0));
+        let new = slots.insert("b");
         assert_eq!((new.slot, slots.get(old), slots.get(new)), (old.slot, None, Some(&"b")));
     }
 
     #[test]
     fn searchers_are_numbered_as_they_are_first_named_and_no_number_is_given_twice() {
-        let mut numbers = Numbers::default();
+        let mut numbers = SearcherRegistry::default();
         assert_eq!(
-            (numbers.number(&"x"), numbers.number(&"y"), numbers.number(&"x")),
+            (numbers.get_or_assign(&"x"), numbers.get_or_assign(&"y"), numbers.get_or_assign(&"x")),
             (Searcher(0), Searcher(1), Searcher(0))
         );
-        assert_eq!((numbers.name(Searcher(1)), numbers.known(&"z")), (Some(&"y"), None));
-        numbers.keep(|name| *name != "x");
-        assert_eq!((numbers.known(&"x"), numbers.name(Searcher(0))), (None, None));
-        assert_eq!((numbers.number(&"x"), numbers.known(&"y")), (Searcher(2), Some(Searcher(1))));
+        assert_eq!((numbers.name(Searcher(1)), numbers.get(&"z")), (Some(&"y"), None));
+        numbers.retain(|name| *name != "x");
+        assert_eq!((numbers.get(&"x"), numbers.name(Searcher(0))), (None, None));
+        assert_eq!((numbers.get_or_assign(&"x"), numbers.get(&"y")), (Searcher(2), Some(Searcher(1))));
     }
 }
--- a/crates/fronts/src/lib.rs
+++ b/crates/fronts/src/lib.rs
@@ -1,7 +1,7 @@
 //! What every front needs: the readings taken at start, made into the module's parts, and ids as indices.
 
 mod ids;
-mod readings;
+mod settings;
 
-pub use ids::{Numbers, Slots};
-pub use readings::{Misread, Readings};
+pub use ids::{SearcherRegistry, SlotMap};
+pub use settings::{Settings, SettingsError};
--- a/crates/fronts/src/readings.rs
+++ b/crates/fronts/src/settings.rs
@@ -11,88 +11,89 @@
 
 /// What in the readings can't be used, and where it stands.
 #[derive(Debug, PartialEq)]
-pub struct Misread(pub String);
+pub struct SettingsError(pub String);
 
-impl fmt::Display for Misread {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-pub struct Readings(BTreeMap<String, String>);
+pub struct Settings(BTreeMap<String, String>);
 
-impl Readings {
+impl Settings {
     /// From `path=value` lines.
-    pub fn parse(text: &[u8]) -> Result<Self, Misread> {
-        let text = std::str::from_utf8(text).map_err(|e| Misread(format!("settings: not text: {e}")))?;
+    pub fn parse(text: &[u8]) -> Result<Self, SettingsError> {
+        let text =
+            std::str::from_utf8(text).map_err(|e| SettingsError(format!("settings: not text: {e}")))?;
         let lines = text.lines().filter(|line| !line.is_empty());
         let pair = |line: &str| {
-            let no_value = || Misread(format!("settings: a line without a value: {line:.60}"));
+            let no_value = || SettingsError(format!("settings: a line without a value: {line:.60}"));
             line.split_once('=').map(|(path, value)| (path.into(), value.into())).ok_or_else(no_value)
         };
         Ok(Self(lines.map(pair).collect::<Result<_, _>>()?))
     }
 
     /// From paths and values that were read elsewhere, in the same form.
-    pub fn of(pairs: BTreeMap<String, String>) -> Self {
+    pub fn from_pairs(pairs: BTreeMap<String, String>) -> Self {
         Self(pairs)
     }
 
-    pub fn number(&self, path: &str, absent: f64) -> Result<f64, Misread> {
+    pub fn number(&self, path: &str, absent: f64) -> Result<f64, SettingsError> {
         self.0.get(path).filter(|v| !v.is_empty()).map_or(Ok(absent), |v| decimal(path, v))
     }
 
     /// What nothing sensible stands in for, where it is missing: a number above nothing.
-    pub fn must_state(&self, path: &str) -> Result<(), Misread> {
+    pub fn require_positive(&self, path: &str) -> Result<(), SettingsError> {
         let stated = self.number(path, 0.0)? > 0.0;
         stated
             .then_some(())
-            .ok_or_else(|| Misread(format!("settings: {path}: a number above 0 has to be stated")))
+            .ok_or_else(|| SettingsError(format!("settings: {path}: a number above 0 has to be stated")))
     }
 
-    pub fn span(&self, path: &str) -> Result<Span, Misread> {
+    pub fn span(&self, path: &str) -> Result<Span, SettingsError> {
         Ok(Span::of_micros(self.number(path, 0.0)? as u64))
     }
 
     /// The own zone, where crossing to others has a price.
-    pub fn dear_outside(&self) -> Result<Option<u8>, Misread> {
+    pub fn home_zone(&self) -> Result<Option<u8>, SettingsError> {
         let (price, zone) = (self.number("deductions.cross_zone", 0.0)?, self.number("zone", 0.0)?);
         Ok((price > 0.0).then_some(zone as u8))
     }
 
-    pub fn yes(&self, path: &str) -> bool {
-        self.says(path, "true")
+    pub fn is_true(&self, path: &str) -> bool {
+        self.equals(path, "true")
     }
 
-    pub fn says(&self, path: &str, word: &str) -> bool {
+    pub fn equals(&self, path: &str, word: &str) -> bool {
         self.0.get(path).is_some_and(|value| value == word)
     }
 
     /// The names of a list of objects, in its order.
-    pub fn names(&self, path: &str) -> Result<Vec<String>, Misread> {
+    pub fn object_names(&self, path: &str) -> Result<Vec<String>, SettingsError> {
         let name = |i| self.0.get(&format!("{path}.{i}.name")).cloned().unwrap_or_default();
         Ok((0..self.count(path)?).map(name).collect())
     }
 
     /// A list of plain words.
-    pub fn words(&self, path: &str) -> Vec<String> {
+    pub fn string_list(&self, path: &str) -> Vec<String> {
         self.0.get(path).into_iter().flat_map(|v| v.split(',')).map(String::from).collect()
     }
 
-    fn list(&self, path: &str) -> Result<Vec<f64>, Misread> {
+    fn list(&self, path: &str) -> Result<Vec<f64>, SettingsError> {
         let values = self.0.get(path).filter(|v| !v.is_empty()).into_iter();
         values.flat_map(|v| v.split(',')).map(|v| decimal(path, v)).collect()
     }
 
-    fn count(&self, path: &str) -> Result<usize, Misread> {
+    fn count(&self, path: &str) -> Result<usize, SettingsError> {
         let count = self.number(&format!("{path}.count"), 0.0)?;
         if count > u16::MAX.into() {
-            return Err(Misread(format!("settings: {path}.count: {count} is too many")));
+            return Err(SettingsError(format!("settings: {path}.count: {count} is too many")));
         }
         Ok(count as usize)
     }
 
-    pub fn traffic_types(&self) -> Result<Vec<TrafficType>, Misread> {
+    pub fn traffic_types(&self) -> Result<Vec<TrafficType>, SettingsError> {
         let (floors, wholes) =
             (self.list("family_info.floor_by_class")?, self.list("family_info.complete_from")?);
         let seconds = self.list("family_info.fetch_parts")?;
@@ -105,7 +106,10 @@
                 Some("token") => Effect::Labelled(self.span(&at("window"))?),
                 Some("side_effect") | None => Effect::Irreversible,
                 Some(other) => {
-                    return Err(Misread(format!("settings: {}: unknown word {other:.40}", at("repeat"))))
+                    return Err(SettingsError(format!(
+                        "settings: {}: unknown word {other:.40}",
+                        at("repeat")
+                    )))
                 }
             };
             Ok(TrafficType {
@@ -123,7 +127,7 @@
         (0..self.count("services")?).map(one).collect()
     }
 
-    pub fn mixer(&self, seed: u64) -> Result<Mixer, Misread> {
+    pub fn build_mixer(&self, seed: u64) -> Result<Mixer, SettingsError> {
         let fleet = self.number("fleet_size", 1.0)?.max(1.0);
         let cold = SlowStart {
             fleet,
@@ -137,7 +141,7 @@
             self.number("family_info.cells", 1.0)? as u32,
             self.number("family_info.width", 1.0)? as u32,
             self.number("family_info.per_call", 1.0)? as usize,
-            self.yes("limits.may_probe"),
+            self.is_true("limits.may_probe"),
             cold,
         );
         let idle = self.span("limits.idle_close")?;
@@ -154,17 +158,21 @@
             fleet as usize,
             &(0..self.count("customers")?).map(quota).collect::<Result<Vec<_>, _>>()?,
             self.number("over_share_worth", 1.0)?,
-            self.says("worth_by", "work"),
-            if self.yes("limits.retry_after") { self.span("limits.max_retry_after")? } else { Span::ZERO },
+            self.equals("worth_by", "work"),
+            if self.is_true("limits.retry_after") {
+                self.span("limits.max_retry_after")?
+            } else {
+                Span::ZERO
+            },
         );
         let mut mixer = Mixer::new(self.traffic_types()?, roster, budget, shedding, self.span("tick")?);
         let grace = self.span("invariants.drain_grace")?;
-        mixer.pushed = self.says("discovery", "pushed").then_some(grace);
+        mixer.pushed = self.equals("discovery", "pushed").then_some(grace);
         Ok(mixer)
     }
 }
 
-fn decimal(path: &str, value: &str) -> Result<f64, Misread> {
+fn decimal(path: &str, value: &str) -> Result<f64, SettingsError> {
     let number = value.parse().ok().filter(|n: &f64| n.is_finite());
-    number.ok_or_else(|| Misread(format!("settings: {path}: not a number: {value:.40}")))
+    number.ok_or_else(|| SettingsError(format!("settings: {path}: not a number: {value:.40}")))
 }
--- a/crates/fronts/tests/passed_on.rs
+++ b/crates/fronts/tests/passed_on.rs
@@ -3,7 +3,7 @@
 
 use fernglade::choice::Mixer;
 use fernglade::{Host, Landing, Listing, Moment, PartTaken, ScanId, ScanTaken, Searcher, Span, Ticket};
-use fernglade_fronts::Readings;
+use fernglade_fronts::Settings;
 use std::collections::VecDeque;
 use test_case::test_case;
 
@@ -57,8 +57,8 @@
 
 impl Play {
     fn by(settings: &str) -> Self {
-        let readings = Readings::parse(format!("{PLAIN}\n{settings}").as_bytes()).unwrap();
-        let mut mixer = readings.mixer(7).unwrap();
+        let readings = Settings::parse(format!("{PLAIN}\n{settings}").as_bytes()).unwrap();
+        let mut mixer = readings.build_mixer(7).unwrap();
         let mut scene = Scene { now: Moment::at_micros(100_000_000), ..Scene::default() };
         let of = |number| Listing { searcher: Searcher(number), ready: true, ..Listing::default() };
         mixer.listed(&mut scene, true, &[of(0), of(1), of(2)]);
@@ -167,8 +167,8 @@
 #[test]
 fn a_pushed_list_comes_with_the_grace_of_its_drains() {
     let of = |settings: &str| {
-        let readings = Readings::parse(format!("{PLAIN}\n{settings}").as_bytes()).unwrap();
-        readings.mixer(7).unwrap().pushed
+        let readings = Settings::parse(format!("{PLAIN}\n{settings}").as_bytes()).unwrap();
+        readings.build_mixer(7).unwrap().pushed
     };
     assert_eq!(of("discovery=pushed\ninvariants.drain_grace=250000"), Some(Span::of_millis(250)));
     assert_eq!(of("discovery=on_request\ninvariants.drain_grace=250000"), None);
@@ -176,7 +176,7 @@
 
 #[test]
 fn an_unknown_effect_is_refused_by_its_line() {
-    let readings = Readings::parse(format!("{PLAIN}\nservices.0.repeat=perhaps").as_bytes()).unwrap();
-    let said = readings.mixer(7).err().map(|misread| misread.to_string()).unwrap_or_default();
+    let readings = Settings::parse(format!("{PLAIN}\nservices.0.repeat=perhaps").as_bytes()).unwrap();
+    let said = readings.build_mixer(7).err().map(|misread| misread.to_string()).unwrap_or_default();
     assert!(said.contains("services.0.repeat") && said.contains("perhaps"), "{said}");
 }
--- a/crates/mixer/src/program/orders.rs
+++ b/crates/mixer/src/program/orders.rs
@@ -4,7 +4,7 @@
 use crate::protocol::discovery::{parse_update, ListUpdate};
 use crate::protocol::json::Json;
 use fernglade_admission::Descriptors;
-use fernglade_fronts::Readings;
+use fernglade_fronts::Settings;
 use fernglade_orders::{digest, Operator};
 use std::collections::BTreeMap;
 use std::io;
@@ -27,7 +27,7 @@
     /// Where that file is.
     pub operator_file: Option<PathBuf>,
     pub known: ListUpdate,
-    pub readings: Readings,
+    pub readings: Settings,
 }
 
 impl Orders {
@@ -95,7 +95,7 @@
             settings: digest(None),
             operator_file: None,
             known: known.map_err(|what| format!("known: {what}"))?,
-            readings: Readings::of(pairs),
+            readings: Settings::from_pairs(pairs),
         })
     }
 }
--- a/crates/mixer/src/program/orders/tests.rs
+++ b/crates/mixer/src/program/orders/tests.rs
@@ -14,8 +14,8 @@
 fn the_settings_are_the_readings_of_the_simulators_wire() {
     let orders = read(ORDERS).unwrap();
     assert_eq!((orders.seed, orders.known.version), (0x8c1f_30d2_7a5b_e964, 41));
-    assert_eq!(orders.readings.words("areas"), ["a", "b"]);
-    assert_eq!(orders.readings.names("services"), Ok(vec!["x y".into()]));
+    assert_eq!(orders.readings.string_list("areas"), ["a", "b"]);
+    assert_eq!(orders.readings.object_names("services"), Ok(vec!["x y".into()]));
     assert_eq!(orders.readings.number("tick", 0.0), Ok(5000.0));
     assert!(orders.descriptors.sum() <= 1024);
 }
--- a/crates/mixer/src/routing/any_order.rs
+++ b/crates/mixer/src/routing/any_order.rs
@@ -7,7 +7,7 @@
 use crate::protocol::scans::{ScanPart, ScanRequest};
 use fernglade::{Moment, Span};
 use fernglade_admission::Descriptors;
-use fernglade_fronts::Readings;
+use fernglade_fronts::Settings;
 use fernglade_orders::Operator;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -106,7 +106,7 @@
 
 impl World {
     fn new(cancel: bool, batch: usize) -> Self {
-        let readings = Readings::parse(settings(cancel, batch).as_bytes()).unwrap();
+        let readings = Settings::parse(settings(cancel, batch).as_bytes()).unwrap();
         let berths = Descriptors { fixed: 0, told: 2, links: 4, clients: 7 };
         let state = State::new(&readings, 7, berths, &Operator::default(), "n0").unwrap();
         let mut world = Self {
--- a/crates/mixer/src/routing/desk.rs
+++ b/crates/mixer/src/routing/desk.rs
@@ -10,7 +10,7 @@
 use super::{CallId, ClientId, Effect, LinkId, Reply, Tongue};
 use crate::protocol::frames::{NodeRequest, PartRequest};
 use fernglade::{Host, Landing, Moment, ScanId, Searcher, Span, Ticket};
-use fernglade_fronts::Slots;
+use fernglade_fronts::SlotMap;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
@@ -54,7 +54,7 @@
     pub now: Moment,
     pub effects: Vec<Effect>,
     pub clients: Clients,
-    pub scans: Slots<Open>,
+    pub scans: SlotMap<Open>,
     /// Their names: no two that are open share one.
     pub names: BTreeSet<String>,
     /// Scans and parts that are open.
@@ -373,7 +373,7 @@
 
     /// What is held of a scan goes, and it is counted by how it left.
     pub fn close(&mut self, id: ScanId, how: Left) -> Option<Open> {
-        let open = self.scans.close(id)?;
+        let open = self.scans.remove(id)?;
         self.sums.left(open.traffic_type, how, self.now.since(open.since));
         self.names.remove(&open.name);
         self.held -= 1 + open.parts.len();
--- a/crates/mixer/src/routing/doors.rs
+++ b/crates/mixer/src/routing/doors.rs
@@ -10,7 +10,7 @@
 use fernglade_admission::Descriptors;
 use fernglade_dialect::request::Request;
 use fernglade_dialect::search::Search;
-use fernglade_fronts::Readings;
+use fernglade_fronts::Settings;
 use fernglade_orders::Operator;
 use fernglade_standins::cues::{shard, Manner};
 use rand::{Rng, SeedableRng};
@@ -187,7 +187,7 @@
 
 impl Night {
     fn new(door: Door, seed: u64) -> Self {
-        let readings = Readings::parse(SETTINGS.as_bytes()).unwrap();
+        let readings = Settings::parse(SETTINGS.as_bytes()).unwrap();
         let descriptors = Descriptors { fixed: 0, told: 8, links: 40, clients: 700 };
         let operator = Operator::read(INDICES).unwrap();
         let mut state = State::new(&readings, 7, descriptors, &operator, "n0").unwrap();
--- a/crates/mixer/src/routing/roll.rs
+++ b/crates/mixer/src/routing/roll.rs
@@ -3,7 +3,7 @@
 use super::{Effect, Tongue};
 use crate::protocol::discovery::{ListUpdate, SearcherEntry};
 use fernglade::{Listing, Searcher};
-use fernglade_fronts::Numbers;
+use fernglade_fronts::SearcherRegistry;
 use fernglade_orders::Dialect;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 /// Holds those on the list and no others.
 #[derive(Default)]
 pub struct Roll {
-    numbers: Numbers<String>,
+    numbers: SearcherRegistry<String>,
     lines: BTreeMap<Searcher, Line>,
     /// Where discovery is; nowhere until it is told.
     discovery: Option<SocketAddr>,
@@ -70,12 +70,12 @@
     }
 
     fn keep(&mut self, keep: impl Fn(&String) -> bool) {
-        self.numbers.keep(keep);
+        self.numbers.retain(keep);
         self.lines.retain(|searcher, _| self.numbers.name(*searcher).is_some());
     }
 
     fn list(&mut self, row: &SearcherEntry) -> Listing {
-        let searcher = self.numbers.number(&row.name);
+        let searcher = self.numbers.get_or_assign(&row.name);
         let tongue = if self.dialect.speaks(&row.name) { Tongue::Dialect } else { Tongue::Frames };
         let known = self.lines.get(&searcher).filter(|line| line.address == row.address);
         let version = known.and_then(|line| line.version.clone());
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -15,7 +15,7 @@
 use fernglade::{Effect as Redoing, Host, Landing, Moment, PartTaken, ScanTaken, Span, Ticket, TrafficType};
 use fernglade_admission::{Act, Descriptors, Guest};
 use fernglade_dialect::request::{health, root, table, Request, What};
-use fernglade_fronts::{Misread, Readings};
+use fernglade_fronts::{Settings, SettingsError};
 use fernglade_orders::Operator;
 use fernglade_shedding::{AsOne, Asks, Purse, Shedder};
 use std::collections::BTreeSet;
@@ -57,7 +57,7 @@
 }
 
 /// What this mixer does as one of its fleet, as far as the operator wants it.
-fn as_one(readings: &Readings, seed: u64, operator: &Operator) -> Result<AsOne, Misread> {
+fn as_one(readings: &Settings, seed: u64, operator: &Operator) -> Result<AsOne, SettingsError> {
     let fleet = readings.number("fleet_size", 1.0)?.max(1.0);
     Ok(AsOne {
         shedder: operator.sheds_as_one().then(Shedder::default),
@@ -67,47 +67,51 @@
 }
 
 /// What no deployment leaves out, and without which each scan would fail for no reason that anybody sees.
-fn has_what_it_needs(readings: &Readings) -> Result<(), Misread> {
+fn has_what_it_needs(readings: &Settings) -> Result<(), SettingsError> {
     let fixed =
         ["tick", "limits.dial_timeout", "family_info.cells", "family_info.width", "family_info.slabs"];
-    fixed.into_iter().chain(["services.count"]).try_for_each(|path| readings.must_state(path))?;
+    fixed.into_iter().chain(["services.count"]).try_for_each(|path| readings.require_positive(path))?;
     let of = |at: usize| ["aim", "give_up"].map(|name| format!("services.{at}.{name}"));
-    (0..readings.names("services")?.len()).flat_map(of).try_for_each(|path| readings.must_state(&path))
+    (0..readings.object_names("services")?.len())
+        .flat_map(of)
+        .try_for_each(|path| readings.require_positive(&path))
 }
 
 impl State {
     pub fn new(
-        readings: &Readings,
+        readings: &Settings,
         seed: u64,
         descriptors: Descriptors,
         operator: &Operator,
         name: &str,
-    ) -> Result<Self, Misread> {
+    ) -> Result<Self, SettingsError> {
         has_what_it_needs(readings)?;
-        let types: Vec<_> = readings.names("services")?.into_iter().zip(readings.traffic_types()?).collect();
+        let types: Vec<_> =
+            readings.object_names("services")?.into_iter().zip(readings.traffic_types()?).collect();
         if let Some((name, _)) = types.iter().find(|(_, kind)| kind.second_step) {
-            return Err(Misread(format!("settings: {name}: a second step is not spoken on sockets")));
+            return Err(SettingsError(format!("settings: {name}: a second step is not spoken on sockets")));
         }
         let mut desk = Desk::default();
         desk.clients = Clients::new(operator.house(), descriptors.clients);
         desk.roll.dialect = operator.dialect().clone();
-        desk.may_call_off = readings.yes("limits.cancel");
+        desk.may_call_off = readings.is_true("limits.cancel");
         desk.dial_within = readings.span("limits.dial_timeout")?;
         desk.pool.most = descriptors.links.max(1);
         desk.pool.per_link = readings.number("limits.multiplex", 1.0)?.max(1.0) as usize;
         desk.pool.per_call = readings.number("family_info.per_call", 1.0)?.max(1.0) as usize;
-        let areas = readings.words("areas");
+        let areas = readings.string_list("areas");
         desk.roll.dear_outside =
-            readings.dear_outside()?.map(|zone| areas.get(usize::from(zone)).cloned().unwrap_or_default());
-        let says = readings.yes("limits.retry_after");
+            readings.home_zone()?.map(|zone| areas.get(usize::from(zone)).cloned().unwrap_or_default());
+        let says = readings.is_true("limits.retry_after");
         let come_back = if says { readings.span("limits.max_retry_after")? } else { Span::ZERO };
         let (customers, shards) =
-            (readings.names("customers")?, readings.number("family_info.slabs", 0.0)? as u32);
-        let indices = Indices::new(operator.dialect(), &types, &customers, shards, seed).map_err(Misread)?;
+            (readings.object_names("customers")?, readings.number("family_info.slabs", 0.0)? as u32);
+        let indices =
+            Indices::new(operator.dialect(), &types, &customers, shards, seed).map_err(SettingsError)?;
         if operator.tells_figures() {
             desk.sums = Sums::of(types.len());
         }
-        let mut mixer = readings.mixer(seed)?;
+        let mut mixer = readings.build_mixer(seed)?;
         mixer.beside_queue = operator.checks_beside_queue();
         mixer.join(Box::new(as_one(readings, seed, operator)?));
         Ok(Self {
@@ -295,7 +299,7 @@
         let open =
             Open { client, name, label, text, traffic_type, since, parts, lost, size: 0, query, asked };
         self.desk.sums.taken(traffic_type);
-        let id = self.desk.scans.open(open);
+        let id = self.desk.scans.insert(open);
         self.desk.names.insert(ask.request_id);
         self.desk.clients.set(client, Doing::Waiting(id), self.desk.now);
         // The bench turns such scans away before they reach a mixer; here they come this far.
--- a/crates/mixer/src/routing/tests.rs
+++ b/crates/mixer/src/routing/tests.rs
@@ -6,7 +6,7 @@
 use crate::protocol::scans::{RequestError, ScanPart, ScanRequest};
 use fernglade::{Landing, Moment, Span};
 use fernglade_admission::Descriptors;
-use fernglade_fronts::Readings;
+use fernglade_fronts::Settings;
 use fernglade_orders::Operator;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use test_case::test_case;
@@ -69,7 +69,7 @@
 
 /// So many searchers that hold every shard; the last reading of a name stands.
 fn play_with(searchers: u16, more: &str, descriptors: Descriptors) -> Play {
-    let readings = Readings::parse(format!("{SETTINGS}{more}").as_bytes()).unwrap();
+    let readings = Settings::parse(format!("{SETTINGS}{more}").as_bytes()).unwrap();
     let state = State::new(&readings, 7, descriptors, &Operator::default(), "n0").unwrap();
     let now = Moment::at_micros(1_764_000_000_000_000);
     let mut play = Play { state, now, alarm: None, effects: Vec::new(), clients: 0 };
@@ -933,7 +933,7 @@
 
 /// Before so many searchers, with the index `cues` of the query dialect.
 fn play_in_dialect(searchers: u16) -> Play {
-    let readings = Readings::parse(SETTINGS.as_bytes()).unwrap();
+    let readings = Settings::parse(SETTINGS.as_bytes()).unwrap();
     let operator =
         Operator::read("{ dialect: { indices: { cues: { searches: 'look', customer: 'acme' } } } }").unwrap();
     let state = State::new(&readings, 7, berths(10, 10), &operator, "n0").unwrap();
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -3,7 +3,7 @@
 use crate::wire::{Fields, Malformed, Reply};
 use fernglade::choice::Mixer;
 use fernglade::{Host, Landing, Listing, Moment, PartTaken, ScanId, ScanTaken, Searcher, Span, Ticket};
-use fernglade_fronts::{Numbers, Readings, Slots};
+use fernglade_fronts::{SearcherRegistry, Settings, SlotMap};
 use std::collections::{BTreeSet, HashMap};
 
 /// A line of a numbered list, as it was sent.
@@ -36,24 +36,24 @@
     number: u16,
     /// The wire lets a relay be called off; where not, it ends by its own time.
     may_call_off: bool,
-    open: Slots<Open>,
+    open: SlotMap<Open>,
     scans: HashMap<u64, ScanId>,
     jobs: HashMap<u32, ScanId>,
     relays: HashMap<(u64, u16), Ticket>,
     tickets: HashMap<Ticket, (u64, u16)>,
-    searchers: Numbers<u32>,
+    searchers: SearcherRegistry<u32>,
 }
 
 impl Books {
     fn open(&mut self, corr: u64, job: u32) -> ScanId {
-        let id = self.open.open(Open { corr, job, parts: Vec::new() });
+        let id = self.open.insert(Open { corr, job, parts: Vec::new() });
         self.scans.insert(corr, id);
         self.jobs.insert(job, id);
         id
     }
 
     fn close(&mut self, id: ScanId) {
-        if let Some(held) = self.open.close(id) {
+        if let Some(held) = self.open.remove(id) {
             self.scans.remove(&held.corr);
             self.jobs.remove(&held.job);
         }
@@ -166,11 +166,11 @@
         let mut fields = Fields::new(fields, "PowerOn");
         let seed = fields.u64()?;
         let length = fields.u32()? as usize;
-        let readings = Readings::parse(fields.bytes(length)?)?;
-        let mixer = readings.mixer(seed)?;
-        let books = Books { number, may_call_off: readings.yes("limits.cancel"), ..Books::default() };
-        let mut instance = Self { mixer, books, arriving: None, dear_outside: readings.dear_outside()? };
-        if readings.says("discovery", "on_request") {
+        let readings = Settings::parse(fields.bytes(length)?)?;
+        let mixer = readings.build_mixer(seed)?;
+        let books = Books { number, may_call_off: readings.is_true("limits.cancel"), ..Books::default() };
+        let mut instance = Self { mixer, books, arriving: None, dear_outside: readings.home_zone()? };
+        if readings.equals("discovery", "on_request") {
             instance.with(now, reply, |mixer, host| mixer.watch(host, 0));
         }
         Ok(instance)
@@ -229,7 +229,7 @@
         let entries = entries.map_or(&[][..], Vec::as_slice);
         let dear_outside = self.dear_outside;
         let listing = |entry: &Entry| Listing {
-            searcher: self.books.searchers.number(&entry.wire_id),
+            searcher: self.books.searchers.get_or_assign(&entry.wire_id),
             cell: entry.cell.into(),
             ready: entry.status == 0,
             started: (entry.started != 0).then(|| Moment::at_micros(entry.started)),
@@ -240,7 +240,7 @@
         let (gone, here): (Vec<&Entry>, Vec<&Entry>) = entries.iter().partition(|entry| entry.status == GONE);
         let ids = |entries: Vec<&Entry>| entries.iter().map(|entry| entry.wire_id).collect::<BTreeSet<u32>>();
         let (gone, here) = (ids(gone), ids(here));
-        self.books.searchers.keep(|id| if how != 0 { here.contains(id) } else { !gone.contains(id) });
+        self.books.searchers.retain(|id| if how != 0 { here.contains(id) } else { !gone.contains(id) });
     }
 
     pub fn result(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), Malformed> {
@@ -283,7 +283,7 @@
     pub fn ping(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), Malformed> {
         let mut fields = Fields::new(fields, "PingResult");
         let (there, wire_id) = (fields.u8()? == 0, fields.u32()?);
-        if let Some(searcher) = self.books.searchers.known(&wire_id) {
+        if let Some(searcher) = self.books.searchers.get(&wire_id) {
             self.with(now, reply, |mixer, host| mixer.checked(host, searcher, there));
         }
         Ok(())
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,6 +1,6 @@
 //! The frames of the bench's wire: big-endian, no padding, records with their lengths.
 
-use fernglade_fronts::Misread;
+use fernglade_fronts::SettingsError;
 use std::fmt;
 use std::io::{self, Read};
 
@@ -20,8 +20,8 @@
     }
 }
 
-impl From<Misread> for Malformed {
-    fn from(Misread(text): Misread) -> Self {
+impl From<SettingsError> for Malformed {
+    fn from(SettingsError(text): SettingsError) -> Self {
         Malformed(text)
     }
 }
