--- a/crates/mixer/src/program/identity.rs
+++ b/crates/mixer/src/program/identity.rs
@@ -3,14 +3,14 @@
 use super::Orders;
 use crate::protocol::metrics::{bucket_bounds_micros, MixerMetrics, TrafficTypeMetrics};
 use crate::routing::{Figures, Line};
-use fernglade_orders::{digest, Operator};
+use fernglade_orders::{digest, OperatorConfig};
 use std::cell::{Cell, RefCell};
 use std::net::IpAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 #[derive(Default)]
 pub struct Identity {
-    operator: Operator,
+    operator: OperatorConfig,
     program: String,
     incarnation: String,
     settings: RefCell<String>,
@@ -20,7 +20,7 @@
 impl Identity {
     /// Nothing is read where nobody may ask.
     pub fn new(orders: &Orders) -> Self {
-        let tells = orders.operator.tells_figures();
+        let tells = orders.operator.exposes_metrics();
         // The file that this process began from, whatever stands at its path by now.
         let program = tells.then(|| std::fs::read("/proc/self/exe").ok()).flatten();
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
@@ -34,12 +34,12 @@
     }
 
     pub fn tells_to(&self, from: IpAddr) -> bool {
-        self.operator.tells_figures_to(from)
+        self.operator.may_read_metrics(from)
     }
 
     /// The operator's file was read again: its digest is told once all of it is in force, and not before.
     pub fn read_again(&self, orders: &Orders) -> bool {
-        let in_force = orders.operator.differs_by_house_rules_only(&self.operator);
+        let in_force = orders.operator.differs_only_in_admission(&self.operator);
         self.refused.set(!in_force);
         if in_force {
             self.settings.replace(orders.settings.clone());
--- a/crates/mixer/src/program/orders.rs
+++ b/crates/mixer/src/program/orders.rs
@@ -5,7 +5,7 @@
 use crate::protocol::json::Json;
 use fernglade_admission::Descriptors;
 use fernglade_fronts::Settings;
-use fernglade_orders::{digest, Operator};
+use fernglade_orders::{digest, OperatorConfig};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
     pub seed: u64,
     pub descriptors: Descriptors,
     /// What the operator's own file says; nothing where none is named.
-    pub operator: Operator,
+    pub operator: OperatorConfig,
     /// The digest of the text that it was read from.
     pub settings: String,
     /// Where that file is.
@@ -91,7 +91,7 @@
             discovery: address("discovery", "ROUTER_DISCOVERY")?,
             seed: seed.ok_or("seed is not a text of hex digits")?,
             descriptors: descriptors(sockets.unwrap_or(1024) as usize, allowed())?,
-            operator: Operator::default(),
+            operator: OperatorConfig::default(),
             settings: digest(None),
             operator_file: None,
             known: known.map_err(|what| format!("known: {what}"))?,
@@ -108,9 +108,9 @@
     std::fs::read(path)
 }
 
-fn operators(file: Vec<u8>) -> Result<(Operator, String), String> {
+fn operators(file: Vec<u8>) -> Result<(OperatorConfig, String), String> {
     let text = String::from_utf8(file).map_err(|_| "no UTF-8 text")?;
-    let operator = Operator::read(&text).map_err(|wrong| wrong.to_string())?;
+    let operator = OperatorConfig::parse(&text).map_err(|wrong| wrong.to_string())?;
     Ok((operator, digest(Some(text.as_bytes()))))
 }
 
--- a/crates/mixer/src/routing/any_order.rs
+++ b/crates/mixer/src/routing/any_order.rs
@@ -8,7 +8,7 @@
 use fernglade::{Moment, Span};
 use fernglade_admission::Descriptors;
 use fernglade_fronts::Settings;
-use fernglade_orders::Operator;
+use fernglade_orders::OperatorConfig;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, VecDeque};
@@ -108,7 +108,7 @@
     fn new(cancel: bool, batch: usize) -> Self {
         let readings = Settings::parse(settings(cancel, batch).as_bytes()).unwrap();
         let berths = Descriptors { fixed: 0, told: 2, links: 4, clients: 7 };
-        let state = State::new(&readings, 7, berths, &Operator::default(), "n0").unwrap();
+        let state = State::new(&readings, 7, berths, &OperatorConfig::default(), "n0").unwrap();
         let mut world = Self {
             state,
             now: Moment::at_micros(1_764_000_000_000_000),
--- a/crates/mixer/src/routing/doors.rs
+++ b/crates/mixer/src/routing/doors.rs
@@ -11,7 +11,7 @@
 use fernglade_dialect::request::Request;
 use fernglade_dialect::search::Search;
 use fernglade_fronts::Settings;
-use fernglade_orders::Operator;
+use fernglade_orders::OperatorConfig;
 use fernglade_standins::cues::{shard, Manner};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -189,7 +189,7 @@
     fn new(door: Door, seed: u64) -> Self {
         let readings = Settings::parse(SETTINGS.as_bytes()).unwrap();
         let descriptors = Descriptors { fixed: 0, told: 8, links: 40, clients: 700 };
-        let operator = Operator::read(INDICES).unwrap();
+        let operator = OperatorConfig::parse(INDICES).unwrap();
         let mut state = State::new(&readings, 7, descriptors, &operator, "n0").unwrap();
         let now = Moment::at_micros(1_764_000_000_000_000);
         let row = |number: u16| {
--- a/crates/mixer/src/routing/roll.rs
+++ b/crates/mixer/src/routing/roll.rs
@@ -76,7 +76,7 @@
 
     fn list(&mut self, row: &SearcherEntry) -> Listing {
         let searcher = self.numbers.get_or_assign(&row.name);
-        let tongue = if self.dialect.speaks(&row.name) { Tongue::Dialect } else { Tongue::Frames };
+        let tongue = if self.dialect.is_node(&row.name) { Tongue::Dialect } else { Tongue::Frames };
         let known = self.lines.get(&searcher).filter(|line| line.address == row.address);
         let version = known.and_then(|line| line.version.clone());
         self.lines.insert(searcher, Line { tongue, version, address: row.address, ready: row.ready });
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -16,7 +16,7 @@
 use fernglade_admission::{Act, Descriptors, Guest};
 use fernglade_dialect::request::{health, root, table, Request, What};
 use fernglade_fronts::{Settings, SettingsError};
-use fernglade_orders::Operator;
+use fernglade_orders::OperatorConfig;
 use fernglade_shedding::{AsOne, Asks, Purse, Shedder};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -57,12 +57,12 @@
 }
 
 /// What this mixer does as one of its fleet, as far as the operator wants it.
-fn as_one(readings: &Settings, seed: u64, operator: &Operator) -> Result<AsOne, SettingsError> {
+fn as_one(readings: &Settings, seed: u64, operator: &OperatorConfig) -> Result<AsOne, SettingsError> {
     let fleet = readings.number("fleet_size", 1.0)?.max(1.0);
     Ok(AsOne {
-        shedder: operator.sheds_as_one().then(Shedder::default),
-        purse: operator.relays_in_sum().then(|| Purse::new(fleet, seed)),
-        asks: operator.asks_in_sum().then(|| Asks::new(fleet, seed)),
+        shedder: operator.sheds_fleet_wide().then(Shedder::default),
+        purse: operator.limits_retries_fleet_wide().then(|| Purse::new(fleet, seed)),
+        asks: operator.limits_probes_fleet_wide().then(|| Asks::new(fleet, seed)),
     })
 }
 
@@ -82,7 +82,7 @@
         readings: &Settings,
         seed: u64,
         descriptors: Descriptors,
-        operator: &Operator,
+        operator: &OperatorConfig,
         name: &str,
     ) -> Result<Self, SettingsError> {
         has_what_it_needs(readings)?;
@@ -92,7 +92,7 @@
             return Err(SettingsError(format!("settings: {name}: a second step is not spoken on sockets")));
         }
         let mut desk = Desk::default();
-        desk.clients = Clients::new(operator.house(), descriptors.clients);
+        desk.clients = Clients::new(operator.admission_rules(), descriptors.clients);
         desk.roll.dialect = operator.dialect().clone();
         desk.may_call_off = readings.is_true("limits.cancel");
         desk.dial_within = readings.span("limits.dial_timeout")?;
@@ -108,11 +108,11 @@
             (readings.object_names("customers")?, readings.number("family_info.slabs", 0.0)? as u32);
         let indices =
             Indices::new(operator.dialect(), &types, &customers, shards, seed).map_err(SettingsError)?;
-        if operator.tells_figures() {
+        if operator.exposes_metrics() {
             desk.sums = Sums::of(types.len());
         }
         let mut mixer = readings.build_mixer(seed)?;
-        mixer.beside_queue = operator.checks_beside_queue();
+        mixer.beside_queue = operator.probes_bypass_queue();
         mixer.join(Box::new(as_one(readings, seed, operator)?));
         Ok(Self {
             mixer,
--- a/crates/mixer/src/routing/tests.rs
+++ b/crates/mixer/src/routing/tests.rs
@@ -7,7 +7,7 @@
 use fernglade::{Landing, Moment, Span};
 use fernglade_admission::Descriptors;
 use fernglade_fronts::Settings;
-use fernglade_orders::Operator;
+use fernglade_orders::OperatorConfig;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use test_case::test_case;
 
@@ -70,7 +70,7 @@
 /// So many searchers that hold every shard; the last reading of a name stands.
 fn play_with(searchers: u16, more: &str, descriptors: Descriptors) -> Play {
     let readings = Settings::parse(format!("{SETTINGS}{more}").as_bytes()).unwrap();
-    let state = State::new(&readings, 7, descriptors, &Operator::default(), "n0").unwrap();
+    let state = State::new(&readings, 7, descriptors, &OperatorConfig::default(), "n0").unwrap();
     let now = Moment::at_micros(1_764_000_000_000_000);
     let mut play = Play { state, now, alarm: None, effects: Vec::new(), clients: 0 };
     let known = news(5, true, (0..searchers).map(|number| row(number, true)).collect());
@@ -935,7 +935,8 @@
 fn play_in_dialect(searchers: u16) -> Play {
     let readings = Settings::parse(SETTINGS.as_bytes()).unwrap();
     let operator =
-        Operator::read("{ dialect: { indices: { cues: { searches: 'look', customer: 'acme' } } } }").unwrap();
+        OperatorConfig::parse("{ dialect: { indices: { cues: { searches: 'look', customer: 'acme' } } } }")
+            .unwrap();
     let state = State::new(&readings, 7, berths(10, 10), &operator, "n0").unwrap();
     let now = Moment::at_micros(1_764_000_000_000_000);
     let mut play = Play { state, now, alarm: None, effects: Vec::new(), clients: 0 };
--- a/crates/orders/src/admission.rs
+++ b/crates/orders/src/admission.rs
@@ -62,7 +62,7 @@
         Ok(())
     }
 
-    pub fn house(&self) -> HouseRules {
+    pub fn rules(&self) -> HouseRules {
         HouseRules {
             per_caller: self.per_address,
             per_prefix: self.per_prefix,
--- a/crates/orders/src/dialect.rs
+++ b/crates/orders/src/dialect.rs
@@ -16,7 +16,7 @@
 }
 
 impl Dialect {
-    pub fn speaks(&self, searcher: &str) -> bool {
+    pub fn is_node(&self, searcher: &str) -> bool {
         self.nodes.iter().any(|name| match name.strip_suffix('*') {
             Some(start) => searcher.starts_with(start),
             None => searcher == name,
--- a/crates/orders/src/file.rs
+++ b/crates/orders/src/file.rs
@@ -10,7 +10,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Operator {
+pub struct OperatorConfig {
     admission: Admission,
     dialect: Dialect,
     searchers: Searchers,
@@ -55,14 +55,14 @@
 
 /// What is wrong, and where.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wrong {
+pub struct ConfigError {
     pub line: Option<usize>,
     /// The key's path, `admission.known[1]`; empty where the text is no JSON5.
     pub key: String,
-    pub what: String,
+    pub message: String,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for ConfigError {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         if let Some(line) = self.line {
             write!(to, "line {line}: ")?;
@@ -70,13 +70,13 @@
         if !self.key.is_empty() {
             write!(to, "{}: ", self.key)?;
         }
-        to.write_str(&self.what)
+        to.write_str(&self.message)
     }
 }
 
-impl Operator {
+impl OperatorConfig {
     /// Whole, or not at all.
-    pub fn read(text: &str) -> Result<Self, Wrong> {
+    pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let mut reader = json5::Deserializer::from_str(text);
         let read: Result<Self, _> = serde_path_to_error::deserialize(&mut reader);
         let operator = read.map_err(|error| {
@@ -86,12 +86,12 @@
             // The place is told once, by line.
             let what = inner.to_string();
             let what = what.split(" at line ").next().unwrap_or_default().to_string();
-            Wrong { line, key: if key == "." { String::new() } else { key }, what }
+            ConfigError { line, key: if key == "." { String::new() } else { key }, message: what }
         })?;
-        operator.admission.check().map_err(|(key, what)| Wrong {
+        operator.admission.check().map_err(|(key, what)| ConfigError {
             line: line_of(text, key),
             key: key.into(),
-            what,
+            message: what,
         })?;
         Ok(operator)
     }
@@ -101,37 +101,37 @@
         &self.dialect
     }
 
-    pub fn house(&self) -> HouseRules {
-        self.admission.house()
+    pub fn admission_rules(&self) -> HouseRules {
+        self.admission.rules()
     }
 
-    pub fn checks_beside_queue(&self) -> bool {
+    pub fn probes_bypass_queue(&self) -> bool {
         self.searchers.checks_beside_queue
     }
 
-    pub fn sheds_as_one(&self) -> bool {
+    pub fn sheds_fleet_wide(&self) -> bool {
         self.shedding.as_one
     }
 
-    pub fn relays_in_sum(&self) -> bool {
+    pub fn limits_retries_fleet_wide(&self) -> bool {
         self.fleet.relays_in_sum
     }
 
-    pub fn asks_in_sum(&self) -> bool {
+    pub fn limits_probes_fleet_wide(&self) -> bool {
         self.fleet.asks_in_sum
     }
 
     /// Whether anybody may read the figures, and whether one from there may.
-    pub fn tells_figures(&self) -> bool {
+    pub fn exposes_metrics(&self) -> bool {
         !self.figures.to.is_empty()
     }
 
-    pub fn tells_figures_to(&self, from: IpAddr) -> bool {
+    pub fn may_read_metrics(&self, from: IpAddr) -> bool {
         self.figures.to.iter().any(|network| network.contains(&from.to_canonical()))
     }
 
     /// Whether all that is taken up at the start only is as in `other`: what differs can be taken up by a running mixer.
-    pub fn differs_by_house_rules_only(&self, other: &Self) -> bool {
+    pub fn differs_only_in_admission(&self, other: &Self) -> bool {
         let bare = |of: &Self| Self { admission: Admission::default(), ..of.clone() };
         bare(self) == bare(other)
     }
@@ -154,16 +154,16 @@
 
 #[cfg(test)]
 mod tests {
-    use super::Operator;
+    use super::OperatorConfig;
     use test_case::test_case;
 
     #[test]
     fn every_key_of_the_shipped_file_is_read_and_all_is_off_there() {
         let text = include_str!("../../../deploy/operator.json5");
-        assert_eq!(Operator::read(text).unwrap().house(), Default::default());
+        assert_eq!(OperatorConfig::parse(text).unwrap().admission_rules(), Default::default());
         // The same with each key's example taken out of its comment.
         let on: String = text.lines().map(|line| line.replacen("//: ", "", 1) + "\n").collect();
-        let house = Operator::read(&on).unwrap().house();
+        let house = OperatorConfig::parse(&on).unwrap().admission_rules();
         assert!(house.per_caller.is_some() && house.per_prefix.is_some() && house.caller_pace.is_some());
         assert!(
             house.whole_pace.is_some()
@@ -172,20 +172,26 @@
                 && house.come_back.is_some()
         );
         assert!(house.known.holds("10.20.3.4".parse().unwrap()));
-        let dialect = Operator::read(&on).unwrap().dialect().clone();
+        let dialect = OperatorConfig::parse(&on).unwrap().dialect().clone();
         assert!(dialect.indices["cues"].partial && dialect.indices["cues"].edits.is_some());
-        assert!(Operator::read(text).unwrap().dialect().indices.is_empty());
+        assert!(OperatorConfig::parse(text).unwrap().dialect().indices.is_empty());
         assert!(
-            Operator::read(&on).unwrap().checks_beside_queue() && Operator::read(&on).unwrap().sheds_as_one()
+            OperatorConfig::parse(&on).unwrap().probes_bypass_queue()
+                && OperatorConfig::parse(&on).unwrap().sheds_fleet_wide()
         );
-        assert!(Operator::read(&on).unwrap().relays_in_sum() && Operator::read(&on).unwrap().asks_in_sum());
         assert!(
-            !Operator::read(text).unwrap().relays_in_sum() && !Operator::read(text).unwrap().asks_in_sum()
+            OperatorConfig::parse(&on).unwrap().limits_retries_fleet_wide()
+                && OperatorConfig::parse(&on).unwrap().limits_probes_fleet_wide()
         );
-        assert!(!Operator::read(text).unwrap().sheds_as_one());
-        let asked = |text: &str| Operator::read(text).unwrap().tells_figures_to("127.0.0.9".parse().unwrap());
+        assert!(
+            !OperatorConfig::parse(text).unwrap().limits_retries_fleet_wide()
+                && !OperatorConfig::parse(text).unwrap().limits_probes_fleet_wide()
+        );
+        assert!(!OperatorConfig::parse(text).unwrap().sheds_fleet_wide());
+        let asked =
+            |text: &str| OperatorConfig::parse(text).unwrap().may_read_metrics("127.0.0.9".parse().unwrap());
         assert!(asked(&on) && !asked(text));
-        assert!(!Operator::read(text).unwrap().checks_beside_queue());
+        assert!(!OperatorConfig::parse(text).unwrap().probes_bypass_queue());
     }
 
     #[test_case("{\n admission: {\n  per_adress: 3 } }", 3, "admission.per_adress", "per_address"; "an unknown key")]
@@ -203,8 +209,8 @@
         key: &str,
         says: &str,
     ) {
-        let wrong = Operator::read(text).unwrap_err();
-        assert!(wrong.key.starts_with(key) && wrong.what.contains(says), "{wrong}");
+        let wrong = OperatorConfig::parse(text).unwrap_err();
+        assert!(wrong.key.starts_with(key) && wrong.message.contains(says), "{wrong}");
         assert!(wrong.line.is_none_or(|told| told.abs_diff(line) <= 1), "{wrong}");
     }
 }
--- a/crates/orders/src/lib.rs
+++ b/crates/orders/src/lib.rs
@@ -7,4 +7,4 @@
 mod units;
 
 pub use dialect::{Dialect, Index};
-pub use file::{digest, Operator, Wrong};
+pub use file::{digest, ConfigError, OperatorConfig};
