--- a/crates/mixer/src/protocol/scans.rs
+++ b/crates/mixer/src/protocol/scans.rs
@@ -1,4 +1,4 @@
-//! What clients ask, and what they are answered.
+//! Requests from clients, and the responses to them.
 
 use super::http::{response, Message};
 use super::json::{quote, Json};
@@ -6,62 +6,73 @@
 use fernglade_dialect::request::Request;
 use std::collections::BTreeSet;
 
-/// A scan as its client asks for it, names not looked up.
+/// A scan as requested by a client. Traffic type and customer are names that have not been resolved yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScanRequest {
     pub request_id: String,
     pub traffic_type: String,
     pub customer: String,
+    /// Time that the client still waits.
     pub time_left: Span,
+    /// The client has sent this scan before.
     pub is_retry: bool,
     pub idempotency_key: Option<String>,
+    /// The query text, passed on to searchers unchanged.
     pub text: String,
     pub parts: Vec<ScanPart>,
 }
 
+/// One part of a requested scan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScanPart {
     pub shard: u32,
+    /// Share of the whole answer, from 0 to 1.
     pub weight: f64,
+    /// Estimated execution time, if the client states one.
     pub work: Option<Span>,
 }
 
-/// What a client may send, and what is wrong with it.
+/// A valid request from a client.
 #[derive(Debug, PartialEq)]
 pub enum ClientRequest {
     Health,
-    /// What this mixer tells of itself, of those who may ask.
+    /// The mixer's metrics, which only permitted addresses may read.
     Metrics,
     Scan(ScanRequest),
-    /// In the query dialect.
+    /// A request in the query dialect.
     Query(Box<Request>),
 }
 
+/// Why a request is refused. Variant names are part of the query API: an error without its own text there is sent to
+/// the client in its `Debug` form.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestError {
     Invalid(String),
+    /// No traffic type of this name.
     Path,
     Method,
+    /// A scan with the same request id is open.
     Conflict,
     HeadTooLong,
     BodyTooLong,
-    /// In the words of the query dialect.
+    /// An error of the query dialect.
     Dialect(fernglade_dialect::Fault),
 }
 
-fn blame(what: impl Into<String>) -> RequestError {
-    RequestError::Invalid(what.into())
+fn invalid(message: impl Into<String>) -> RequestError {
+    RequestError::Invalid(message.into())
 }
 
-/// `indices` are those of the query dialect, which is not spoken where there are none.
+/// Parses a request. `indices` are the configured indices of the query dialect; without any, requests in the dialect
+/// are not recognised.
 pub fn parse_request(message: &Message, indices: &BTreeSet<String>) -> Result<ClientRequest, RequestError> {
     let [method, target, _] = &message.start_line;
     let path = target.split('?').next().unwrap_or_default();
-    let mut steps = path.trim_start_matches('/').split('/');
-    let (first, second) = (steps.next().unwrap_or_default(), steps.next().unwrap_or_default());
-    let of_dialect =
+    let mut segments = path.trim_start_matches('/').split('/');
+    let (first, second) = (segments.next().unwrap_or_default(), segments.next().unwrap_or_default());
+    let is_dialect =
         first.is_empty() || first.starts_with('_') || second.starts_with('_') || indices.contains(first);
-    if !indices.is_empty() && of_dialect {
+    if !indices.is_empty() && is_dialect {
         let request = Request::read(method, target, |name| message.header(name), &message.body);
         return request.map(|request| ClientRequest::Query(Box::new(request))).map_err(RequestError::Dialect);
     }
@@ -69,69 +80,76 @@
         ("GET" | "HEAD", "/healthz") => Ok(ClientRequest::Health),
         (_, "/healthz") => Err(RequestError::Method),
         ("GET", "/figures") => Ok(ClientRequest::Metrics),
-        ("POST", path) => scan(message, path).map(ClientRequest::Scan),
+        ("POST", path) => parse_scan(message, path).map(ClientRequest::Scan),
         ("GET" | "HEAD" | "PUT" | "DELETE" | "PATCH" | "OPTIONS", _) => Err(RequestError::Method),
-        _ => Err(blame("an unknown method")),
+        _ => Err(invalid("an unknown method")),
     }
 }
 
-fn scan(message: &Message, path: &str) -> Result<ScanRequest, RequestError> {
-    let wanted = path.trim_start_matches('/').split('/').next().unwrap_or_default();
-    let traffic_type = message.header("x-priority-class").unwrap_or(wanted);
-    if traffic_type != wanted || wanted.is_empty() {
+fn parse_scan(message: &Message, path: &str) -> Result<ScanRequest, RequestError> {
+    let path_type = path.trim_start_matches('/').split('/').next().unwrap_or_default();
+    let traffic_type = message.header("x-priority-class").unwrap_or(path_type);
+    if traffic_type != path_type || path_type.is_empty() {
         return Err(RequestError::Path);
     }
-    let name = message.header("x-request-id").and_then(token).ok_or_else(|| blame("no X-Request-ID"))?;
-    let left = message.header("x-timeout").and_then(seconds).ok_or_else(|| blame("no sensible X-Timeout"))?;
-    let label = message.header("idempotency-key");
-    let label =
-        label.map(|key| token(key).ok_or_else(|| blame("a malformed Idempotency-Key"))).transpose()?;
-    let body = Json::parse(&message.body).map_err(|what| blame(format!("the body is no JSON: {what}")))?;
-    let text = body.get("predicate").and_then(Json::as_str).ok_or_else(|| blame("no predicate"))?;
-    let ranges = body.get("ranges").and_then(Json::as_array).ok_or_else(|| blame("no ranges"))?;
+    let request_id =
+        message.header("x-request-id").and_then(parse_token).ok_or_else(|| invalid("no X-Request-ID"))?;
+    let time_left = message
+        .header("x-timeout")
+        .and_then(parse_seconds)
+        .ok_or_else(|| invalid("no sensible X-Timeout"))?;
+    let key = message.header("idempotency-key");
+    let idempotency_key =
+        key.map(|key| parse_token(key).ok_or_else(|| invalid("a malformed Idempotency-Key"))).transpose()?;
+    let body =
+        Json::parse(&message.body).map_err(|error| invalid(format!("the body is no JSON: {error}")))?;
+    let text = body.get("predicate").and_then(Json::as_str).ok_or_else(|| invalid("no predicate"))?;
+    let ranges = body.get("ranges").and_then(Json::as_array).ok_or_else(|| invalid("no ranges"))?;
     Ok(ScanRequest {
-        request_id: name,
+        request_id,
         traffic_type: traffic_type.into(),
         customer: message.header("x-tenant-id").unwrap_or_default().into(),
-        time_left: left,
+        time_left,
         is_retry: message.header("x-retried") == Some("1"),
-        idempotency_key: label,
+        idempotency_key,
         text: text.into(),
-        parts: ranges.iter().map(part).collect::<Result<_, _>>()?,
+        parts: ranges.iter().map(parse_part).collect::<Result<_, _>>()?,
     })
 }
 
-fn part(range: &Json) -> Result<ScanPart, RequestError> {
+fn parse_part(range: &Json) -> Result<ScanPart, RequestError> {
     let shard = range.get("range").and_then(Json::as_u64).and_then(|shard| u32::try_from(shard).ok());
     let weight = range.get("portion").and_then(Json::as_f64).filter(|w| (0.0..=1.001).contains(w));
     let work = range.get("price").and_then(Json::as_f64).filter(|price| *price >= 0.0);
     Ok(ScanPart {
-        shard: shard.ok_or_else(|| blame("a range has no number"))?,
-        weight: weight.ok_or_else(|| blame("a range has no sensible portion"))?,
+        shard: shard.ok_or_else(|| invalid("a range has no number"))?,
+        weight: weight.ok_or_else(|| invalid("a range has no sensible portion"))?,
         work: work.map(|price| Span::of_micros(price as u64)),
     })
 }
 
-/// It goes into searchers' frames, where blanks and commas part words.
-fn token(text: &str) -> Option<String> {
-    let plain = |b: u8| b.is_ascii_graphic() && b != b',';
-    (!text.is_empty() && text.len() <= 128 && text.bytes().all(plain)).then(|| text.into())
+/// Accepts an id or key of at most 128 graphic ASCII characters without commas: it is written into searchers' frames,
+/// where spaces and commas are separators.
+fn parse_token(text: &str) -> Option<String> {
+    let is_allowed = |b: u8| b.is_ascii_graphic() && b != b',';
+    (!text.is_empty() && text.len() <= 128 && text.bytes().all(is_allowed)).then(|| text.into())
 }
 
-/// Up to a day; more is no time that a client waits.
-fn seconds(text: &str) -> Option<Span> {
-    let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    let seconds: f64 = text.parse().ok().filter(|_| digits)?;
+/// Parses a positive number of seconds, of at most one day: no client waits longer.
+fn parse_seconds(text: &str) -> Option<Span> {
+    let is_decimal = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
+    let seconds: f64 = text.parse().ok().filter(|_| is_decimal)?;
     (seconds > 0.0 && seconds <= 86_400.0).then(|| Span::of_micros((seconds * 1e6) as u64))
 }
 
-/// What an answer takes beside its values, for each part.
+/// Bytes of a response per part in addition to the part's value.
 pub const PART_OVERHEAD_BYTES: usize = 40;
 
-pub fn scan_response(whole: bool, values: &[(u32, String)], close: bool) -> Vec<u8> {
-    let mut body = format!("{{\"total\":{whole},\"answers\":[");
-    for (at, (shard, value)) in values.iter().enumerate() {
-        body.push_str(&format!("{}{{\"range\":{shard},\"blob\":", if at > 0 { "," } else { "" }));
+/// The answer to a scan; `is_complete` says whether it counts as whole.
+pub fn scan_response(is_complete: bool, values: &[(u32, String)], close: bool) -> Vec<u8> {
+    let mut body = format!("{{\"total\":{is_complete},\"answers\":[");
+    for (index, (shard, value)) in values.iter().enumerate() {
+        body.push_str(&format!("{}{{\"range\":{shard},\"blob\":", if index > 0 { "," } else { "" }));
         quote(value, &mut body);
         body.push('}');
     }
@@ -139,31 +157,34 @@
     response(200, &[("Content-Type", "application/json")], &body, close)
 }
 
-/// Asking again is harmless, after a pause.
+/// The response to a scan that may safely be sent again after `pause`.
 pub fn retry_later_response(pause: Span, close: bool) -> Vec<u8> {
     let seconds = format!("{:.3}", pause.as_f64() / 1e6);
-    let advice = [("Retry-After", seconds.as_str())];
-    response(503, if pause > Span::ZERO { &advice } else { &[] }, "", close)
+    let retry_after = [("Retry-After", seconds.as_str())];
+    response(503, if pause > Span::ZERO { &retry_after } else { &[] }, "", close)
 }
 
+/// The response to a failed scan whose parts may have run: it does not invite the client to send it again.
 pub fn failure_response(close: bool) -> Vec<u8> {
     response(502, &[], "", close)
 }
 
+/// The response to a health check.
 pub fn health_response(ready: bool, close: bool) -> Vec<u8> {
     response(if ready { 200 } else { 503 }, &[], "", close)
 }
 
+/// The response to a request for the metrics.
 pub fn metrics_response(text: &str, close: bool) -> Vec<u8> {
-    let form = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-    response(200, &[("Content-Type", form)], text, close)
+    let content_type = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+    response(200, &[("Content-Type", content_type)], text, close)
 }
 
-/// An answer in the query dialect.
+/// A response in the query dialect.
 pub fn dialect_response(status: u16, body: &str, pause: Span, opaque: Option<&str>, close: bool) -> Vec<u8> {
     let seconds = (pause.micros().div_ceil(1_000_000)).to_string();
     let mut headers = vec![("Content-Type", "application/json; charset=UTF-8")];
-    // That API's clients read whole seconds.
+    // Clients of the query API expect whole seconds.
     if matches!(status, 429 | 503) && pause > Span::ZERO {
         headers.push(("Retry-After", &seconds));
     }
@@ -171,13 +192,14 @@
     response(status, &headers, body, close)
 }
 
-pub fn error_response(why: &RequestError, close: bool) -> Vec<u8> {
-    let (status, says) = match why {
+/// The response to a request that is refused.
+pub fn error_response(error: &RequestError, close: bool) -> Vec<u8> {
+    let (status, text) = match error {
         RequestError::Dialect(fault) => {
             let body = fault.body().to_string();
             return dialect_response(fault.kind.status(), &body, Span::ZERO, None, close);
         }
-        RequestError::Invalid(what) => (400, what.as_str()),
+        RequestError::Invalid(message) => (400, message.as_str()),
         RequestError::Path => (404, "no such traffic type here"),
         RequestError::Method => (405, "scans are posted, /healthz is got"),
         RequestError::Conflict => (409, "a scan of this X-Request-ID is open"),
@@ -185,7 +207,7 @@
         RequestError::BodyTooLong => (413, "the body is too long"),
     };
     let allow: &[(&str, &str)] = if status == 405 { &[("Allow", "GET, POST")] } else { &[] };
-    response(status, &[&[("Content-Type", "text/plain")], allow].concat(), &format!("{says}\n"), close)
+    response(status, &[&[("Content-Type", "text/plain")], allow].concat(), &format!("{text}\n"), close)
 }
 
 #[cfg(test)]
@@ -196,7 +218,7 @@
 
     const BODY: &str = r#"{"ranges":[{"range":3,"portion":0.5,"price":9000},{"range":9,"portion":0.5}],"predicate":"c\u00e9\n"}"#;
 
-    fn asked(target: &str, headers: &str, body: &str) -> Result<ClientRequest, RequestError> {
+    fn parse_post(target: &str, headers: &str, body: &str) -> Result<ClientRequest, RequestError> {
         let length = body.len();
         let text = format!("POST {target} HTTP/1.1\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
         parse_request(&Reader::default().read(text.as_bytes()).unwrap().1.unwrap(), &BTreeSet::new())
@@ -206,41 +228,47 @@
                            X-Timeout: 0.480\r\nIdempotency-Key: 5c0f\r\nX-Retried: 1\r\n";
 
     #[test]
-    fn a_scan_is_read_with_all_that_it_says() {
-        let Ok(ClientRequest::Scan(ask)) = asked("/checkout?key=7f", HEADERS, BODY) else {
+    fn a_scan_is_parsed_with_all_its_fields() {
+        let Ok(ClientRequest::Scan(scan)) = parse_post("/checkout?key=7f", HEADERS, BODY) else {
             panic!("no scan")
         };
-        assert_eq!((ask.request_id.as_str(), ask.customer.as_str(), ask.is_retry), ("9b1f", "acme", true));
-        assert_eq!((ask.time_left, ask.idempotency_key.as_deref()), (Span::of_millis(480), Some("5c0f")));
-        assert_eq!(ask.text, "cé\n", "escapes are undone once");
+        assert_eq!((scan.request_id.as_str(), scan.customer.as_str(), scan.is_retry), ("9b1f", "acme", true));
+        assert_eq!((scan.time_left, scan.idempotency_key.as_deref()), (Span::of_millis(480), Some("5c0f")));
+        assert_eq!(scan.text, "cé\n", "escapes are decoded once");
         let work = Some(Span::of_millis(9));
-        assert_eq!(ask.parts[0], ScanPart { shard: 3, weight: 0.5, work });
-        assert_eq!(ask.parts[1], ScanPart { shard: 9, weight: 0.5, work: None });
+        assert_eq!(scan.parts[0], ScanPart { shard: 3, weight: 0.5, work });
+        assert_eq!(scan.parts[1], ScanPart { shard: 9, weight: 0.5, work: None });
     }
 
-    #[test_case("X-Request-ID: 9b1f", "X-Request-ID: a b", "X-Request-ID"; "id with a blank")]
+    #[test_case("X-Request-ID: 9b1f", "X-Request-ID: a b", "X-Request-ID"; "id with a space")]
     #[test_case("X-Timeout: 0.480", "X-Timeout: 0", "X-Timeout"; "no time left")]
-    #[test_case("X-Timeout: 0.480", "X-Timeout: inf", "X-Timeout"; "endless time")]
+    #[test_case("X-Timeout: 0.480", "X-Timeout: inf", "X-Timeout"; "infinite time")]
     #[test_case("X-Timeout: 0.480", "X-Timeout: -1", "X-Timeout"; "negative time")]
-    #[test_case("Key: 5c0f", "Key: 5,c", "Idempotency-Key"; "label with a comma")]
-    fn a_senseless_header_is_blamed(from: &str, to: &str, says: &str) {
-        let result = asked("/checkout", &HEADERS.replace(from, to), BODY);
-        assert!(matches!(&result, Err(RequestError::Invalid(what)) if what.contains(says)), "{result:?}");
+    #[test_case("Key: 5c0f", "Key: 5,c", "Idempotency-Key"; "key with a comma")]
+    fn an_invalid_header_is_refused(from: &str, to: &str, expected: &str) {
+        let result = parse_post("/checkout", &HEADERS.replace(from, to), BODY);
+        assert!(
+            matches!(&result, Err(RequestError::Invalid(message)) if message.contains(expected)),
+            "{result:?}"
+        );
     }
 
     #[test_case("{}", "predicate"; "empty object")]
     #[test_case("", "no JSON"; "empty body")]
     #[test_case(r#"{"predicate":"a","ranges":[{"range":-1,"portion":1}]}"#, "number"; "negative shard")]
     #[test_case(r#"{"predicate":"a","ranges":[{"range":1,"portion":9}]}"#, "portion"; "portion over one")]
-    fn a_senseless_body_is_blamed(body: &str, says: &str) {
-        let result = asked("/checkout", HEADERS, body);
-        assert!(matches!(&result, Err(RequestError::Invalid(what)) if what.contains(says)), "{result:?}");
+    fn an_invalid_body_is_refused(body: &str, expected: &str) {
+        let result = parse_post("/checkout", HEADERS, body);
+        assert!(
+            matches!(&result, Err(RequestError::Invalid(message)) if message.contains(expected)),
+            "{result:?}"
+        );
     }
 
     #[test]
     fn the_path_names_the_traffic_type() {
-        assert_eq!(asked("/other", HEADERS, BODY), Err(RequestError::Path));
-        assert!(asked("/checkout/more", HEADERS, BODY).is_ok());
+        assert_eq!(parse_post("/other", HEADERS, BODY), Err(RequestError::Path));
+        assert!(parse_post("/checkout/more", HEADERS, BODY).is_ok());
         let get = |target: &str| {
             let text = format!("GET {target} HTTP/1.1\r\n\r\n");
             parse_request(&Reader::default().read(text.as_bytes()).unwrap().1.unwrap(), &BTreeSet::new())
@@ -252,7 +280,7 @@
     }
 
     #[test]
-    fn an_answer_holds_the_values_as_they_were_given() {
+    fn a_scan_response_holds_the_values_unchanged() {
         let bytes = scan_response(false, &[(3, "5be2\"\\\n".into()), (4, "é".into())], false);
         let message = Reader::default().read(&bytes).unwrap().1.unwrap();
         let text =
