--- a/crates/mixer/src/protocol/discovery.rs
+++ b/crates/mixer/src/protocol/discovery.rs
@@ -1,41 +1,44 @@
-//! The list of searchers, as discovery and the configuration give it.
+//! The list of searchers, as discovery and the configuration file provide it.
 
 use super::json::Json;
 use fernglade::Moment;
 use std::net::SocketAddr;
 
-/// One line of the list.
+/// One searcher on the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SearcherEntry {
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
     pub cell: u32,
+    /// The searcher accepts new work.
     pub ready: bool,
-    /// Off the list.
+    /// The searcher has left the list.
     pub removed: bool,
-    /// In Unix time.
+    /// Start of the searcher's process in Unix time, if known.
     pub started_at: Option<Moment>,
 }
 
-/// The whole list, or what has changed in it.
+/// A full list of searchers, or the changes since an earlier version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ListUpdate {
     pub version: u64,
+    /// `entries` is the full list; searchers missing from it are gone.
     pub is_full: bool,
     pub entries: Vec<SearcherEntry>,
 }
 
+/// Parses an update. Errors name the field, and for an entry its index.
 pub fn parse_update(json: &Json) -> Result<ListUpdate, String> {
     let field = |name: &str| json.get(name).ok_or_else(|| format!("no {name}"));
     let version = field("generation")?.as_u64().ok_or("generation is not a whole number")?;
-    let whole = field("reset")?.as_bool().ok_or("reset is neither true nor false")?;
-    let rows = field("instances")?.as_array().ok_or("instances is not a list")?;
-    let row = |(at, json)| parse_entry(json).map_err(|what| format!("instances[{at}]: {what}"));
+    let is_full = field("reset")?.as_bool().ok_or("reset is not a boolean")?;
+    let instances = field("instances")?.as_array().ok_or("instances is not a list")?;
+    let entry = |(index, json)| parse_entry(json).map_err(|error| format!("instances[{index}]: {error}"));
     Ok(ListUpdate {
         version,
-        is_full: whole,
-        entries: rows.iter().enumerate().map(row).collect::<Result<_, _>>()?,
+        is_full,
+        entries: instances.iter().enumerate().map(entry).collect::<Result<_, _>>()?,
     })
 }
 
@@ -46,24 +49,27 @@
     };
     let address = text("hostPort")?;
     let cell = json.get("cell").and_then(Json::as_u64).and_then(|cell| u32::try_from(cell).ok());
-    // A start that is no whole number is still one: who started is not to be taken for long warm.
-    let started = json.get("startedAtMs").and_then(Json::as_f64).filter(|at| *at > 0.0).map(|at| at as u64);
+    // A fractional start time is accepted: ignoring it would treat a searcher that has just started as warmed up.
+    let started_ms =
+        json.get("startedAtMs").and_then(Json::as_f64).filter(|ms| *ms > 0.0).map(|ms| ms as u64);
     Ok(SearcherEntry {
         name: text("instanceId")?.into(),
-        address: address.parse().map_err(|_| format!("hostPort is no address: {address:.60}"))?,
+        address: address.parse().map_err(|_| format!("hostPort is not an address: {address:.60}"))?,
         zone: json.get("zone").and_then(Json::as_str).unwrap_or_default().into(),
         cell: cell.ok_or("no cell")?,
-        // Draining, gone and whatever else: it wants nothing new.
+        // Any other state, known or not, takes no new work.
         ready: text("lifecycle")? == "SERVING",
         removed: text("lifecycle")? == "DELETED",
-        started_at: started.map(|at| Moment::at_micros(at.saturating_mul(1000))),
+        started_at: started_ms.map(|ms| Moment::at_micros(ms.saturating_mul(1000))),
     })
 }
 
+/// Path that returns the full list at once.
 pub fn full_list_path() -> String {
     "/v1/servers".into()
 }
 
+/// Path that returns changes after `version`, and may be held for up to `wait_ms` until there are any.
 pub fn watch_path(version: u64, wait_ms: u64) -> String {
     format!("/v1/servers?after={version}&wait_ms={wait_ms}")
 }
@@ -82,14 +88,17 @@
     }
 
     #[test]
-    fn the_pages_list_is_read() {
-        let news = read(PAGE).unwrap();
-        assert_eq!((news.version, news.is_full, news.entries.len()), (41, true, 1));
-        let row = &news.entries[0];
-        assert_eq!((row.name.as_str(), row.cell, row.ready, row.started_at), ("s-5be2a07c", 3, true, None));
+    fn a_list_of_searchers_is_parsed() {
+        let update = read(PAGE).unwrap();
+        assert_eq!((update.version, update.is_full, update.entries.len()), (41, true, 1));
+        let entry = &update.entries[0];
+        assert_eq!(
+            (entry.name.as_str(), entry.cell, entry.ready, entry.started_at),
+            ("s-5be2a07c", 3, true, None)
+        );
         for word in ["DRAINING", "DELETED", "NOVEL"] {
-            let row = &read(&PAGE.replace("SERVING", word)).unwrap().entries[0];
-            assert_eq!((row.ready, row.removed), (false, word == "DELETED"));
+            let entry = &read(&PAGE.replace("SERVING", word)).unwrap().entries[0];
+            assert_eq!((entry.ready, entry.removed), (false, word == "DELETED"));
         }
         let started = read(&PAGE.replace("Ms\":0", "Ms\":1764598377123")).unwrap().entries[0].started_at;
         assert_eq!(started, Some(Moment::at_micros(1_764_598_377_123_000)));
@@ -99,10 +108,10 @@
 
     #[test_case("\"generation\":41", "\"generation\":-1", "generation is not a whole number")]
     #[test_case("\"reset\":true,", "", "no reset")]
-    #[test_case("10.1.0.18:8443", "nowhere", "instances[0]: hostPort is no address: nowhere")]
+    #[test_case("10.1.0.18:8443", "nowhere", "instances[0]: hostPort is not an address: nowhere")]
     #[test_case("\"cell\":3", "\"cell\":-3", "instances[0]: no cell")]
     #[test_case("s-5be2a07c", "", "instances[0]: no instanceId")]
-    fn what_cant_be_read_is_told_with_its_place(from: &str, to: &str, says: &str) {
-        assert_eq!(read(&PAGE.replace(from, to)), Err(says.into()));
+    fn errors_name_the_field_and_the_entry(from: &str, to: &str, expected: &str) {
+        assert_eq!(read(&PAGE.replace(from, to)), Err(expected.into()));
     }
 }
--- a/crates/mixer/src/protocol/nodes.rs
+++ b/crates/mixer/src/protocol/nodes.rs
@@ -1,27 +1,32 @@
-//! Nodes of the query dialect, over HTTP/1.1: one question at a time on a connection.
+//! Requests to nodes of the query dialect over HTTP/1.1, and their responses. A connection carries one request at a
+//! time.
 
 use super::frames::{PartOutcome, PartRequest};
 use super::http::Message;
 
-/// A part's question; nothing where it can't be asked there.
-pub fn encode_part_request(errand: &PartRequest, host: &str) -> Option<Vec<u8>> {
-    let asked = errand.node_request.as_ref()?;
-    let (path, body, waits) = (&asked.path, &asked.body, errand.timeout_ms);
-    let wanted = if asked.is_search {
-        format!("?preference=_shards:{}&allow_partial_search_results=false&timeout={waits}ms", errand.shard)
+/// Encodes the request for a part, or returns `None` if the dialect cannot express the part.
+pub fn encode_part_request(part: &PartRequest, host: &str) -> Option<Vec<u8>> {
+    let request = part.node_request.as_ref()?;
+    let (path, body, timeout_ms) = (&request.path, &request.body, part.timeout_ms);
+    let parameters = if request.is_search {
+        format!(
+            "?preference=_shards:{}&allow_partial_search_results=false&timeout={timeout_ms}ms",
+            part.shard
+        )
     } else {
-        format!("?timeout={waits}ms")
+        format!("?timeout={timeout_ms}ms")
     };
     let key =
-        errand.idempotency_key.as_ref().map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
+        part.idempotency_key.as_ref().map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
     let head = format!(
-        "POST {path}{wanted} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n{key}Content-Length: {}\r\n\r\n",
+        "POST {path}{parameters} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n{key}Content-Length: {}\r\n\r\n",
         body.len()
     );
     Some((head + body).into_bytes())
 }
 
-/// How a part ended, by the answer's status; what it holds is looked at where the part is known.
+/// The outcome of a part by the response's status, and its body if the part succeeded. The body is not inspected here:
+/// that takes the part's request.
 pub fn part_outcome(message: &Message) -> (PartOutcome, String) {
     let [_, status, _] = &message.start_line;
     let value = String::from_utf8(message.body.clone());
@@ -32,12 +37,12 @@
     }
 }
 
-/// What a node's root says of its version, or that it says none; as much as a line of the log takes.
+/// The version in a node's response to `GET /`, cut to a length fit for a log line, or `none` without one.
 pub fn node_version(message: &Message) -> String {
     let node = fernglade_dialect::Node::read(&message.body).ok();
     let number = node.as_ref().and_then(|node| node.get("version")?.get("number")?.text("number").ok());
-    let plain = |letter: &char| letter.is_ascii_alphanumeric() || ".-_".contains(*letter);
-    let number: String = number.unwrap_or_default().chars().filter(plain).take(40).collect();
+    let is_allowed = |c: &char| c.is_ascii_alphanumeric() || ".-_".contains(*c);
+    let number: String = number.unwrap_or_default().chars().filter(is_allowed).take(40).collect();
     if number.is_empty() {
         "none".into()
     } else {
