--- a/crates/mixer/src/protocol/json.rs
+++ b/crates/mixer/src/protocol/json.rs
@@ -1,13 +1,14 @@
-//! JSON, read whole from a body that has come in.
+//! A JSON parser for complete bodies. Error texts are part of responses to clients.
 
-/// Deeper nesting is refused, as each level takes stack.
-const DEEPEST: usize = 32;
+/// Maximum nesting depth: the parser recurses, so each level consume stack.
+const MAX_DEPTH: usize = 32;
 
+/// A JSON value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Json {
     Null,
     Bool(bool),
-    /// As it was written.
+    /// The digits as written, so that large integers stay exact.
     Number(String),
     String(String),
     Array(Vec<Json>),
@@ -15,18 +16,20 @@
 }
 
 impl Json {
+    /// Parses a body that holds exactly one value. Errors name the byte position.
     pub fn parse(bytes: &[u8]) -> Result<Json, String> {
         let text =
             std::str::from_utf8(bytes).map_err(|e| format!("not UTF-8 at byte {}", e.valid_up_to()))?;
-        let mut parser = Parser { text, at: 0 };
+        let mut parser = Parser { text, position: 0 };
         let value = parser.value(0)?;
-        parser.blanks();
-        if parser.at < text.len() {
-            return Err(parser.wrong("more after the value"));
+        parser.skip_whitespace();
+        if parser.position < text.len() {
+            return Err(parser.error("more after the value"));
         }
         Ok(value)
     }
 
+    /// The first field of this name, if the value is an object.
     pub fn get(&self, key: &str) -> Option<&Json> {
         let Json::Object(fields) = self else { return None };
         fields.iter().find(|(name, _)| name == key).map(|(_, value)| value)
@@ -56,13 +59,13 @@
         }
     }
 
-    /// A number, where it is finite.
+    /// The value of a finite number.
     pub fn as_f64(&self) -> Option<f64> {
         let Json::Number(digits) = self else { return None };
         digits.parse().ok().filter(|n: &f64| n.is_finite())
     }
 
-    /// A whole number that is not negative.
+    /// The value of a non-negative integer.
     pub fn as_u64(&self) -> Option<u64> {
         if let Json::Number(digits) = self {
             digits.parse().ok()
@@ -72,203 +75,205 @@
     }
 }
 
-/// Writes a text with its quotes.
-pub fn quote(text: &str, into: &mut String) {
-    into.push('"');
-    for letter in text.chars() {
-        match letter {
-            '"' => into.push_str("\\\""),
-            '\\' => into.push_str("\\\\"),
-            c if c < ' ' => into.push_str(&format!("\\u{:04x}", c as u32)),
-            c => into.push(c),
+/// Appends a string in quotes, escaped.
+pub fn quote(text: &str, output: &mut String) {
+    output.push('"');
+    for c in text.chars() {
+        match c {
+            '"' => output.push_str("\\\""),
+            '\\' => output.push_str("\\\\"),
+            c if c < ' ' => output.push_str(&format!("\\u{:04x}", c as u32)),
+            c => output.push(c),
         }
     }
-    into.push('"');
+    output.push('"');
 }
 
 struct Parser<'a> {
     text: &'a str,
-    at: usize,
+    /// Byte offset of the next character.
+    position: usize,
 }
 
 impl Parser<'_> {
-    fn wrong(&self, what: &str) -> String {
-        format!("{what} at byte {}", self.at)
+    fn error(&self, message: &str) -> String {
+        format!("{message} at byte {}", self.position)
     }
 
     fn peek(&self) -> Option<u8> {
-        self.text.as_bytes().get(self.at).copied()
+        self.text.as_bytes().get(self.position).copied()
     }
 
-    fn blanks(&mut self) {
+    fn skip_whitespace(&mut self) {
         while matches!(self.peek(), Some(b' ' | b'\t' | b'\n' | b'\r')) {
-            self.at += 1;
+            self.position += 1;
         }
     }
 
-    /// The next byte that is not blank, if it is this one.
-    fn takes(&mut self, byte: u8) -> bool {
-        self.blanks();
-        let there = self.peek() == Some(byte);
-        self.at += usize::from(there);
-        there
+    /// Skips whitespace, and then the given byte if it follows. Returns whether it did.
+    fn consume(&mut self, byte: u8) -> bool {
+        self.skip_whitespace();
+        let found = self.peek() == Some(byte);
+        self.position += usize::from(found);
+        found
     }
 
     fn expect(&mut self, byte: u8) -> Result<(), String> {
-        if self.takes(byte) {
+        if self.consume(byte) {
             Ok(())
         } else {
-            Err(self.wrong(&format!("no {:?}", byte as char)))
+            Err(self.error(&format!("no {:?}", byte as char)))
         }
     }
 
     fn value(&mut self, depth: usize) -> Result<Json, String> {
-        if depth > DEEPEST {
-            return Err(self.wrong("nested too deep"));
+        if depth > MAX_DEPTH {
+            return Err(self.error("nested too deep"));
         }
-        self.blanks();
+        self.skip_whitespace();
         match self.peek() {
             Some(b'{') => self.object(depth),
-            Some(b'[') => self.items(depth),
+            Some(b'[') => self.array(depth),
             Some(b'"') => self.string().map(Json::String),
-            Some(b'-' | b'0'..=b'9') => self.digits(),
-            _ => self.word(),
+            Some(b'-' | b'0'..=b'9') => self.number(),
+            _ => self.literal(),
         }
     }
 
-    fn word(&mut self) -> Result<Json, String> {
-        let words = [("null", Json::Null), ("true", Json::Bool(true)), ("false", Json::Bool(false))];
-        let rest = &self.text[self.at..];
-        let found = words.into_iter().find(|(word, _)| rest.starts_with(word));
-        let (word, value) = found.ok_or_else(|| self.wrong("no value"))?;
-        self.at += word.len();
+    fn literal(&mut self) -> Result<Json, String> {
+        let literals = [("null", Json::Null), ("true", Json::Bool(true)), ("false", Json::Bool(false))];
+        let rest = &self.text[self.position..];
+        let found = literals.into_iter().find(|(literal, _)| rest.starts_with(literal));
+        let (literal, value) = found.ok_or_else(|| self.error("no value"))?;
+        self.position += literal.len();
         Ok(value)
     }
 
     fn object(&mut self, depth: usize) -> Result<Json, String> {
         self.expect(b'{')?;
         let mut fields = Vec::new();
-        if self.takes(b'}') {
+        if self.consume(b'}') {
             return Ok(Json::Object(fields));
         }
         loop {
-            self.blanks();
+            self.skip_whitespace();
             let name = self.string()?;
             self.expect(b':')?;
             fields.push((name, self.value(depth + 1)?));
-            if !self.takes(b',') {
+            if !self.consume(b',') {
                 self.expect(b'}')?;
                 return Ok(Json::Object(fields));
             }
         }
     }
 
-    fn items(&mut self, depth: usize) -> Result<Json, String> {
+    fn array(&mut self, depth: usize) -> Result<Json, String> {
         self.expect(b'[')?;
         let mut items = Vec::new();
-        if self.takes(b']') {
+        if self.consume(b']') {
             return Ok(Json::Array(items));
         }
         loop {
             items.push(self.value(depth + 1)?);
-            if !self.takes(b',') {
+            if !self.consume(b',') {
                 self.expect(b']')?;
                 return Ok(Json::Array(items));
             }
         }
     }
 
-    fn run(&mut self) -> usize {
-        let start = self.at;
+    /// Skips decimal digits and returns how many there were.
+    fn skip_digits(&mut self) -> usize {
+        let start = self.position;
         while matches!(self.peek(), Some(b'0'..=b'9')) {
-            self.at += 1;
+            self.position += 1;
         }
-        self.at - start
+        self.position - start
     }
 
-    fn digits(&mut self) -> Result<Json, String> {
-        let start = self.at;
-        self.at += usize::from(self.peek() == Some(b'-'));
+    fn number(&mut self) -> Result<Json, String> {
+        let start = self.position;
+        self.position += usize::from(self.peek() == Some(b'-'));
         let leading_zero = self.peek() == Some(b'0');
-        let whole = self.run();
-        if whole == 0 || (leading_zero && whole > 1) {
-            return Err(self.wrong("no number"));
+        let integer_digits = self.skip_digits();
+        if integer_digits == 0 || (leading_zero && integer_digits > 1) {
+            return Err(self.error("no number"));
         }
         if self.peek() == Some(b'.') {
-            self.at += 1;
-            if self.run() == 0 {
-                return Err(self.wrong("no decimals"));
+            self.position += 1;
+            if self.skip_digits() == 0 {
+                return Err(self.error("no decimals"));
             }
         }
         if matches!(self.peek(), Some(b'e' | b'E')) {
-            self.at += 1;
-            self.at += usize::from(matches!(self.peek(), Some(b'+' | b'-')));
-            if self.run() == 0 {
-                return Err(self.wrong("no exponent"));
+            self.position += 1;
+            self.position += usize::from(matches!(self.peek(), Some(b'+' | b'-')));
+            if self.skip_digits() == 0 {
+                return Err(self.error("no exponent"));
             }
         }
-        Ok(Json::Number(self.text[start..self.at].into()))
+        Ok(Json::Number(self.text[start..self.position].into()))
     }
 
     fn string(&mut self) -> Result<String, String> {
         if self.peek() != Some(b'"') {
-            return Err(self.wrong("no text"));
+            return Err(self.error("no text"));
         }
-        self.at += 1;
+        self.position += 1;
         let mut text = String::new();
         loop {
-            let rest = &self.text[self.at..];
-            let plain = rest.find(|c: char| c == '"' || c == '\\' || c < ' ');
-            let plain = plain.ok_or_else(|| self.wrong("a text without its end"))?;
-            text.push_str(&rest[..plain]);
-            self.at += plain + 1;
-            match rest.as_bytes()[plain] {
+            let rest = &self.text[self.position..];
+            let unescaped = rest.find(|c: char| c == '"' || c == '\\' || c < ' ');
+            let unescaped = unescaped.ok_or_else(|| self.error("a text without its end"))?;
+            text.push_str(&rest[..unescaped]);
+            self.position += unescaped + 1;
+            match rest.as_bytes()[unescaped] {
                 b'"' => return Ok(text),
                 b'\\' => text.push(self.escape()?),
-                _ => return Err(self.wrong("a control character")),
+                _ => return Err(self.error("a control character")),
             }
         }
     }
 
     fn escape(&mut self) -> Result<char, String> {
-        let letter = self.peek();
-        self.at += 1;
-        Ok(match letter {
+        let escaped = self.peek();
+        self.position += 1;
+        Ok(match escaped {
             Some(c @ (b'"' | b'\\' | b'/')) => c as char,
             Some(b'b') => '\u{8}',
             Some(b'f') => '\u{c}',
             Some(b'n') => '\n',
             Some(b'r') => '\r',
             Some(b't') => '\t',
-            Some(b'u') => return self.unicode(),
-            _ => return Err(self.wrong("an unknown escape")),
+            Some(b'u') => return self.unicode_escape(),
+            _ => return Err(self.error("an unknown escape")),
         })
     }
 
-    fn unicode(&mut self) -> Result<char, String> {
-        let first = self.hex()?;
+    fn unicode_escape(&mut self) -> Result<char, String> {
+        let first = self.hex_escape()?;
         let code = if (0xd800..0xdc00).contains(&first) {
-            if !self.text[self.at..].starts_with("\\u") {
-                return Err(self.wrong("half a surrogate pair"));
+            if !self.text[self.position..].starts_with("\\u") {
+                return Err(self.error("half a surrogate pair"));
             }
-            self.at += 2;
-            let second = self.hex()?;
+            self.position += 2;
+            let second = self.hex_escape()?;
             if !(0xdc00..0xe000).contains(&second) {
-                return Err(self.wrong("half a surrogate pair"));
+                return Err(self.error("half a surrogate pair"));
             }
             0x10000 + ((first - 0xd800) << 10) + (second - 0xdc00)
         } else {
             first
         };
-        char::from_u32(code).ok_or_else(|| self.wrong("half a surrogate pair"))
+        char::from_u32(code).ok_or_else(|| self.error("half a surrogate pair"))
     }
 
-    fn hex(&mut self) -> Result<u32, String> {
-        let digits = self.text.get(self.at..self.at + 4);
+    fn hex_escape(&mut self) -> Result<u32, String> {
+        let digits = self.text.get(self.position..self.position + 4);
         let digits = digits.filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()));
         let code = digits.and_then(|d| u32::from_str_radix(d, 16).ok());
-        let code = code.ok_or_else(|| self.wrong("an escape cut short"))?;
-        self.at += 4;
+        let code = code.ok_or_else(|| self.error("an escape cut short"))?;
+        self.position += 4;
         Ok(code)
     }
 }
@@ -279,7 +284,7 @@
     use test_case::test_case;
 
     #[test]
-    fn what_is_quoted_is_read_back_unchanged() {
+    fn quoted_strings_are_parsed_back_unchanged() {
         for text in ["", "c41e77d0", "a\"b\\c/\u{1}\n\r\t\u{7f}é€😀", "\u{fffd}"] {
             let mut quoted = String::new();
             quote(text, &mut quoted);
@@ -299,10 +304,10 @@
     }
 
     #[test]
-    fn every_cut_of_a_value_is_refused() {
-        let whole = br#"{"a":[1,"\u00e9\ud83d\ude00",true],"b":{"c":null}}"#;
-        assert!(Json::parse(whole).is_ok());
-        (0..whole.len()).for_each(|cut| assert!(Json::parse(&whole[..cut]).is_err(), "{cut}"));
+    fn truncated_values_are_refused() {
+        let complete = br#"{"a":[1,"\u00e9\ud83d\ude00",true],"b":{"c":null}}"#;
+        assert!(Json::parse(complete).is_ok());
+        (0..complete.len()).for_each(|cut| assert!(Json::parse(&complete[..cut]).is_err(), "{cut}"));
     }
 
     #[test_case("{} x", "more after the value at byte 3")]
@@ -316,8 +321,8 @@
     #[test_case("\"\\u12+4\"", "an escape cut short at byte 3")]
     #[test_case("\"\\x\"", "an unknown escape at byte 3")]
     #[test_case("\"a\nb\"", "a control character at byte 3")]
-    fn what_is_malformed_is_told_with_its_place(text: &str, says: &str) {
-        assert_eq!(Json::parse(text.as_bytes()), Err(says.into()));
+    fn errors_name_the_byte_position(text: &str, expected: &str) {
+        assert_eq!(Json::parse(text.as_bytes()), Err(expected.into()));
     }
 
     #[test]
--- a/crates/mixer/src/protocol/mod.rs
+++ b/crates/mixer/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! The messages of clients, searchers and discovery: parsers that take bytes in any pieces, and encoders.
-//! Pure: no sockets, no clock. The wire's own words stay in here.
+//! Wire formats for clients, searchers and discovery: incremental parsers, and encoders.
+//! Performs no I/O and reads no clock. Words of the wire formats are used in this module only.
 
 pub mod discovery;
 pub mod frames;
@@ -9,5 +9,5 @@
 pub mod nodes;
 pub mod scans;
 
-/// A body, a frame's value and an answer hold at most so much (PROTOCOL.md).
+/// Maximum size of a body, of a frame's value and of an answer (PROTOCOL.md).
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
