--- a/crates/mixer/src/protocol/discovery.rs
+++ b/crates/mixer/src/protocol/discovery.rs
@@ -49,7 +49,8 @@
     };
     let address = text("hostPort")?;
     let cell = json.get("cell").and_then(Json::as_u64).and_then(|cell| u32::try_from(cell).ok());
-    // A fractional start time is accepted: ignoring it would treat a searcher that has just started as warmed up.
+    // A fractional start time is accepted: ignoring it would treat a searcher that has just started as warmed
+    // up.
     let started_ms =
         json.get("startedAtMs").and_then(Json::as_f64).filter(|ms| *ms > 0.0).map(|ms| ms as u64);
     Ok(SearcherEntry {
--- a/crates/mixer/src/protocol/frames.rs
+++ b/crates/mixer/src/protocol/frames.rs
@@ -1,11 +1,12 @@
-//! Frames exchanged with searchers: a four-byte big-endian length, a one-byte type and the payload. The length
-//! counts the type and the payload.
+//! Frames exchanged with searchers: a four-byte big-endian length, a one-byte type and the payload. The
+//! length counts the type and the payload.
 
 use super::MAX_BODY_BYTES;
 
 /// Maximum length of the header line before a value.
 const MAX_LINE_BYTES: usize = 1024;
-/// Estimated size of a part's line in a call without its id and idempotency key: shard, timeout and text length.
+/// Estimated size of a part's line in a call without its id and idempotency key: shard, timeout and text
+/// length.
 const PART_LINE_BYTES: usize = 48;
 /// Largest length that a frame may announce.
 pub const MAX_FRAME_BYTES: usize = 1 + MAX_LINE_BYTES + MAX_BODY_BYTES;
@@ -80,8 +81,8 @@
     Ok(Some((frame, 4 + length)))
 }
 
-/// Decodes a part's result: a line with id, outcome, score and load report, followed by the value. The load report
-/// extends to the end of the line, may hold any bytes and is ignored.
+/// Decodes a part's result: a line with id, outcome, score and load report, followed by the value. The load
+/// report extends to the end of the line, may hold any bytes and is ignored.
 fn decode_part(body: &[u8]) -> Result<Frame, &'static str> {
     let line_end = body.iter().position(|byte| *byte == b'\n').ok_or("part line is not terminated")?;
     let (line, value) = (&body[..line_end], &body[line_end + 1..]);
@@ -112,8 +113,8 @@
     bytes
 }
 
-/// Encodes a call. `waited_ms` is the time since the parts' timeouts were computed and is subtracted from each of
-/// them; a part keeps at least one millisecond.
+/// Encodes a call. `waited_ms` is the time since the parts' timeouts were computed and is subtracted from
+/// each of them; a part keeps at least one millisecond.
 pub fn encode_call(parts: &[PartRequest], waited_ms: u64) -> Vec<u8> {
     let mut body = String::new();
     for part in parts {
--- a/crates/mixer/src/protocol/http.rs
+++ b/crates/mixer/src/protocol/http.rs
@@ -4,8 +4,8 @@
 
 /// Maximum size of a head, including the start line: about fifty usual header lines.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// How many unread bytes the caller of a reader has to buffer: enough for a head, as body bytes are consumed as they
-/// arrive. Further bytes are left in the socket.
+/// How many unread bytes the caller of a reader has to buffer: enough for a head, as body bytes are consumed
+/// as they arrive. Further bytes are left in the socket.
 pub const MAX_UNREAD_BYTES: usize = 2 * MAX_HEAD_BYTES;
 /// Maximum length of a line with a chunk's size.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
@@ -90,8 +90,9 @@
         Self { for_responses: true, max_body, ..Self::default() }
     }
 
-    /// Called when the peer has closed the connection in order and everything received was read. Returns the message
-    /// that the close completes, if any. A broken connection completes none, as more bytes may have been missing.
+    /// Called when the peer has closed the connection in order and everything received was read. Returns the
+    /// message that the close completes, if any. A broken connection completes none, as more bytes may have
+    /// been missing.
     pub fn finish(&mut self) -> Option<Message> {
         let is_complete = matches!(self.stage, Stage::BodyUntilClose);
         is_complete.then(|| {
@@ -100,7 +101,8 @@
         })
     }
 
-    /// Whether a message has begun and is incomplete. `unread` are the bytes that were passed in but not consumed.
+    /// Whether a message has begun and is incomplete. `unread` are the bytes that were passed in but not
+    /// consumed.
     pub fn is_mid_message(&self, unread: &[u8]) -> bool {
         !matches!(self.stage, Stage::Head) || unread.iter().any(|byte| !matches!(byte, b'\r' | b'\n'))
     }
@@ -209,7 +211,8 @@
     }
 }
 
-/// The first line without its end, `None` if the end has not arrived, or `error` if it is longer than `max_length`.
+/// The first line without its end, `None` if the end has not arrived, or `error` if it is longer than
+/// `max_length`.
 fn line(bytes: &[u8], max_length: usize, error: ParseError) -> Result<Option<&[u8]>, ParseError> {
     let end = bytes.windows(2).position(|window| window == b"\r\n");
     if end.unwrap_or(bytes.len()) > max_length {
@@ -249,8 +252,8 @@
     !(status.starts_with('1') || matches!(status, "204" | "304"))
 }
 
-/// How the end of the body is determined, if the headers say so. Messages that state it in two ways are refused, as
-/// other parsers may read them differently (request smuggling).
+/// How the end of the body is determined, if the headers say so. Messages that state it in two ways are
+/// refused, as other parsers may read them differently (request smuggling).
 fn framing(message: &Message, max_body: usize) -> Result<Option<Stage>, ParseError> {
     let all = |name: &'static str| message.headers.iter().filter(move |(header, _)| header == name);
     let mut lengths = all("content-length").map(|(_, value)| value);
--- a/crates/mixer/src/protocol/metrics.rs
+++ b/crates/mixer/src/protocol/metrics.rs
@@ -6,8 +6,8 @@
 use prometheus_client::registry::Registry;
 use std::fmt;
 
-/// Upper bounds of the latency histogram's buckets in microseconds: from a millisecond to a minute, each a tenth above
-/// the one before.
+/// Upper bounds of the latency histogram's buckets in microseconds: from a millisecond to a minute, each a
+/// tenth above the one before.
 pub fn bucket_bounds_micros() -> impl Iterator<Item = u64> {
     std::iter::successors(Some(1_000.0), |bound| Some(bound * 1.1))
         .map(|bound| bound as u64)
--- a/crates/mixer/src/protocol/nodes.rs
+++ b/crates/mixer/src/protocol/nodes.rs
@@ -1,5 +1,5 @@
-//! Requests to nodes of the query dialect over HTTP/1.1, and their responses. A connection carries one request at a
-//! time.
+//! Requests to nodes of the query dialect over HTTP/1.1, and their responses. A connection carries one
+//! request at a time.
 
 use super::frames::{PartOutcome, PartRequest};
 use super::http::Message;
@@ -25,8 +25,8 @@
     Some((head + body).into_bytes())
 }
 
-/// The outcome of a part by the response's status, and its body if the part succeeded. The body is not inspected here:
-/// that takes the part's request.
+/// The outcome of a part by the response's status, and its body if the part succeeded. The body is not
+/// inspected here: that takes the part's request.
 pub fn part_outcome(message: &Message) -> (PartOutcome, String) {
     let [_, status, _] = &message.start_line;
     let value = String::from_utf8(message.body.clone());
--- a/crates/mixer/src/protocol/scans.rs
+++ b/crates/mixer/src/protocol/scans.rs
@@ -43,8 +43,8 @@
     Query(Box<Request>),
 }
 
-/// Why a request is refused. Variant names are part of the query API: an error without its own text there is sent to
-/// the client in its `Debug` form.
+/// Why a request is refused. Variant names are part of the query API: an error without its own text there is
+/// sent to the client in its `Debug` form.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestError {
     Invalid(String),
@@ -63,8 +63,8 @@
     RequestError::Invalid(message.into())
 }
 
-/// Parses a request. `indices` are the configured indices of the query dialect; without any, requests in the dialect
-/// are not recognised.
+/// Parses a request. `indices` are the configured indices of the query dialect; without any, requests in the
+/// dialect are not recognised.
 pub fn parse_request(message: &Message, indices: &BTreeSet<String>) -> Result<ClientRequest, RequestError> {
     let [method, target, _] = &message.start_line;
     let path = target.split('?').next().unwrap_or_default();
@@ -128,8 +128,8 @@
     })
 }
 
-/// Accepts an id or key of at most 128 graphic ASCII characters without commas: it is written into searchers' frames,
-/// where spaces and commas are separators.
+/// Accepts an id or key of at most 128 graphic ASCII characters without commas: it is written into searchers'
+/// frames, where spaces and commas are separators.
 fn parse_token(text: &str) -> Option<String> {
     let is_allowed = |b: u8| b.is_ascii_graphic() && b != b',';
     (!text.is_empty() && text.len() <= 128 && text.bytes().all(is_allowed)).then(|| text.into())
