--- a/crates/fronts/src/ids.rs
+++ b/crates/fronts/src/ids.rs
@@ -1,10 +1,10 @@
-//! Ids to small indices and back.
+//! Maps of ids to small indices and back.
 
 use fernglade::{ScanId, Searcher};
 use std::collections::BTreeMap;
 
-/// What a front holds of each open scan. A slot is let again once its scan is closed, with a new turn, so an
-/// id that is kept too long finds nothing.
+/// A generational slot map of open scans. The slot of a removed scan is reused with a new turn (its
+/// generation), so a stale id finds nothing.
 pub struct SlotMap<T> {
     slots: Vec<(u32, Option<T>)>,
     free: Vec<u32>,
@@ -17,81 +17,91 @@
 }
 
 impl<T> SlotMap<T> {
-    pub fn insert(&mut self, held: T) -> ScanId {
+    /// Adds a scan and returns its id.
+    pub fn insert(&mut self, value: T) -> ScanId {
         let slot = self.free.pop().unwrap_or(self.slots.len() as u32);
         if slot as usize == self.slots.len() {
             self.slots.push((0, None));
         }
-        let (turn, place) = &mut self.slots[slot as usize];
-        (*turn, *place) = (turn.wrapping_add(1), Some(held));
+        let (turn, entry) = &mut self.slots[slot as usize];
+        (*turn, *entry) = (turn.wrapping_add(1), Some(value));
         ScanId { slot, turn: *turn }
     }
 
+    /// The scan with this id, if it is open.
     pub fn get(&self, id: ScanId) -> Option<&T> {
         self.slots.get(id.slot as usize).filter(|(turn, _)| *turn == id.turn)?.1.as_ref()
     }
 
+    /// The scan with this id, if it is open.
     pub fn get_mut(&mut self, id: ScanId) -> Option<&mut T> {
         self.slots.get_mut(id.slot as usize).filter(|(turn, _)| *turn == id.turn)?.1.as_mut()
     }
 
+    /// Removes a scan and frees its slot.
     pub fn remove(&mut self, id: ScanId) -> Option<T> {
-        let place = self.slots.get_mut(id.slot as usize).filter(|(turn, _)| *turn == id.turn);
-        let held = place.and_then(|(_, held)| held.take())?;
+        let entry = self.slots.get_mut(id.slot as usize).filter(|(turn, _)| *turn == id.turn);
+        let value = entry.and_then(|(_, value)| value.take())?;
         self.free.push(id.slot);
-        Some(held)
+        Some(value)
     }
 
+    /// Number of open scans.
     pub fn len(&self) -> usize {
         self.slots.len() - self.free.len()
     }
 
+    /// Whether no scan is open.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// Searchers by name, as long as they are kept. A number is never given twice.
+/// Numbers of the known searchers by name. A number is never reused.
 pub struct SearcherRegistry<K> {
     numbers: BTreeMap<K, Searcher>,
     names: BTreeMap<Searcher, K>,
-    given: u32,
+    /// How many numbers have been assigned.
+    assigned: u32,
 }
 
 impl<K> Default for SearcherRegistry<K> {
     fn default() -> Self {
-        Self { numbers: BTreeMap::new(), names: BTreeMap::new(), given: 0 }
+        Self { numbers: BTreeMap::new(), names: BTreeMap::new(), assigned: 0 }
     }
 }
 
 impl<K: Ord + Clone> SearcherRegistry<K> {
-    /// Who had this name has it no more.
+    /// Removes a searcher and returns its number. The name gets a new number if it comes back.
     pub fn remove(&mut self, name: &K) -> Option<Searcher> {
         let number = self.numbers.remove(name)?;
         self.names.remove(&number);
         Some(number)
     }
 
+    /// The searcher's number; a new name is assigned the next one.
     pub fn get_or_assign(&mut self, name: &K) -> Searcher {
-        if let Some(known) = self.numbers.get(name) {
-            return *known;
+        if let Some(number) = self.numbers.get(name) {
+            return *number;
         }
-        let new = Searcher(self.given);
-        self.given += 1;
+        let new = Searcher(self.assigned);
+        self.assigned += 1;
         self.names.insert(new, name.clone());
         self.numbers.insert(name.clone(), new);
         new
     }
 
+    /// The searcher's number, if it is known.
     pub fn get(&self, name: &K) -> Option<Searcher> {
         self.numbers.get(name).copied()
     }
 
+    /// The name of a known searcher.
     pub fn name(&self, searcher: Searcher) -> Option<&K> {
         self.names.get(&searcher)
     }
 
-    /// Lets go of all but these; one that comes back gets a new number.
+    /// Removes all searchers but those for which `keep` is true; one that comes back gets a new number.
     pub fn retain(&mut self, keep: impl Fn(&K) -> bool) {
         self.numbers.retain(|name, _| keep(name));
         self.names.retain(|_, name| keep(name));
@@ -104,7 +114,7 @@
     use fernglade::Searcher;
 
     #[test]
-    fn an_id_kept_too_long_finds_nothing() {
+    fn a_stale_id_finds_nothing() {
         let mut slots = SlotMap::default();
         let old = slots.insert("a");
         assert_eq!((slots.remove(old), slots.remove(old), slots.len()), (Some("a"), None, 0));
@@ -113,15 +123,15 @@
     }
 
     #[test]
-    fn searchers_are_numbered_as_they_are_first_named_and_no_number_is_given_twice() {
-        let mut numbers = SearcherRegistry::default();
+    fn numbers_are_assigned_in_order_and_never_reused() {
+        let mut searchers = SearcherRegistry::default();
         assert_eq!(
-            (numbers.get_or_assign(&"x"), numbers.get_or_assign(&"y"), numbers.get_or_assign(&"x")),
+            (searchers.get_or_assign(&"x"), searchers.get_or_assign(&"y"), searchers.get_or_assign(&"x")),
             (Searcher(0), Searcher(1), Searcher(0))
         );
-        assert_eq!((numbers.name(Searcher(1)), numbers.get(&"z")), (Some(&"y"), None));
-        numbers.retain(|name| *name != "x");
-        assert_eq!((numbers.get(&"x"), numbers.name(Searcher(0))), (None, None));
-        assert_eq!((numbers.get_or_assign(&"x"), numbers.get(&"y")), (Searcher(2), Some(Searcher(1))));
+        assert_eq!((searchers.name(Searcher(1)), searchers.get(&"z")), (Some(&"y"), None));
+        searchers.retain(|name| *name != "x");
+        assert_eq!((searchers.get(&"x"), searchers.name(Searcher(0))), (None, None));
+        assert_eq!((searchers.get_or_assign(&"x"), searchers.get(&"y")), (Searcher(2), Some(Searcher(1))));
     }
 }
--- a/crates/fronts/src/lib.rs
+++ b/crates/fronts/src/lib.rs
@@ -1,4 +1,5 @@
-//! What every front needs: the readings taken at start, made into the module's parts, and ids as indices.
+//! Code shared by the programs that run the mixer module: its settings and the components built from them,
+//! and ids mapped to indices.
 
 mod ids;
 mod settings;
--- a/crates/fronts/src/settings.rs
+++ b/crates/fronts/src/settings.rs
@@ -1,4 +1,5 @@
-//! What an instance is told at its start: `path=value` lines, and the parts of the mixer made from them.
+//! The settings that a mixer gets at its start, as `path=value` lines, and the mixer's components built from
+//! them.
 
 use fernglade::choice::Mixer;
 use fernglade::load_shedding::LoadShedding;
@@ -9,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What in the readings can't be used, and where it stands.
+/// Describes a setting that cannot be used, with its path.
 #[derive(Debug, PartialEq)]
 pub struct SettingsError(pub String);
 
@@ -19,10 +20,11 @@
     }
 }
 
+/// Settings by path, unparsed.
 pub struct Settings(BTreeMap<String, String>);
 
 impl Settings {
-    /// From `path=value` lines.
+    /// Parses `path=value` lines; empty lines are skipped.
     pub fn parse(text: &[u8]) -> Result<Self, SettingsError> {
         let text =
             std::str::from_utf8(text).map_err(|e| SettingsError(format!("settings: not text: {e}")))?;
@@ -34,58 +36,64 @@
         Ok(Self(lines.map(pair).collect::<Result<_, _>>()?))
     }
 
-    /// From paths and values that were read elsewhere, in the same form.
+    /// Settings from paths and values of the same form that were read elsewhere.
     pub fn from_pairs(pairs: BTreeMap<String, String>) -> Self {
         Self(pairs)
     }
 
-    pub fn number(&self, path: &str, absent: f64) -> Result<f64, SettingsError> {
-        self.0.get(path).filter(|v| !v.is_empty()).map_or(Ok(absent), |v| decimal(path, v))
+    /// The number at `path`, or `default` if it is missing or empty.
+    pub fn number(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
+        self.0.get(path).filter(|v| !v.is_empty()).map_or(Ok(default), |v| parse_number(path, v))
     }
 
-    /// What nothing sensible stands in for, where it is missing: a number above nothing.
+    /// Refuses a missing, zero or negative number, for settings that have no sensible default.
     pub fn require_positive(&self, path: &str) -> Result<(), SettingsError> {
-        let stated = self.number(path, 0.0)? > 0.0;
-        stated
+        let is_positive = self.number(path, 0.0)? > 0.0;
+        is_positive
             .then_some(())
             .ok_or_else(|| SettingsError(format!("settings: {path}: a number above 0 has to be stated")))
     }
 
+    /// The time at `path`, stated in microseconds; zero if it is missing.
     pub fn span(&self, path: &str) -> Result<Span, SettingsError> {
         Ok(Span::of_micros(self.number(path, 0.0)? as u64))
     }
 
-    /// The own zone, where crossing to others has a price.
+    /// The mixer's own zone if traffic to other zones has a cost, otherwise `None`.
     pub fn home_zone(&self) -> Result<Option<u8>, SettingsError> {
-        let (price, zone) = (self.number("deductions.cross_zone", 0.0)?, self.number("zone", 0.0)?);
-        Ok((price > 0.0).then_some(zone as u8))
+        let (cost, zone) = (self.number("deductions.cross_zone", 0.0)?, self.number("zone", 0.0)?);
+        Ok((cost > 0.0).then_some(zone as u8))
     }
 
+    /// Whether the value at `path` is `true`.
     pub fn is_true(&self, path: &str) -> bool {
         self.equals(path, "true")
     }
 
-    pub fn equals(&self, path: &str, word: &str) -> bool {
-        self.0.get(path).is_some_and(|value| value == word)
+    /// Whether the value at `path` is `expected`.
+    pub fn equals(&self, path: &str, expected: &str) -> bool {
+        self.0.get(path).is_some_and(|value| value == expected)
     }
 
-    /// The names of a list of objects, in its order.
+    /// The names of the objects in a list, in order.
     pub fn object_names(&self, path: &str) -> Result<Vec<String>, SettingsError> {
         let name = |i| self.0.get(&format!("{path}.{i}.name")).cloned().unwrap_or_default();
-        Ok((0..self.count(path)?).map(name).collect())
+        Ok((0..self.object_count(path)?).map(name).collect())
     }
 
-    /// A list of plain words.
+    /// The items of a comma-separated list.
     pub fn string_list(&self, path: &str) -> Vec<String> {
         self.0.get(path).into_iter().flat_map(|v| v.split(',')).map(String::from).collect()
     }
 
-    fn list(&self, path: &str) -> Result<Vec<f64>, SettingsError> {
+    /// The items of a comma-separated list of numbers.
+    fn number_list(&self, path: &str) -> Result<Vec<f64>, SettingsError> {
         let values = self.0.get(path).filter(|v| !v.is_empty()).into_iter();
-        values.flat_map(|v| v.split(',')).map(|v| decimal(path, v)).collect()
+        values.flat_map(|v| v.split(',')).map(|v| parse_number(path, v)).collect()
     }
 
-    fn count(&self, path: &str) -> Result<usize, SettingsError> {
+    /// The length of a list of objects.
+    fn object_count(&self, path: &str) -> Result<usize, SettingsError> {
         let count = self.number(&format!("{path}.count"), 0.0)?;
         if count > u16::MAX.into() {
             return Err(SettingsError(format!("settings: {path}.count: {count} is too many")));
@@ -93,70 +101,74 @@
         Ok(count as usize)
     }
 
+    /// The traffic types, in the order in which the settings list them.
     pub fn traffic_types(&self) -> Result<Vec<TrafficType>, SettingsError> {
-        let (floors, wholes) =
-            (self.list("family_info.floor_by_class")?, self.list("family_info.complete_from")?);
-        let seconds = self.list("family_info.fetch_parts")?;
-        let one = |i: usize| {
-            let at = |name: &str| format!("services.{i}.{name}");
-            let whole_from = wholes.get(i).copied().unwrap_or(1.0);
-            let word = self.0.get(&at("repeat")).map(String::as_str);
-            let effect = match word {
+        let (floors, complete_from) =
+            (self.number_list("family_info.floor_by_class")?, self.number_list("family_info.complete_from")?);
+        let fetch_parts = self.number_list("family_info.fetch_parts")?;
+        let traffic_type = |i: usize| {
+            let path = |name: &str| format!("services.{i}.{name}");
+            let whole_from = complete_from.get(i).copied().unwrap_or(1.0);
+            let repeat = self.0.get(&path("repeat")).map(String::as_str);
+            let effect = match repeat {
                 Some("pure") => Effect::Redoable,
-                Some("token") => Effect::Labelled(self.span(&at("window"))?),
+                Some("token") => Effect::Labelled(self.span(&path("window"))?),
                 Some("side_effect") | None => Effect::Irreversible,
                 Some(other) => {
                     return Err(SettingsError(format!(
                         "settings: {}: unknown word {other:.40}",
-                        at("repeat")
+                        path("repeat")
                     )))
                 }
             };
             Ok(TrafficType {
-                quoted: self.span(&at("aim"))?,
-                stretch: self.number(&at("aim_stretch"), 0.0)?,
-                abandon: self.span(&at("give_up"))?,
-                credit: self.number(&at("points"), 1.0)?,
-                late_credit: self.number(&at("late_worth"), 0.0)?,
+                quoted: self.span(&path("aim"))?,
+                stretch: self.number(&path("aim_stretch"), 0.0)?,
+                abandon: self.span(&path("give_up"))?,
+                credit: self.number(&path("points"), 1.0)?,
+                late_credit: self.number(&path("late_worth"), 0.0)?,
                 effect,
                 floor: floors.get(i).copied().unwrap_or(whole_from),
                 whole_from,
-                second_step: seconds.get(i).is_some_and(|parts| *parts > 0.0),
+                second_step: fetch_parts.get(i).is_some_and(|parts| *parts > 0.0),
             })
         };
-        (0..self.count("services")?).map(one).collect()
+        (0..self.object_count("services")?).map(traffic_type).collect()
     }
 
+    /// Builds a mixer from the settings. `seed` makes its random choices reproducible.
     pub fn build_mixer(&self, seed: u64) -> Result<Mixer, SettingsError> {
         let fleet = self.number("fleet_size", 1.0)?.max(1.0);
-        let cold = SlowStart {
+        let slow_start = SlowStart {
             fleet,
             from: self.number("invariants.cold_from", 1.0)?,
             cold: self.span("invariants.cold")?,
             multiple: self.number("invariants.fall_multiple", 1.0)?,
             fall: self.span("invariants.fall")?,
         };
-        let roster = ReplicaTable::new(
+        let replicas = ReplicaTable::new(
             seed,
             self.number("family_info.cells", 1.0)? as u32,
             self.number("family_info.width", 1.0)? as u32,
             self.number("family_info.per_call", 1.0)? as usize,
             self.is_true("limits.may_probe"),
-            cold,
+            slow_start,
         );
-        let idle = self.span("limits.idle_close")?;
-        let roster = if idle > Span::ZERO { roster.closing_idle(idle) } else { roster };
-        let share = self.number("invariants.further_ratio", -1.0)?;
-        let few = self.number("invariants.free_resends", 0.0)?;
+        let idle_timeout = self.span("limits.idle_close")?;
+        let replicas = if idle_timeout > Span::ZERO { replicas.closing_idle(idle_timeout) } else { replicas };
+        let retry_ratio = self.number("invariants.further_ratio", -1.0)?;
+        let free_retries = self.number("invariants.free_resends", 0.0)?;
         let window = self.span("invariants.resend_span")?;
-        let stated = share >= 0.0 && window > Span::ZERO;
-        let cap = self.number("limits.attempts_cap", 1.0)? as usize;
-        let held = self.span("limits.dial_timeout")?;
-        let budget = RetryBudget::new(cap, stated.then_some((few, share, window))).holding(held);
+        let has_budget = retry_ratio >= 0.0 && window > Span::ZERO;
+        let max_attempts = self.number("limits.attempts_cap", 1.0)? as usize;
+        let dial_timeout = self.span("limits.dial_timeout")?;
+        let budget =
+            RetryBudget::new(max_attempts, has_budget.then_some((free_retries, retry_ratio, window)))
+                .holding(dial_timeout);
         let quota = |i| self.number(&format!("customers.{i}.quota_per_s"), f64::MAX);
         let shedding = LoadShedding::new(
             fleet as usize,
-            &(0..self.count("customers")?).map(quota).collect::<Result<Vec<_>, _>>()?,
+            &(0..self.object_count("customers")?).map(quota).collect::<Result<Vec<_>, _>>()?,
             self.number("over_share_worth", 1.0)?,
             self.equals("worth_by", "work"),
             if self.is_true("limits.retry_after") {
@@ -165,14 +177,15 @@
                 Span::ZERO
             },
         );
-        let mut mixer = Mixer::new(self.traffic_types()?, roster, budget, shedding, self.span("tick")?);
-        let grace = self.span("invariants.drain_grace")?;
-        mixer.pushed = self.equals("discovery", "pushed").then_some(grace);
+        let mut mixer = Mixer::new(self.traffic_types()?, replicas, budget, shedding, self.span("tick")?);
+        let drain_grace = self.span("invariants.drain_grace")?;
+        mixer.pushed = self.equals("discovery", "pushed").then_some(drain_grace);
         Ok(mixer)
     }
 }
 
-fn decimal(path: &str, value: &str) -> Result<f64, SettingsError> {
+/// Parses a finite number.
+fn parse_number(path: &str, value: &str) -> Result<f64, SettingsError> {
     let number = value.parse().ok().filter(|n: &f64| n.is_finite());
     number.ok_or_else(|| SettingsError(format!("settings: {path}: not a number: {value:.40}")))
 }
--- a/crates/fronts/tests/passed_on.rs
+++ b/crates/fronts/tests/passed_on.rs
@@ -1,5 +1,5 @@
-//! That what an operator states reaches the module: one small scene, played with a setting and without, which differ
-//! by what the mixer does.
+//! Settings must reach the mixer module. A short scenario is run with a setting and without it, and the mixer
+//! has to act differently. This guards against a setting that is parsed and then not passed on.
 
 use fernglade::choice::Mixer;
 use fernglade::{Host, Landing, Listing, Moment, PartTaken, ScanId, ScanTaken, Searcher, Span, Ticket};
@@ -7,176 +7,179 @@
 use std::collections::VecDeque;
 use test_case::test_case;
 
-const PLAIN: &str = "services.count=1\nservices.0.aim=2000000\nservices.0.give_up=4000000\n\
+const BASE_SETTINGS: &str = "services.count=1\nservices.0.aim=2000000\nservices.0.give_up=4000000\n\
 services.0.repeat=pure\nfamily_info.cells=1\nfamily_info.width=1\nfamily_info.floor_by_class=1.0\n\
 family_info.complete_from=1.0\nlimits.attempts_cap=3\ntick=5000\nfleet_size=2";
 
-/// What the mixer did, in words; and its relays that are still out.
+/// A host that records the mixer's actions as text, and its outstanding relays and timers.
 #[derive(Default)]
-struct Scene {
+struct RecordingHost {
     now: Moment,
-    did: Vec<String>,
-    out: VecDeque<Ticket>,
-    wakes: Vec<(Moment, Ticket)>,
+    actions: Vec<String>,
+    in_flight: VecDeque<Ticket>,
+    timers: Vec<(Moment, Ticket)>,
 }
 
-impl Host for Scene {
+impl Host for RecordingHost {
     fn now(&self) -> Moment {
         self.now
     }
     fn relay(&mut self, ticket: Ticket, _: ScanId, part: usize, to: Searcher, _: Span) {
-        self.did.push(format!("part {part} to {}", to.0));
-        self.out.push_back(ticket);
+        self.actions.push(format!("part {part} to {}", to.0));
+        self.in_flight.push_back(ticket);
     }
     fn call_off(&mut self, _: Ticket) {}
     fn answer(&mut self, _: ScanId, whole: bool, last: bool) {
-        self.did.push(format!("answers, whole {whole}, last {last}"));
+        self.actions.push(format!("answers, whole {whole}, last {last}"));
     }
     fn bounce(&mut self, _: ScanId, pause: Span) {
-        self.did.push(format!("bounces, come back after {} ms", pause.micros() / 1_000));
+        self.actions.push(format!("bounces, come back after {} ms", pause.micros() / 1_000));
     }
     fn write_off(&mut self, _: ScanId) {
-        self.did.push("writes off".into());
+        self.actions.push("writes off".into());
     }
     fn wake(&mut self, ticket: Ticket, at: Moment) {
-        self.wakes.push((at, ticket));
+        self.timers.push((at, ticket));
     }
     fn check(&mut self, searcher: Searcher) {
-        self.did.push(format!("checks {}", searcher.0));
+        self.actions.push(format!("checks {}", searcher.0));
     }
     fn hang_up(&mut self, _: Searcher) {}
     fn watch_list(&mut self) {}
 }
 
-/// A mixer by these settings, before three searchers.
-struct Play {
+/// A mixer with the given settings and three searchers.
+struct Scenario {
     mixer: Mixer,
-    scene: Scene,
+    host: RecordingHost,
     scans: u32,
 }
 
-impl Play {
-    fn by(settings: &str) -> Self {
-        let readings = Settings::parse(format!("{PLAIN}\n{settings}").as_bytes()).unwrap();
-        let mut mixer = readings.build_mixer(7).unwrap();
-        let mut scene = Scene { now: Moment::at_micros(100_000_000), ..Scene::default() };
+impl Scenario {
+    fn with(settings: &str) -> Self {
+        let parsed = Settings::parse(format!("{BASE_SETTINGS}\n{settings}").as_bytes()).unwrap();
+        let mut mixer = parsed.build_mixer(7).unwrap();
+        let mut host = RecordingHost { now: Moment::at_micros(100_000_000), ..RecordingHost::default() };
         let of = |number| Listing { searcher: Searcher(number), ready: true, ..Listing::default() };
-        mixer.listed(&mut scene, true, &[of(0), of(1), of(2)]);
-        Self { mixer, scene, scans: 0 }
+        mixer.listed(&mut host, true, &[of(0), of(1), of(2)]);
+        Self { mixer, host, scans: 0 }
     }
 
-    fn scan(&mut self, parts: usize) {
+    fn take_scan(&mut self, parts: usize) {
         self.scans += 1;
         let part = PartTaken { shard: 0, weight: 1.0 / parts as f64 };
         let (left, parts) = (Span::of_millis(4_000), vec![part; parts]);
         let scan = ScanTaken { traffic_type: 0, customer: 0, left, work: None, repeat: false, parts };
-        self.mixer.taken(&mut self.scene, ScanId { slot: self.scans, turn: 1 }, scan);
+        self.mixer.taken(&mut self.host, ScanId { slot: self.scans, turn: 1 }, scan);
     }
 
-    /// What is out ends in this way, twenty milliseconds after it went; and so does what goes out for it.
-    fn land(&mut self, how: Landing) {
-        while let Some(ticket) = self.scene.out.pop_front() {
-            self.scene.now = self.scene.now + Span::of_millis(20);
-            self.mixer.landed(&mut self.scene, ticket, how, Span::of_millis(20));
+    /// Ends every relay in flight, and those sent in reaction, with the given result after 20 ms each.
+    fn finish_relays(&mut self, landing: Landing) {
+        while let Some(ticket) = self.host.in_flight.pop_front() {
+            self.host.now = self.host.now + Span::of_millis(20);
+            self.mixer.landed(&mut self.host, ticket, landing, Span::of_millis(20));
         }
     }
 
-    fn pass(&mut self, span: Span) {
-        let end = self.scene.now + span;
-        let next = |wakes: &[(Moment, Ticket)]| (0..wakes.len()).min_by_key(|at| wakes[*at].0);
-        while let Some(next) = next(&self.scene.wakes).filter(|next| self.scene.wakes[*next].0 <= end) {
-            let (at, ticket) = self.scene.wakes.swap_remove(next);
-            self.scene.now = at;
-            self.mixer.woken(&mut self.scene, ticket);
+    /// Advances the clock and fires the timers that are due.
+    fn advance(&mut self, span: Span) {
+        let end = self.host.now + span;
+        let next = |timers: &[(Moment, Ticket)]| (0..timers.len()).min_by_key(|index| timers[*index].0);
+        while let Some(next) = next(&self.host.timers).filter(|next| self.host.timers[*next].0 <= end) {
+            let (at, ticket) = self.host.timers.swap_remove(next);
+            self.host.now = at;
+            self.mixer.woken(&mut self.host, ticket);
         }
-        self.scene.now = end;
+        self.host.now = end;
     }
 }
 
-/// A scan of so many parts, of which the last is honoured, if it has another; all else ends so. Then six seconds pass.
-fn played(settings: &str, parts: usize, how: Landing) -> Vec<String> {
-    let mut play = Play::by(settings);
-    play.scan(parts);
-    let sound = if parts > 1 { play.scene.out.pop_back() } else { None };
-    play.land(how);
-    play.scene.out.extend(sound);
-    play.land(Landing::Honoured);
-    play.pass(Span::of_millis(6_000));
-    play.scene.did
+/// Runs one scan and returns the mixer's actions. Of several parts the first relay of the last one succeeds;
+/// every other relay ends with `landing`. Then six seconds pass.
+fn run_scan(settings: &str, parts: usize, landing: Landing) -> Vec<String> {
+    let mut scenario = Scenario::with(settings);
+    scenario.take_scan(parts);
+    let last = if parts > 1 { scenario.host.in_flight.pop_back() } else { None };
+    scenario.finish_relays(landing);
+    scenario.host.in_flight.extend(last);
+    scenario.finish_relays(Landing::Honoured);
+    scenario.advance(Span::of_millis(6_000));
+    scenario.host.actions
 }
 
-fn relays(did: &[String]) -> usize {
-    did.iter().filter(|what| what.starts_with("part 0")).count()
+fn count_relays(actions: &[String]) -> usize {
+    actions.iter().filter(|action| action.starts_with("part 0")).count()
 }
 
-#[test_case("", 3; "as stated before")]
-#[test_case("limits.attempts_cap=1", 1; "a part has one relay")]
-#[test_case("invariants.further_ratio=0\ninvariants.free_resends=0\ninvariants.resend_span=2000000", 1; "no budget at all")]
-#[test_case("invariants.further_ratio=0\ninvariants.free_resends=1\ninvariants.resend_span=2000000", 2; "one further relay in two seconds")]
-#[test_case("services.0.repeat=side_effect", 1; "what has an effect runs once")]
-#[test_case("services.0.repeat=token\nservices.0.window=10000", 1; "a label's window is over")]
-#[test_case("services.0.repeat=token\nservices.0.window=2000000", 3; "a label's window holds")]
-fn a_failed_part_goes_out_as_often_as_settings_let_it(settings: &str, times: usize) {
-    let did = played(settings, 2, Landing::Erred);
-    assert_eq!(relays(&did), times, "{did:?}");
+#[test_case("", 3; "base settings")]
+#[test_case("limits.attempts_cap=1", 1; "one attempt per part")]
+#[test_case("invariants.further_ratio=0\ninvariants.free_resends=0\ninvariants.resend_span=2000000", 1; "empty retry budget")]
+#[test_case("invariants.further_ratio=0\ninvariants.free_resends=1\ninvariants.resend_span=2000000", 2; "a budget of one retry in two seconds")]
+#[test_case("services.0.repeat=side_effect", 1; "a scan with side effects runs once")]
+#[test_case("services.0.repeat=token\nservices.0.window=10000", 1; "the window of an idempotency key is over")]
+#[test_case("services.0.repeat=token\nservices.0.window=2000000", 3; "the window of an idempotency key is open")]
+fn a_failed_part_is_retried_as_often_as_settings_allow(settings: &str, attempts: usize) {
+    let actions = run_scan(settings, 2, Landing::Erred);
+    assert_eq!(count_relays(&actions), attempts, "{actions:?}");
 }
 
-#[test_case("", Landing::Erred, "bounces, come back after 0 ms"; "no pause is asked for")]
+#[test_case("", Landing::Erred, "bounces, come back after 0 ms"; "no pause")]
 #[test_case("limits.retry_after=true\nlimits.max_retry_after=1500000", Landing::Erred, "bounces, come back after 1500 ms"; "the longest pause")]
-#[test_case("services.0.repeat=side_effect", Landing::Erred, "writes off"; "what may have run is not asked for again")]
-#[test_case("services.0.repeat=side_effect", Landing::TurnedAway, "bounces, come back after 0 ms"; "what never ran may be")]
-#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.9", Landing::Erred, "answers, whole false, last true"; "half is more than the floor")]
-#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.5", Landing::Erred, "answers, whole true, last true"; "half is whole")]
-#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.5\nfamily_info.fetch_parts=3", Landing::Erred, "answers, whole true, last false"; "a step that fetches follows")]
-fn a_scan_ends_as_its_traffic_type_says(settings: &str, how: Landing, says: &str) {
-    // Where nothing ran, nothing of a second part has run either.
-    let parts = if how == Landing::TurnedAway { 1 } else { 2 };
-    let did = played(&format!("{settings}\nlimits.attempts_cap=1"), parts, how);
-    assert!(did.iter().any(|what| what == says), "{did:?}");
+#[test_case("services.0.repeat=side_effect", Landing::Erred, "writes off"; "a part that may have run is not retried")]
+#[test_case("services.0.repeat=side_effect", Landing::TurnedAway, "bounces, come back after 0 ms"; "a part that never ran may be retried")]
+#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.9", Landing::Erred, "answers, whole false, last true"; "half exceeds the floor")]
+#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.5", Landing::Erred, "answers, whole true, last true"; "half counts as whole")]
+#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.5\nfamily_info.fetch_parts=3", Landing::Erred, "answers, whole true, last false"; "a fetch step follows")]
+fn a_scan_ends_as_its_traffic_type_requires(settings: &str, landing: Landing, expected: &str) {
+    // For a scan that never ran there must not be a second part that succeeds.
+    let parts = if landing == Landing::TurnedAway { 1 } else { 2 };
+    let actions = run_scan(&format!("{settings}\nlimits.attempts_cap=1"), parts, landing);
+    assert!(actions.iter().any(|action| action == expected), "{actions:?}");
 }
 
-#[test_case("limits.may_probe=true", true; "by a probe")]
-#[test_case("", false; "by no probe where none is allowed")]
-fn who_could_not_be_reached_is_checked(settings: &str, checks: bool) {
-    let did = played(settings, 2, Landing::Unreached);
-    assert_eq!(did.iter().any(|what| what.starts_with("checks")), checks, "{did:?}");
+#[test_case("limits.may_probe=true", true; "probes allowed")]
+#[test_case("", false; "probes not allowed")]
+fn an_unreachable_searcher_is_probed(settings: &str, is_probed: bool) {
+    let actions = run_scan(settings, 2, Landing::Unreached);
+    assert_eq!(actions.iter().any(|action| action.starts_with("checks")), is_probed, "{actions:?}");
 }
 
-/// Two that have just started take the place of the three: how many of forty scans in four seconds they get.
-#[test_case("", 40, 40; "nothing is said of cold ones")]
+/// Two searchers that have just started replace the three. Bounds how many of forty scans in four seconds
+/// they get.
+#[test_case("", 40, 40; "no slow start configured")]
 #[test_case("fleet_size=160\ninvariants.cold_from=0.5\ninvariants.cold=18000000\ninvariants.fall_multiple=3\ninvariants.fall=1500000", 1, 20; "one of 160 mixers")]
-fn cold_searchers_get_their_share(settings: &str, least: usize, most: usize) {
-    let mut play = Play::by(settings);
+fn cold_searchers_get_their_share(settings: &str, min: usize, max: usize) {
+    let mut scenario = Scenario::with(settings);
     for _ in 0..30 {
-        play.scan(1);
-        play.land(Landing::Honoured);
+        scenario.take_scan(1);
+        scenario.finish_relays(Landing::Honoured);
     }
-    let started = Some(play.scene.now);
+    let started = Some(scenario.host.now);
     let of = |number| Listing { searcher: Searcher(number), ready: true, started, ..Listing::default() };
-    play.mixer.listed(&mut play.scene, true, &[of(3), of(4)]);
-    play.scene.did.clear();
+    scenario.mixer.listed(&mut scenario.host, true, &[of(3), of(4)]);
+    scenario.host.actions.clear();
     for _ in 0..40 {
-        play.scan(1);
-        play.land(Landing::Honoured);
-        play.pass(Span::of_millis(80));
+        scenario.take_scan(1);
+        scenario.finish_relays(Landing::Honoured);
+        scenario.advance(Span::of_millis(80));
     }
-    let sent = relays(&play.scene.did);
-    assert!((least..=most).contains(&sent), "{sent}");
+    let sent = count_relays(&scenario.host.actions);
+    assert!((min..=max).contains(&sent), "{sent}");
 }
 
 #[test]
-fn a_pushed_list_comes_with_the_grace_of_its_drains() {
+fn a_pushed_list_has_the_drain_grace() {
     let of = |settings: &str| {
-        let readings = Settings::parse(format!("{PLAIN}\n{settings}").as_bytes()).unwrap();
-        readings.build_mixer(7).unwrap().pushed
+        let parsed = Settings::parse(format!("{BASE_SETTINGS}\n{settings}").as_bytes()).unwrap();
+        parsed.build_mixer(7).unwrap().pushed
     };
     assert_eq!(of("discovery=pushed\ninvariants.drain_grace=250000"), Some(Span::of_millis(250)));
     assert_eq!(of("discovery=on_request\ninvariants.drain_grace=250000"), None);
 }
 
 #[test]
-fn an_unknown_effect_is_refused_by_its_line() {
-    let readings = Settings::parse(format!("{PLAIN}\nservices.0.repeat=perhaps").as_bytes()).unwrap();
-    let said = readings.build_mixer(7).err().map(|misread| misread.to_string()).unwrap_or_default();
-    assert!(said.contains("services.0.repeat") && said.contains("perhaps"), "{said}");
+fn an_unknown_effect_is_refused_with_its_path() {
+    let settings = Settings::parse(format!("{BASE_SETTINGS}\nservices.0.repeat=perhaps").as_bytes()).unwrap();
+    let error = settings.build_mixer(7).err().map(|error| error.to_string()).unwrap_or_default();
+    assert!(error.contains("services.0.repeat") && error.contains("perhaps"), "{error}");
 }
