--- a/crates/orders/src/admission.rs
+++ b/crates/orders/src/admission.rs
@@ -1,22 +1,22 @@
-//! The section `admission`.
+//! The section `admission`: limits on client connections.
 
-use crate::units::{count, pace, share, span};
+use crate::units::{connection_limit, duration, rate, share};
 use fernglade::Span;
 use fernglade_admission::{HouseRules, Known};
 use ipnet::IpNet;
 use serde::{Deserialize, Deserializer};
 
-/// Defaults: see `deploy/operator.json5`, which names every key.
+/// Admission control for client connections. Every key is described in `deploy/operator.json5`.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Admission {
-    #[serde(deserialize_with = "count")]
+    #[serde(deserialize_with = "connection_limit")]
     per_address: Option<usize>,
-    #[serde(deserialize_with = "count")]
+    #[serde(deserialize_with = "connection_limit")]
     per_prefix: Option<usize>,
-    #[serde(deserialize_with = "pace")]
+    #[serde(deserialize_with = "rate")]
     address_pace: Option<f64>,
-    #[serde(deserialize_with = "pace")]
+    #[serde(deserialize_with = "rate")]
     whole_pace: Option<f64>,
     #[serde(deserialize_with = "share")]
     kept: f64,
@@ -24,44 +24,49 @@
     known: Vec<IpNet>,
     #[serde(deserialize_with = "share")]
     for_open: f64,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "duration")]
     retry_after: Option<Span>,
 }
 
-/// A network, or an address alone, which is a network of one.
-pub fn networks<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<IpNet>, D::Error> {
+/// Deserializes a list of networks; a single address stands for a network of one.
+pub fn networks<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<IpNet>, D::Error> {
     use serde::de::{Error, Unexpected};
     let network = |text: &String| {
-        let found = text.parse().or_else(|_| text.parse().map(|address: std::net::IpAddr| address.into()));
+        let parsed = text.parse().or_else(|_| text.parse().map(|address: std::net::IpAddr| address.into()));
         let expected = &"a network such as \"10.1.0.0/16\" or \"2001:db8::/48\", or an address";
-        found.map_err(|_| Error::invalid_value(Unexpected::Str(text), expected))
+        parsed.map_err(|_| Error::invalid_value(Unexpected::Str(text), expected))
     };
-    Vec::<String>::deserialize(from)?.iter().map(network).collect()
+    Vec::<String>::deserialize(deserializer)?.iter().map(network).collect()
 }
 
 impl Admission {
-    /// What can't hold together, by key.
+    /// Checks values against each other. An error holds the key and a message.
     pub fn check(&self) -> Result<(), (&'static str, String)> {
         if self.kept > 0.0 && self.known.is_empty() {
             return Err((
                 "admission.kept",
-                "places are kept and nobody is known: name networks in admission.known".into(),
+                "places are kept for known callers, but none are known: list networks in admission.known"
+                    .into(),
             ));
         }
         if self.for_open >= 1.0 {
-            return Err(("admission.for_open", "nobody could ask: expected a share below 1".into()));
+            return Err((
+                "admission.for_open",
+                "no client could send a request: expected a share below 1".into(),
+            ));
         }
-        if let (Some(one), Some(all)) = (self.per_address, self.per_prefix) {
-            if one > all {
+        if let (Some(per_address), Some(per_prefix)) = (self.per_address, self.per_prefix) {
+            if per_address > per_prefix {
                 return Err((
                     "admission.per_prefix",
-                    format!("is below admission.per_address, {one}: expected as many at least"),
+                    format!("is below admission.per_address, {per_address}: expected at least as many"),
                 ));
             }
         }
         Ok(())
     }
 
+    /// The rules for the admission module.
     pub fn rules(&self) -> HouseRules {
         HouseRules {
             per_caller: self.per_address,
--- a/crates/orders/src/dialect.rs
+++ b/crates/orders/src/dialect.rs
@@ -1,40 +1,44 @@
-//! The section `dialect`: indices of the OpenSearch-style API, each as the platform's own words.
+//! The section `dialect`: indices of the OpenSearch-style API, mapped to the platform's traffic types and
+//! customers.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Nothing is spoken where no index is named.
+/// The query dialect. It is off unless an index is configured.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Dialect {
     pub indices: BTreeMap<String, Index>,
-    /// A further address to listen on; both serve both kinds of request.
+    /// An additional listen address. Both listeners accept platform and dialect requests.
     pub listen: Option<SocketAddr>,
-    /// Searchers that speak the dialect themselves, over HTTP/1.1: their names, a `*` at an end standing for any rest.
+    /// Names of the searchers that speak the dialect themselves over HTTP/1.1. A trailing `*` matches any
+    /// rest.
     pub nodes: Vec<String>,
 }
 
 impl Dialect {
+    /// Whether a searcher speaks the dialect itself.
     pub fn is_node(&self, searcher: &str) -> bool {
         self.nodes.iter().any(|name| match name.strip_suffix('*') {
-            Some(start) => searcher.starts_with(start),
+            Some(prefix) => searcher.starts_with(prefix),
             None => searcher == name,
         })
     }
 }
 
+/// One index of the query dialect.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Index {
-    /// The traffic type of its searches and counts.
+    /// The traffic type of searches and counts.
     pub searches: String,
-    /// Of its edits; none are taken where none is named.
+    /// The traffic type of edits; without one, edits are refused.
     #[serde(default)]
     pub edits: Option<String>,
-    /// The customer whose scans they are.
+    /// The customer that requests to this index are attributed to.
     pub customer: String,
-    /// Whether a partial answer is given where a request does not say.
+    /// Whether partial answers are allowed when a request does not say.
     #[serde(default)]
     pub partial: bool,
 }
--- a/crates/orders/src/lib.rs
+++ b/crates/orders/src/lib.rs
@@ -1,5 +1,6 @@
-//! The operator's file: JSON5, every key optional, everything off where it does not stand. Pure: a text in, the
-//! parts' rules or one line of what is wrong out. Called by the program at its start and on SIGHUP.
+//! The operator's configuration file: JSON5, every key is optional, and what is not set is off. Parsing takes
+//! a text and returns the configuration or a one-line error, without I/O. The program calls it at startup and
+//! on SIGHUP.
 
 mod admission;
 mod dialect;
