--- a/crates/mixer/src/protocol/frames.rs
+++ b/crates/mixer/src/protocol/frames.rs
@@ -16,7 +16,7 @@
 pub enum PartOutcome {
     /// `good`: the part was executed and has a value.
     Succeeded,
-    /// `bad`: the part failed.
+    /// `bad`: the part failed; it may have run.
     Failed,
     /// `later`: the searcher refused the part without executing it.
     Rejected,
--- a/crates/mixer/src/protocol/http.rs
+++ b/crates/mixer/src/protocol/http.rs
@@ -85,7 +85,7 @@
 }
 
 impl Reader {
-    /// A reader for responses with bodies of at max_body `max_body` bytes.
+    /// A reader for responses with bodies of at most `max_body` bytes.
     pub fn for_responses(max_body: usize) -> Self {
         Self { for_responses: true, max_body, ..Self::default() }
     }
--- a/crates/mixer/src/protocol/json.rs
+++ b/crates/mixer/src/protocol/json.rs
@@ -1,6 +1,6 @@
 //! A JSON parser for complete bodies. Error texts are part of responses to clients.
 
-/// Maximum nesting depth: the parser recurses, so each level consume stack.
+/// Maximum nesting depth: the parser recurses, so each level takes stack.
 const MAX_DEPTH: usize = 32;
 
 /// A JSON value.
--- a/crates/mixer/src/protocol/scans.rs
+++ b/crates/mixer/src/protocol/scans.rs
@@ -6,7 +6,7 @@
 use fernglade_dialect::request::Request;
 use std::collections::BTreeSet;
 
-/// A scan as requested by a client. Traffic type and customer are names that have not been resolved yet.
+/// A scan as requested by a client. Traffic type and customer are unresolved names.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScanRequest {
     pub request_id: String,
--- a/crates/orders/src/file.rs
+++ b/crates/orders/src/file.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Figures {
-    /// Networks that may read them.
+    /// Networks that may read the metrics.
     #[serde(deserialize_with = "networks")]
     to: Vec<IpNet>,
 }
@@ -129,7 +129,7 @@
         self.fleet.asks_in_sum
     }
 
-    /// Whether any address may read the metrics.
+    /// Whether the metrics are exposed to any network.
     pub fn exposes_metrics(&self) -> bool {
         !self.figures.to.is_empty()
     }
