--- a/crates/mixer/src/routing/any_order.rs
+++ b/crates/mixer/src/routing/any_order.rs
@@ -437,11 +437,15 @@
             self.leave(client);
         }
         assert!(self.left, "it ends by itself");
-        let desk = self.state.desk();
-        assert!(desk.relays.is_empty() && desk.names.is_empty() && desk.held == 0, "{} held", desk.held);
-        assert!(desk.batches.is_empty() && desk.landed.is_empty() && desk.checked.is_empty());
+        let host = self.state.host();
+        assert!(
+            host.relays.is_empty() && host.open_names.is_empty() && host.open_items == 0,
+            "{} held",
+            host.open_items
+        );
+        assert!(host.multi_searches.is_empty() && host.landed.is_empty() && host.probe_results.is_empty());
         let waited_for =
-            desk.pool.links.values().flat_map(|link| link.calls.values()).flat_map(|call| &call.parts);
+            host.pool.links.values().flat_map(|link| link.calls.values()).flat_map(|call| &call.parts);
         assert_eq!(waited_for.count(), 0);
     }
 }
--- a/crates/mixer/src/routing/clients.rs
+++ b/crates/mixer/src/routing/clients.rs
@@ -9,33 +9,33 @@
 /// A request is to be whole so long after its first byte, and a connection's first so long after that came:
 /// clients send theirs in one piece. Whoever connects is owed an answer or a close within three seconds; one
 /// of them is for waiting on the porch.
-pub const HALF_ASKED: Span = Span::of_millis(2_000);
+pub const REQUEST_TIMEOUT: Span = Span::of_millis(2_000);
 /// What a client is about.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Doing {
+pub enum ClientActivity {
     Idle,
     /// A request has begun to come, then.
-    Asking(Moment),
-    Waiting(ScanId),
+    SendingRequest(Moment),
+    AwaitingAnswer(ScanId),
     /// Its connection ends with what is being written to it.
-    Leaving,
+    Closing,
 }
 
 struct Client {
-    doing: Doing,
+    activity: ClientActivity,
     /// Nothing whole has come from it yet.
     new: bool,
     /// It was sent off. What it had asked by then is answered, and is the last.
-    leaves: bool,
-    /// When it came, if it is new; else when it fell idle or began to ask.
+    closing: bool,
+    /// When it came, if it is new; else when it fell idle or started_at to ask.
     since: Moment,
 }
 
 /// Who is inside, and what about. Who is let in, and who goes, is the house's to say.
 pub struct Clients {
-    here: BTreeMap<ClientId, Client>,
-    house: House,
-    acts: Vec<Act>,
+    connected: BTreeMap<ClientId, Client>,
+    admission: House,
+    actions: Vec<Act>,
 }
 
 impl Default for Clients {
@@ -45,130 +45,133 @@
 }
 
 impl Clients {
-    pub fn new(rules: HouseRules, most: usize) -> Self {
-        Self { here: BTreeMap::new(), house: House::new(rules, most), acts: Vec::new() }
+    pub fn new(rules: HouseRules, max_clients: usize) -> Self {
+        Self { connected: BTreeMap::new(), admission: House::new(rules, max_clients), actions: Vec::new() }
     }
 
     /// A connection was accepted.
-    pub fn knocked(&mut self, client: ClientId, from: IpAddr, now: Moment) {
-        self.acts.extend(self.house.arrive(now, Guest(client.0), from));
+    pub fn accepted(&mut self, client: ClientId, from: IpAddr, now: Moment) {
+        self.actions.extend(self.admission.arrive(now, Guest(client.0), from));
     }
 
     /// It was let in.
-    pub fn came(&mut self, client: ClientId, now: Moment) {
-        self.here.insert(client, Client { doing: Doing::Idle, new: true, leaves: false, since: now });
+    pub fn admitted(&mut self, client: ClientId, now: Moment) {
+        self.connected
+            .insert(client, Client { activity: ClientActivity::Idle, new: true, closing: false, since: now });
     }
 
     /// What the house has asked for since it was last asked; whoever is to leave is marked so.
-    pub fn acts(&mut self) -> Vec<Act> {
-        let acts = std::mem::take(&mut self.acts);
-        for act in &acts {
-            if let Act::Leave(Guest(id)) = act {
-                let client = self.here.entry(ClientId(*id));
-                client.and_modify(|client| (client.doing, client.leaves) = (Doing::Leaving, true));
+    pub fn take_actions(&mut self) -> Vec<Act> {
+        let actions = std::mem::take(&mut self.actions);
+        for action in &actions {
+            if let Act::Leave(Guest(id)) = action {
+                let client = self.connected.entry(ClientId(*id));
+                client
+                    .and_modify(|client| (client.activity, client.closing) = (ClientActivity::Closing, true));
             }
         }
-        acts
+        actions
     }
 
-    fn stand(&mut self, client: ClientId, doing: Doing, now: Moment) {
-        let standing = match doing {
-            Doing::Idle => Standing::Idle,
-            Doing::Asking(_) => Standing::Asking,
-            Doing::Waiting(_) => Standing::Busy,
-            Doing::Leaving => Standing::Leaving,
+    fn report_activity(&mut self, client: ClientId, activity: ClientActivity, now: Moment) {
+        let standing = match activity {
+            ClientActivity::Idle => Standing::Idle,
+            ClientActivity::SendingRequest(_) => Standing::Asking,
+            ClientActivity::AwaitingAnswer(_) => Standing::Busy,
+            ClientActivity::Closing => Standing::Leaving,
         };
-        self.acts.extend(self.house.stand(now, Guest(client.0), standing));
+        self.actions.extend(self.admission.stand(now, Guest(client.0), standing));
     }
 
     pub fn due(&self, now: Moment) -> Option<Moment> {
-        self.house.due(now)
+        self.admission.due(now)
     }
 
     pub fn tick(&mut self, now: Moment) {
-        self.acts.extend(self.house.tick(now));
+        self.actions.extend(self.admission.tick(now));
     }
 
-    pub fn ran_short(&mut self, now: Moment) {
-        self.acts.extend(self.house.ran_short(now));
+    pub fn out_of_resources(&mut self, now: Moment) {
+        self.actions.extend(self.admission.ran_short(now));
     }
 
-    pub fn set_most(&mut self, most: usize, now: Moment) {
-        self.acts.extend(self.house.set_most(now, most));
+    pub fn set_max_clients(&mut self, max_clients: usize, now: Moment) {
+        self.actions.extend(self.admission.set_most(now, max_clients));
     }
 
     pub fn set_rules(&mut self, rules: HouseRules, now: Moment) {
-        self.acts.extend(self.house.set_rules(now, rules));
+        self.actions.extend(self.admission.set_rules(now, rules));
     }
 
-    pub fn close(&mut self, now: Moment) {
-        self.acts.extend(self.house.close(now));
+    pub fn stop_admitting(&mut self, now: Moment) {
+        self.actions.extend(self.admission.close(now));
     }
 
     /// When those turned away at the door are told to come back, where the operator says so.
-    pub fn come_back(&self) -> Option<Span> {
-        self.house.rules().come_back
+    pub fn refusal_retry_after(&self) -> Option<Span> {
+        self.admission.rules().come_back
     }
 
-    pub fn gone(&mut self, client: ClientId, now: Moment) -> Option<Doing> {
-        self.acts.extend(self.house.gone(now, Guest(client.0)));
-        self.here.remove(&client).map(|client| client.doing)
+    pub fn disconnected(&mut self, client: ClientId, now: Moment) -> Option<ClientActivity> {
+        self.actions.extend(self.admission.gone(now, Guest(client.0)));
+        self.connected.remove(&client).map(|client| client.activity)
     }
 
-    /// What it asks counts from `began`, and is to be whole some time from now.
-    pub fn stirred(&mut self, client_id: ClientId, began: Moment, now: Moment) {
-        if let Some(client) = self.here.get_mut(&client_id) {
-            client.doing = Doing::Asking(began);
+    /// What it asks counts from `started_at`, and is to be whole some time from now.
+    pub fn request_started(&mut self, client_id: ClientId, started_at: Moment, now: Moment) {
+        if let Some(client) = self.connected.get_mut(&client_id) {
+            client.activity = ClientActivity::SendingRequest(started_at);
             client.since = if client.new { client.since } else { now };
-            self.stand(client_id, Doing::Asking(began), now);
+            self.report_activity(client_id, ClientActivity::SendingRequest(started_at), now);
         }
     }
 
     /// A whole request has come, or its answer went out.
-    pub fn set(&mut self, client_id: ClientId, doing: Doing, now: Moment) {
-        if let Some(client) = self.here.get_mut(&client_id) {
-            let leaves = client.leaves || doing == Doing::Leaving;
-            *client = Client { doing, new: false, leaves, since: now };
-            self.stand(client_id, doing, now);
+    pub fn set_activity(&mut self, client_id: ClientId, activity: ClientActivity, now: Moment) {
+        if let Some(client) = self.connected.get_mut(&client_id) {
+            let closing = client.closing || activity == ClientActivity::Closing;
+            *client = Client { activity, new: false, closing, since: now };
+            self.report_activity(client_id, activity, now);
         }
     }
 
     /// Whether what was to be whole by now, since then, is not.
-    pub fn is_half_asked(&self, client: ClientId, since: Moment) -> bool {
-        let half = |client: &Client| match client.doing {
-            Doing::Idle => client.new,
-            Doing::Asking(_) => true,
-            Doing::Waiting(_) | Doing::Leaving => false,
+    pub fn is_request_incomplete(&self, client: ClientId, since: Moment) -> bool {
+        let incomplete = |client: &Client| match client.activity {
+            ClientActivity::Idle => client.new,
+            ClientActivity::SendingRequest(_) => true,
+            ClientActivity::AwaitingAnswer(_) | ClientActivity::Closing => false,
         };
-        self.here.get(&client).is_some_and(|client| client.since == since && half(client))
+        self.connected.get(&client).is_some_and(|client| client.since == since && incomplete(client))
     }
 
     pub fn is_empty(&self) -> bool {
-        self.here.is_empty() && self.house.is_empty()
+        self.connected.is_empty() && self.admission.is_empty()
     }
 
     /// Whether its connection ends with its answer: it was sent off, or it makes room.
-    pub fn ends_with_answer(&self, client: ClientId, now: Moment) -> bool {
-        let leaves = self.here.get(&client).is_some_and(|client| client.leaves);
-        leaves || self.house.ends_with_answer(now, Guest(client.0))
+    pub fn closes_after_answer(&self, client: ClientId, now: Moment) -> bool {
+        let closing = self.connected.get(&client).is_some_and(|client| client.closing);
+        closing || self.admission.ends_with_answer(now, Guest(client.0))
     }
 
     /// Since when a request that is whole now has been coming; none where its client is not here, or waits for
     /// another.
-    pub fn asking_since(&self, client: ClientId, now: Moment) -> Option<Moment> {
-        match self.here.get(&client)?.doing {
-            Doing::Asking(began) => Some(began),
-            Doing::Idle | Doing::Leaving => Some(now),
-            Doing::Waiting(_) => None,
+    pub fn request_start(&self, client: ClientId, now: Moment) -> Option<Moment> {
+        match self.connected.get(&client)?.activity {
+            ClientActivity::SendingRequest(started_at) => Some(started_at),
+            ClientActivity::Idle | ClientActivity::Closing => Some(now),
+            ClientActivity::AwaitingAnswer(_) => None,
         }
     }
 
     /// All idle ones leave, but for the new ones that came later.
-    pub fn send_off_idle(&mut self, by: Moment, now: Moment) -> Vec<ClientId> {
-        let leaves = |client: &Client| client.doing == Doing::Idle && (!client.new || client.since <= by);
+    pub fn close_idle(&mut self, by: Moment, now: Moment) -> Vec<ClientId> {
+        let closing =
+            |client: &Client| client.activity == ClientActivity::Idle && (!client.new || client.since <= by);
         let idle: Vec<ClientId> =
-            self.here.iter().filter(|(_, client)| leaves(client)).map(|(id, _)| *id).collect();
-        idle.iter().for_each(|client| self.set(*client, Doing::Leaving, now));
+            self.connected.iter().filter(|(_, client)| closing(client)).map(|(id, _)| *id).collect();
+        idle.iter().for_each(|client| self.set_activity(*client, ClientActivity::Closing, now));
         idle
     }
 }
--- a/crates/mixer/src/routing/close_reason.rs
+++ b/crates/mixer/src/routing/close_reason.rs
@@ -30,8 +30,8 @@
 
 impl CloseReason {
     /// How a part lands whose connection ended so; `out` tells whether its call's last byte was written.
-    pub fn landing(self, out: bool) -> Landing {
-        match (self, out) {
+    pub fn landing(self, written: bool) -> Landing {
+        match (self, written) {
             (CloseReason::OutOfResources, _)
             | (CloseReason::WriteBacklogFull | CloseReason::ClosedLocally, false) => Landing::Unsent,
             (CloseReason::ConnectionRefused | CloseReason::ConnectTimedOut | CloseReason::Unreachable, _)
--- /dev/null
+++ b/crates/mixer/src/routing/host.rs
@@ -0,0 +1,512 @@
+//! The module's host: its calls become effects, and ids become scans, relays and links.
+
+use super::clients::{ClientActivity, Clients};
+use super::connection_attempts::HedgeDecision;
+use super::pool::{Call, CallState, Link, LinkPool};
+use super::query::{self, MultiSearch, QueryContext};
+use super::scan_counters::{ScanCounters, ScanOutcome};
+use super::searcher_registry::SearcherRegistry;
+use super::timers::{Timer, Timers};
+use super::{CallId, ClientId, Effect, LinkId, Reply, SearcherProtocol};
+use crate::protocol::frames::{Asked, Errand};
+use fernglade::{Host, Landing, Moment, ScanId, Searcher, Span, Ticket};
+use fernglade_fronts::Slots;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::rc::Rc;
+
+/// A scan that is open. It goes with its final answer.
+pub struct OpenScan {
+    pub client: ClientId,
+    pub name: String,
+    pub label: Option<String>,
+    pub text: Rc<str>,
+    /// What it counts as, and when its request had come.
+    pub traffic_type: usize,
+    pub started_at: Moment,
+    /// Each part's shard, and its value once it is in.
+    pub parts: Vec<(u32, Option<String>)>,
+    /// How each part landed last, where it brought no value.
+    pub last_failures: Vec<Option<Landing>>,
+    /// How many bytes of an answer its values take so far.
+    pub answer_bytes: usize,
+    /// What was asked in the query dialect, if it was, and how its nodes are asked it.
+    pub query: Option<QueryContext>,
+    pub node_request: Option<Rc<Asked>>,
+}
+
+/// A relay that has not landed.
+pub struct Relay {
+    pub scan: ScanId,
+    pub part: usize,
+    pub to: Searcher,
+    pub started_at: Moment,
+    deadline: Moment,
+    /// Its link broke under it before it was written, and it went to another.
+    reassigned: bool,
+    /// Nobody waits for it: it is not to be written if that can be helped, and may not be called off once it is.
+    cancelled: bool,
+    part_request: Errand,
+    location: Option<(LinkId, CallId)>,
+}
+
+#[derive(Default)]
+pub struct MixerHost {
+    pub now: Moment,
+    pub effects: Vec<Effect>,
+    pub clients: Clients,
+    pub scans: Slots<OpenScan>,
+    /// Their names: no two that are open share one.
+    pub open_names: BTreeSet<String>,
+    /// Scans and parts that are open.
+    pub open_items: usize,
+    pub relays: BTreeMap<Ticket, Relay>,
+    /// Relays of this event, not yet on a link.
+    unassigned: Vec<Ticket>,
+    /// Relays that landed while the module was busy, or now.
+    pub landed: VecDeque<(Ticket, Landing, Span)>,
+    /// Checks that ended while the module was busy.
+    pub probe_results: VecDeque<(Searcher, bool)>,
+    /// Clients that asked for several scans in one request; each goes with its answer, or its client.
+    pub multi_searches: BTreeMap<ClientId, MultiSearch>,
+    /// Those of them whose last scan has ended.
+    pub resumable: VecDeque<ClientId>,
+    pub pool: LinkPool,
+    pub counters: ScanCounters,
+    pub registry: SearcherRegistry,
+    pub timers: Timers,
+    pub dial_timeout: Span,
+    pub may_cancel: bool,
+    pub shutting_down: bool,
+}
+
+impl MixerHost {
+    pub fn land_relay(&mut self, ticket: Ticket, landing: Landing) -> Option<Relay> {
+        let relay = self.relays.remove(&ticket)?;
+        if let Some(last_failure) =
+            self.scans.get_mut(relay.scan).and_then(|open| open.last_failures.get_mut(relay.part))
+        {
+            *last_failure = Some(landing).filter(|landing| *landing != Landing::Honoured);
+        }
+        self.landed.push_back((ticket, landing, self.now.since(relay.started_at)));
+        Some(relay)
+    }
+
+    /// Ends our wait for a relay. What has not been written of it never is.
+    pub fn abandon_relay(&mut self, ticket: Ticket, landing: Landing) {
+        let Some(relay) = self.land_relay(ticket, landing) else { return };
+        let (Some((link_id, call_id)), id) = (relay.location, relay.part_request.id) else { return };
+        let Some(link) = self.pool.links.get_mut(&link_id) else { return };
+        let Some(call) = link.calls.get_mut(&call_id) else { return };
+        call.parts.retain(|other| *other != ticket);
+        // Waited for until its time was up: where nothing has come meanwhile, nothing new goes that way.
+        link.unresponsive |=
+            call.state == CallState::Written && self.now >= relay.deadline && call.sent_at > link.last_heard;
+        match call.state {
+            CallState::AwaitingLink if call.parts.is_empty() => drop(link.calls.remove(&call_id)),
+            CallState::AwaitingLink => {}
+            CallState::Submitted | CallState::Withdrawing => {
+                call.cancelled.push(id);
+                if call.state == CallState::Submitted {
+                    call.state = CallState::Withdrawing;
+                    self.effects.push(Effect::WithdrawCall(link_id, call_id));
+                }
+                return;
+            }
+            CallState::Written => {
+                if call.parts.is_empty() {
+                    link.calls.remove(&call_id);
+                }
+                self.cancel_written(link_id, id);
+            }
+        }
+        self.close_idle_links(|_, link| link.unresponsive);
+    }
+
+    /// Where the call of a relay stands, once it is on a link.
+    fn call_state(&self, ticket: Ticket) -> Option<CallState> {
+        let (link, call) = self.relays.get(&ticket)?.location?;
+        Some(self.pool.links.get(&link)?.calls.get(&call)?.state)
+    }
+
+    /// Asks for a relay back that was handed over. It is waited for on where that comes too late.
+    fn withdraw_relay(&mut self, ticket: Ticket) {
+        let Some(relay) = self.relays.get_mut(&ticket) else { return };
+        let Some((link_id, call_id)) = relay.location else { return };
+        relay.cancelled = true;
+        let link = self.pool.links.get_mut(&link_id);
+        if let Some(call) = link.and_then(|link| link.calls.get_mut(&call_id)) {
+            if call.state == CallState::Submitted {
+                call.state = CallState::Withdrawing;
+                self.effects.push(Effect::WithdrawCall(link_id, call_id));
+            }
+        }
+    }
+
+    /// What was written and is waited for no more: its answer may yet come.
+    fn cancel_written(&mut self, link_id: LinkId, id: String) {
+        if self.pool.links.get(&link_id).is_some_and(|link| link.protocol == SearcherProtocol::QueryApi) {
+            return self.abort_link(link_id);
+        }
+        if self.may_cancel {
+            self.effects.push(Effect::CancelPart { link: link_id, id: id.clone() });
+        }
+        if let Some(link) = self.pool.links.get_mut(&link_id) {
+            link.note_cancelled(id);
+        }
+    }
+
+    /// Ends a link on which an answer is owed that nobody waits for, and that would stand before the next one.
+    fn abort_link(&mut self, link_id: LinkId) {
+        let Some(link) = self.pool.links.remove(&link_id) else { return };
+        self.pool.closing.insert(link_id);
+        self.probe_results.extend(link.probing.then_some((link.to, false)));
+        self.effects.push(Effect::AbortLink(link_id));
+    }
+
+    /// A ticket may be let again: the relay is meant whose time is over now.
+    pub fn relay_deadline_passed(&mut self, ticket: Ticket, deadline: Moment) {
+        if self.relays.get(&ticket).is_some_and(|relay| relay.deadline == deadline) {
+            self.abandon_relay(ticket, Landing::Silent);
+        }
+    }
+
+    /// A ticket may be let again: the relay is meant that left then. What waits for a link is never handed over, what
+    /// waits to be written is taken back.
+    pub fn send_deadline_passed(&mut self, ticket: Ticket, started_at: Moment) {
+        if self.relays.get(&ticket).is_none_or(|relay| relay.started_at != started_at) {
+            return;
+        }
+        match self.call_state(ticket) {
+            Some(CallState::Written) => {}
+            Some(CallState::Submitted | CallState::Withdrawing) => self.withdraw_relay(ticket),
+            Some(CallState::AwaitingLink) | None => self.abandon_relay(ticket, Landing::Unsent),
+        }
+    }
+
+    /// A part that is out on a link, by its id.
+    pub fn find_relay(&self, link: LinkId, id: &str) -> Option<(CallId, Ticket)> {
+        let named =
+            |ticket: &&Ticket| self.relays.get(ticket).is_some_and(|relay| relay.part_request.id == id);
+        let within = |(number, call): (&CallId, &Call)| Some((*number, *call.parts.iter().find(named)?));
+        self.pool.links.get(&link)?.calls.iter().find_map(within)
+    }
+
+    pub fn link_connected(&mut self, id: LinkId) {
+        self.pool.attempts.connected(id, self.now);
+        let Some(link) = self.pool.links.get_mut(&id) else { return };
+        link.connected = true;
+        let calls: Vec<CallId> = link.calls.keys().copied().collect();
+        if link.protocol == SearcherProtocol::QueryApi && !self.registry.knows_version(link.to) {
+            self.effects.push(Effect::RequestVersion(id));
+        }
+        if link.probing && self.registry.is_ready(link.to) {
+            self.effects.push(Effect::ProbeHealth(id));
+        }
+        calls.into_iter().for_each(|call| self.submit_call(id, call));
+    }
+
+    /// Hands a call over to be written.
+    fn submit_call(&mut self, link_id: LinkId, call_id: CallId) {
+        let Some(call) = self.pool.links.get_mut(&link_id).and_then(|l| l.calls.get_mut(&call_id)) else {
+            return;
+        };
+        call.state = CallState::Submitted;
+        let part_request = |ticket: &Ticket| {
+            let relay = self.relays.get(ticket)?;
+            let waits_ms = (relay.deadline.since(self.now).micros() / 1000).max(1);
+            Some(Errand { waits_ms, ..relay.part_request.clone() })
+        };
+        let part_requests = call.parts.iter().filter_map(part_request).collect();
+        self.effects.push(Effect::Call { link: link_id, call: call_id, part_requests });
+    }
+
+    pub fn call_written(&mut self, link_id: LinkId, call_id: CallId) {
+        let Some(link) = self.pool.links.get_mut(&link_id) else { return };
+        let Some(call) = link.calls.get_mut(&call_id) else { return };
+        (call.state, call.sent_at) = (CallState::Written, self.now);
+        let cancelled = std::mem::take(&mut call.cancelled);
+        if call.parts.is_empty() {
+            link.calls.remove(&call_id);
+        }
+        cancelled.into_iter().for_each(|id| self.cancel_written(link_id, id));
+    }
+
+    /// A call was taken back: its parts that are still wanted go out anew, unless their searcher has left.
+    pub fn call_withdrawn(&mut self, link_id: LinkId, call_id: CallId) {
+        let Some(link) = self.pool.links.get_mut(&link_id) else { return };
+        let Some(call) = link.calls.remove(&call_id) else { return };
+        let ready = self.registry.is_ready(link.to);
+        for ticket in call.parts {
+            if self.relays.get(&ticket).is_some_and(|relay| relay.cancelled) {
+                self.land_relay(ticket, Landing::CalledOff);
+            } else if ready {
+                self.unassigned.push(ticket);
+            } else {
+                self.land_relay(ticket, Landing::Unsent);
+            }
+        }
+    }
+
+    /// A link broke that had been up. What was not written of a part goes on a new one, once: against links
+    /// that end just as they are used again, which says nothing of whether their searcher can be reached.
+    pub fn reassign_after_break(&mut self, ticket: Ticket) -> bool {
+        let Some(relay) = self.relays.get_mut(&ticket) else { return false };
+        let reassigns = !relay.reassigned && !relay.cancelled && self.registry.is_ready(relay.to);
+        relay.reassigned = true;
+        self.unassigned.extend(reassigns.then_some(ticket));
+        reassigns
+    }
+
+    /// Takes back what was not written to searchers that are to get nothing new, or are elsewhere now, and lets go of
+    /// the links there.
+    pub fn release_unready_links(&mut self) {
+        let is_current = |registry: &SearcherRegistry, link: &Link| {
+            registry.is_ready(link.to) && registry.address(link.to) == Some(link.address)
+        };
+        self.close_idle_links(|registry, link| !is_current(registry, link));
+        let registry = &self.registry;
+        let mut dropped = Vec::new();
+        for (link_id, link) in self.pool.links.iter_mut().filter(|(_, link)| !is_current(registry, link)) {
+            for (call_id, call) in &mut link.calls {
+                match call.state {
+                    CallState::AwaitingLink => dropped.push((*link_id, *call_id)),
+                    CallState::Submitted => {
+                        call.state = CallState::Withdrawing;
+                        self.effects.push(Effect::WithdrawCall(*link_id, *call_id));
+                    }
+                    CallState::Withdrawing | CallState::Written => {}
+                }
+            }
+        }
+        dropped.into_iter().for_each(|(link, call)| self.call_withdrawn(link, call));
+    }
+
+    /// Hangs up links on which nothing is going on.
+    fn close_idle_links(&mut self, of: impl Fn(&SearcherRegistry, &Link) -> bool) {
+        let idle = self.pool.remove_idle(|link| of(&self.registry, link));
+        self.effects.extend(idle.into_iter().map(Effect::CloseLink));
+    }
+
+    /// Puts the relays of this event on links, those to one searcher in shared calls; false where there are
+    /// none.
+    pub fn assign_relays(&mut self) -> bool {
+        let any = !self.unassigned.is_empty();
+        let mut by_searcher: BTreeMap<Searcher, Vec<Ticket>> = BTreeMap::new();
+        for ticket in std::mem::take(&mut self.unassigned) {
+            if let Some(relay) = self.relays.get(&ticket) {
+                by_searcher.entry(relay.to).or_default().push(ticket);
+            }
+        }
+        for (to, tickets) in by_searcher {
+            match self.registry.protocol(to) {
+                SearcherProtocol::Frames => {
+                    tickets
+                        .chunks(self.pool.max_parts_per_call.max(1))
+                        .for_each(|call| self.assign(to, call));
+                }
+                SearcherProtocol::QueryApi => {
+                    tickets.into_iter().for_each(|ticket| self.assign_to_node(to, ticket))
+                }
+            }
+        }
+        any
+    }
+
+    /// What can't be said in the query dialect never gets there.
+    fn assign_to_node(&mut self, to: Searcher, ticket: Ticket) {
+        if self.relays.get(&ticket).is_some_and(|relay| relay.part_request.asked.is_some()) {
+            self.assign(to, &[ticket]);
+        } else {
+            self.land_relay(ticket, Landing::Unsent);
+        }
+    }
+
+    fn assign(&mut self, to: Searcher, tickets: &[Ticket]) {
+        let address = self.registry.address(to);
+        let found = address
+            .and_then(|address| self.pool.find_available(to, address).or_else(|| self.dial(to, address)));
+        let Some(link_id) = found else {
+            tickets.iter().for_each(|ticket| drop(self.land_relay(*ticket, Landing::Unsent)));
+            return;
+        };
+        let call_id = CallId(self.pool.next_id());
+        for ticket in tickets {
+            self.relays.entry(*ticket).and_modify(|relay| relay.location = Some((link_id, call_id)));
+        }
+        let Some(link) = self.pool.links.get_mut(&link_id) else { return };
+        let (state, sent_at) = (CallState::AwaitingLink, self.now);
+        let call = Call { parts: tickets.to_vec(), state, sent_at, cancelled: Vec::new() };
+        link.add_call(call_id, call);
+        if link.connected {
+            self.submit_call(link_id, call_id);
+        }
+    }
+
+    fn dial(&mut self, to: Searcher, address: std::net::SocketAddr) -> Option<LinkId> {
+        let evicted = self.pool.evict_idle(self.now);
+        self.effects.extend(evicted.into_iter().map(Effect::CloseLink));
+        let protocol = self.registry.protocol(to);
+        let link = self.pool.open(to, address, protocol)?;
+        self.effects.push(Effect::Dial { link, to: address, timeout: self.dial_timeout, protocol });
+        let late = self.pool.attempts.start(link, self.now, self.dial_timeout);
+        self.timers.set(late, Timer::HedgeDialDue(link));
+        Some(link)
+    }
+
+    /// A dial may be late.
+    pub fn hedge_dial(&mut self, link: LinkId) {
+        if !self.pool.links.contains_key(&link) {
+            return;
+        }
+        let has_room = self.pool.descriptors_in_use() < self.pool.max_links;
+        match self.pool.attempts.hedge_decision(link, self.now, self.dial_timeout, has_room) {
+            HedgeDecision::Stop => {}
+            HedgeDecision::Start(again) => {
+                self.effects.push(Effect::HedgeDial(link));
+                self.timers.set(again, Timer::HedgeDialDue(link));
+            }
+            HedgeDecision::Wait(again) => self.timers.set(again, Timer::HedgeDialDue(link)),
+        }
+    }
+
+    pub fn reply(&mut self, client: ClientId, reply: Reply, last: bool) {
+        if let Some(multi_search) = self.multi_searches.get_mut(&client) {
+            multi_search.record(&reply);
+            self.resumable.push_back(client);
+            return;
+        }
+        let last = last || self.shutting_down || self.clients.closes_after_answer(client, self.now);
+        self.clients.set_activity(
+            client,
+            if last { ClientActivity::Closing } else { ClientActivity::Idle },
+            self.now,
+        );
+        self.effects.push(Effect::Reply { client, reply, last });
+    }
+
+    /// What is held of a scan goes, and it is counted by how it left.
+    pub fn close_scan(&mut self, id: ScanId, outcome: ScanOutcome) -> Option<OpenScan> {
+        let open = self.scans.close(id)?;
+        self.counters.scan_ended(open.traffic_type, outcome, self.now.since(open.started_at));
+        self.open_names.remove(&open.name);
+        self.open_items -= 1 + open.parts.len();
+        Some(open)
+    }
+
+    fn finish_scan(&mut self, id: ScanId, outcome: ScanOutcome, reply: impl FnOnce(OpenScan) -> Reply) {
+        if let Some(open) = self.close_scan(id, outcome) {
+            let client = open.client;
+            self.reply(client, reply(open), false);
+        }
+    }
+}
+
+impl Host for MixerHost {
+    fn now(&self) -> Moment {
+        self.now
+    }
+
+    fn relay(&mut self, ticket: Ticket, scan: ScanId, part: usize, to: Searcher, patience: Span) {
+        let deadline = self.now + patience;
+        let Some(open) = self.scans.get(scan) else {
+            self.landed.push_back((ticket, Landing::Unsent, Span::ZERO));
+            return;
+        };
+        let shard = open.parts[part].0;
+        let (id, label, text) = (format!("{}.{shard}", open.name), open.label.clone(), open.text.clone());
+        let part_request = Errand { id, shard, waits_ms: 0, label, text, asked: open.node_request.clone() };
+        let relay = Relay {
+            scan,
+            part,
+            to,
+            started_at: self.now,
+            deadline,
+            reassigned: false,
+            cancelled: false,
+            part_request,
+            location: None,
+        };
+        self.relays.insert(ticket, relay);
+        self.counters.relays += 1;
+        self.unassigned.push(ticket);
+        self.timers.set(deadline, Timer::RelayDeadline(ticket, deadline));
+    }
+
+    fn begin_by(&mut self, relay: Ticket, by: Moment) {
+        if let Some(started_at) = self.relays.get(&relay).map(|relay| relay.started_at) {
+            self.timers.set(by, Timer::SendDeadline(relay, started_at));
+        }
+    }
+
+    /// What was written is called off only where the platform lets us; what was not is nobody's yet, and is taken
+    /// back whatever the platform says.
+    fn call_off(&mut self, ticket: Ticket) {
+        match self.call_state(ticket) {
+            Some(CallState::Written) if !self.may_cancel => {}
+            Some(CallState::Submitted | CallState::Withdrawing) if !self.may_cancel => {
+                self.withdraw_relay(ticket)
+            }
+            _ => self.abandon_relay(ticket, Landing::CalledOff),
+        }
+    }
+
+    fn answer(&mut self, scan: ScanId, whole: bool, _last: bool) {
+        let now = self.now;
+        let values = |open: OpenScan| {
+            if let Some(query) = &open.query {
+                return query::reply(query.answer(&open, now), Span::ZERO, query.opaque_id());
+            }
+            let parts = open.parts.into_iter();
+            let values = parts.filter_map(|(shard, value)| Some((shard, value?))).collect();
+            Reply::Answer { complete: whole, values }
+        };
+        self.finish_scan(scan, ScanOutcome::Served, values);
+    }
+
+    fn bounce(&mut self, scan: ScanId, pause: Span) {
+        self.finish_scan(scan, ScanOutcome::Refused, |open| match &open.query {
+            Some(query) => query::reply(Err(query.rejection()), pause, query.opaque_id()),
+            None => Reply::Rejected(pause),
+        });
+    }
+
+    fn write_off(&mut self, scan: ScanId) {
+        self.finish_scan(scan, ScanOutcome::Failed, |open| match &open.query {
+            Some(query) => query::reply(Err(query.failure()), Span::ZERO, query.opaque_id()),
+            None => Reply::Failed,
+        });
+    }
+
+    fn wake(&mut self, ticket: Ticket, at: Moment) {
+        self.timers.set(at, Timer::Wake(ticket));
+    }
+
+    fn check(&mut self, searcher: Searcher) {
+        let Some(address) = self.registry.address(searcher).filter(|_| self.registry.is_ready(searcher))
+        else {
+            return;
+        };
+        // Checks of one searcher come one after another: one that is unanswered by now never will be.
+        let unanswered = self.pool.remove_unanswered_probes(searcher);
+        self.effects.extend(unanswered.into_iter().map(Effect::CloseLink));
+        let found = self.pool.find_responsive(searcher, address).or_else(|| self.dial(searcher, address));
+        let Some(link) = found.and_then(|id| self.pool.links.get_mut(&id)) else { return };
+        link.probing = true;
+        if link.connected {
+            self.effects.extend(found.map(Effect::ProbeHealth));
+        }
+    }
+
+    fn hang_up(&mut self, searcher: Searcher) {
+        self.close_idle_links(|_, link| link.to == searcher);
+        self.pool
+            .links
+            .values_mut()
+            .filter(|link| link.to == searcher)
+            .for_each(|link| link.unresponsive = true);
+    }
+
+    fn watch_list(&mut self) {
+        self.effects.extend(self.registry.watch_effect());
+    }
+}
--- a/crates/mixer/src/routing/mod.rs
+++ b/crates/mixer/src/routing/mod.rs
@@ -1,17 +1,17 @@
 //! Where a scan goes, as one state machine: [`reduce`] takes an event and leaves effects. It holds the module
 //! and is its `Host`; it has no sockets, and no clock but the events' time.
 
-mod alarms;
 mod clients;
 mod close_reason;
 mod connection_attempts;
-mod desk;
 mod event;
+mod host;
 mod pool;
 mod query;
-mod roll;
+mod scan_counters;
+mod searcher_registry;
 mod state;
-mod sums;
+mod timers;
 
 #[cfg(test)]
 mod any_order;
@@ -22,5 +22,5 @@
 
 pub use close_reason::CloseReason;
 pub use event::{CallId, ClientId, Effect, Event, LinkId, Metrics, Reply, SearcherProtocol};
+pub use scan_counters::TrafficTypeCounts;
 pub use state::{reduce, State};
-pub use sums::TrafficTypeCounts;
--- a/crates/mixer/src/routing/pool/tests.rs
+++ b/crates/mixer/src/routing/pool/tests.rs
@@ -1,43 +1,49 @@
 //! Which links a full pool keeps.
 
-use super::{Call, Pool, Stand};
+use super::{Call, CallState, LinkPool};
 use crate::routing::{CallId, SearcherProtocol};
 use fernglade::{Moment, Searcher, Span};
 use std::net::SocketAddr;
 
 /// Links that a pool may hold: what 256 descriptors leave.
-const MOST: usize = 92;
+const MAX_LINKS: usize = 92;
 /// Searchers are called one after another, so far apart.
-const STEP: Span = Span::of_millis(2);
+const CALL_INTERVAL: Span = Span::of_millis(2);
 
 /// Calls searchers over links of a pool, and counts those for which it had to dial.
 struct Caller {
-    pool: Pool,
+    pool: LinkPool,
     now: Moment,
     dials: usize,
 }
 
 impl Caller {
     fn new() -> Self {
-        let pool = Pool { most: MOST, per_link: 1, per_call: 1, ..Pool::default() };
+        let pool = LinkPool {
+            max_links: MAX_LINKS,
+            max_calls_per_link: 1,
+            max_parts_per_call: 1,
+            ..LinkPool::default()
+        };
         Self { pool, now: Moment::at_micros(1), dials: 0 }
     }
 
     /// A call that is answered at once.
     fn call(&mut self, searcher: u32) {
-        self.now = self.now + STEP;
+        self.now = self.now + CALL_INTERVAL;
         let (to, address) = (Searcher(searcher), SocketAddr::from(([127, 0, 0, 1], 1)));
-        let found = self.pool.with_room(to, address);
+        let found = self.pool.find_available(to, address);
         let id = found.unwrap_or_else(|| {
             self.dials += 1;
-            let cleared = self.pool.make_room(self.now);
-            self.pool.closing.retain(|id| !cleared.contains(id));
+            let evicted = self.pool.evict_idle(self.now);
+            self.pool.closing.retain(|id| !evicted.contains(id));
             self.pool.open(to, address, SearcherProtocol::Frames).expect("idle links make room")
         });
-        let call = Call { parts: Vec::new(), stand: Stand::Out, left: self.now, given_up: Vec::new() };
+        let call =
+            Call { parts: Vec::new(), state: CallState::Written, sent_at: self.now, cancelled: Vec::new() };
         let link = self.pool.links.get_mut(&id).expect("it is in the pool");
-        link.up = true;
-        link.carry(CallId(0), call);
+        link.connected = true;
+        link.add_call(CallId(0), call);
         link.calls.clear();
     }
 
@@ -61,7 +67,7 @@
 fn searchers_called_by_turns_keep_their_links() {
     let mut caller = Caller::new();
     caller.share_dialled(by_turns(128, 20));
-    let least = (128 - MOST) as f64 / 127.0;
+    let least = (128 - MAX_LINKS) as f64 / 127.0;
     let share = caller.share_dialled(by_turns(128, 20));
     assert!(share <= 2.0 * least, "{share:.2} of the calls dialled for, at least {least:.2}");
 }
@@ -92,18 +98,18 @@
 }
 
 #[test]
-fn a_pool_with_room_lets_nothing_go() {
+fn a_pool_find_available_lets_nothing_go() {
     let mut caller = Caller::new();
-    caller.share_dialled(by_turns(MOST as u32 - 1, 1));
-    assert!(caller.pool.make_room(caller.now).is_empty());
+    caller.share_dialled(by_turns(MAX_LINKS as u32 - 1, 1));
+    assert!(caller.pool.evict_idle(caller.now).is_empty());
 }
 
 #[test]
 fn busy_links_stay() {
     let mut caller = Caller::new();
-    caller.share_dialled(by_turns(MOST as u32, 1));
+    caller.share_dialled(by_turns(MAX_LINKS as u32, 1));
     for link in caller.pool.links.values_mut() {
-        link.checking = true;
+        link.probing = true;
     }
-    assert!(caller.pool.make_room(caller.now).is_empty());
+    assert!(caller.pool.evict_idle(caller.now).is_empty());
 }
--- a/crates/mixer/src/routing/query.rs
+++ b/crates/mixer/src/routing/query.rs
@@ -1,7 +1,7 @@
 //! Requests of the query dialect, made into the same scans as the platform's own, and what their clients hear. No
 //! decision is made here: which searcher, whether again and what is turned away is the module's.
 
-use super::desk::Open;
+use super::host::OpenScan;
 use super::Reply;
 use crate::protocol::frames::Asked;
 use crate::protocol::scans::{Ask, AskedPart, Blame};
@@ -18,31 +18,36 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// What is kept of a request while its scan is open.
-pub struct Held {
+pub struct QueryContext {
     request: Request,
     /// Whether an answer from some of the shards is one.
-    partial: bool,
+    allow_partial: bool,
     /// Nothing of it may run twice.
-    once: bool,
-    began: Moment,
+    not_repeatable: bool,
+    started_at: Moment,
 }
 
 /// What all answers of one body may take together: as many as a few full ones.
-const MOST_MANY: usize = 1024 * 1024;
+const MAX_MULTI_SEARCH_BYTES: usize = 1024 * 1024;
 
 /// Searches that one request holds: each is a scan of its own, one after another, and a bad one spoils no other.
-pub struct Batch {
+pub struct MultiSearch {
     index: Option<String>,
     lines: VecDeque<Line>,
     answers: Vec<serde_json::Value>,
-    size: usize,
-    opaque: Option<String>,
-    began: Moment,
+    response_bytes: usize,
+    opaque_id: Option<String>,
+    started_at: Moment,
 }
 
-impl Batch {
-    pub fn new(index: Option<String>, lines: Vec<Line>, opaque: Option<String>, began: Moment) -> Self {
-        Self { index, lines: lines.into(), answers: Vec::new(), size: 0, opaque, began }
+impl MultiSearch {
+    pub fn new(
+        index: Option<String>,
+        lines: Vec<Line>,
+        opaque_id: Option<String>,
+        started_at: Moment,
+    ) -> Self {
+        Self { index, lines: lines.into(), answers: Vec::new(), response_bytes: 0, opaque_id, started_at }
     }
 
     /// The next that can be asked; those before it that can't have their answers.
@@ -50,37 +55,37 @@
         while let Some((index, search)) = self.lines.pop_front() {
             let index = index.or_else(|| self.index.clone());
             let index = index.ok_or_else(|| Fault::argument("index is missing"));
-            let over = || Fault::new(Kind::TooLarge, "the answers before this one took all the room");
+            let too_large = || Fault::new(Kind::TooLarge, "the answers before this one took all the room");
             match index.and_then(|index| Ok((index, search?))) {
-                Ok(_) if self.size > MOST_MANY => self.take(over().body()),
+                Ok(_) if self.response_bytes > MAX_MULTI_SEARCH_BYTES => self.push(too_large().body()),
                 Ok((index, search)) => {
                     let timeout = search.timeout;
                     let what = What::Search { index, search };
                     return Some(Request { what, shards: None, partial: None, timeout, opaque: None });
                 }
-                Err(fault) => self.take(fault.body()),
+                Err(fault) => self.push(fault.body()),
             }
         }
         None
     }
 
-    fn take(&mut self, answer: serde_json::Value) {
+    fn push(&mut self, answer: serde_json::Value) {
         self.answers.push(answer);
     }
 
     /// One of them has ended.
-    pub fn ended(&mut self, reply: &Reply) {
+    pub fn record(&mut self, reply: &Reply) {
         let Reply::QueryApi { status, body, .. } = reply else { return };
-        self.size += body.len();
+        self.response_bytes += body.len();
         let mut answer: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
         answer["status"] = (*status).into();
-        self.take(answer);
+        self.push(answer);
     }
 
     pub fn reply(self, now: Moment) -> Reply {
-        let took = now.since(self.began).micros() / 1000;
+        let took = now.since(self.started_at).micros() / 1000;
         let all = serde_json::json!({"took": took, "responses": self.answers});
-        reply(Ok(all), fernglade::Span::ZERO, self.opaque)
+        reply(Ok(all), fernglade::Span::ZERO, self.opaque_id)
     }
 }
 
@@ -102,39 +107,39 @@
         nonce: u64,
     ) -> Result<Self, String> {
         for (name, index) in &dialect.indices {
-            let wrong = |what: String| Err(format!("dialect.indices.{name}: {what}"));
+            let invalid = |what: String| Err(format!("dialect.indices.{name}: {what}"));
             let kind =
                 |wanted: &String| types.iter().find(|(known, _)| known == wanted).map(|(_, kind)| kind);
             let Some(searches) = kind(&index.searches) else {
-                return wrong(format!("searches: no traffic type {}", index.searches));
+                return invalid(format!("searches: no traffic type {}", index.searches));
             };
             if searches.effect != Redoing::Redoable {
-                return wrong(format!("searches: {} may not run again, and searches may", index.searches));
+                return invalid(format!("searches: {} may not run again, and searches may", index.searches));
             }
             match index.edits.as_ref().map(|edits| (edits, kind(edits))) {
-                Some((edits, None)) => return wrong(format!("edits: no traffic type {edits}")),
+                Some((edits, None)) => return invalid(format!("edits: no traffic type {edits}")),
                 Some((edits, Some(kind))) if kind.effect == Redoing::Redoable => {
-                    return wrong(format!("edits: {edits} may run again, and edits may not"));
+                    return invalid(format!("edits: {edits} may run again, and edits may not"));
                 }
                 _ => {}
             }
             if !customers.is_empty() && !customers.contains(&index.customer) {
-                return wrong(format!("customer: no customer {}", index.customer));
+                return invalid(format!("customer: no customer {}", index.customer));
             }
             if types.iter().any(|(known, _)| known == name) {
-                return wrong("it is named like a traffic type".into());
+                return invalid("it is named like a traffic type".into());
             }
         }
         Ok(Self { all: dialect.indices.clone(), shards, nonce, count: 0 })
     }
 
     /// The scan that a request is, and what is kept of it.
-    pub fn ask(
+    pub fn to_scan(
         &mut self,
         request: Request,
         types: &[(String, TrafficType)],
         now: Moment,
-    ) -> Result<(Ask, Held), Fault> {
+    ) -> Result<(Ask, QueryContext), Fault> {
         let name = request.index().unwrap_or_default();
         let index = self.all.get(name).ok_or_else(|| no_index(name))?;
         let edits =
@@ -145,7 +150,7 @@
             }
             What::Search { search, .. } | What::Count { search, .. } => {
                 let all = request.shards.clone().unwrap_or_else(|| (0..self.shards).collect());
-                (&index.searches, all, asked_of_nodes(name, search), None)
+                (&index.searches, all, node_query_body(name, search), None)
             }
             _ => return Err(no_index(name)),
         };
@@ -171,19 +176,27 @@
             parts: shards.into_iter().map(|shard| AskedPart { shard, weight, work: None }).collect(),
         };
         // Both have to allow it.
-        let partial = index.partial && request.partial != Some(false);
-        Ok((ask, Held { partial, once: kind.effect != Redoing::Redoable, request, began: now }))
+        let allow_partial = index.partial && request.partial != Some(false);
+        Ok((
+            ask,
+            QueryContext {
+                allow_partial,
+                not_repeatable: kind.effect != Redoing::Redoable,
+                request,
+                started_at: now,
+            },
+        ))
     }
 }
 
 /// What each shard's node is asked, in its own words; the time left goes with the part, and not in here.
-fn asked_of_nodes(index: &str, search: &Search) -> String {
+fn node_query_body(index: &str, search: &Search) -> String {
     let (_, body) = errand(index, search, 0, fernglade::Span::ZERO);
     String::from_utf8(body).unwrap_or_default()
 }
 
 /// What a blame of the platform's side says in the dialect.
-pub fn fault_of(blame: Blame) -> Fault {
+pub fn fault_from_blame(blame: Blame) -> Fault {
     match blame {
         Blame::Dialect(fault) => fault,
         Blame::Request(what) => Fault::argument(what),
@@ -191,12 +204,12 @@
     }
 }
 
-impl Held {
+impl QueryContext {
     /// Whether a shard's value is one: a node that half understands has failed its part.
-    pub fn takes(&self, value: &str) -> bool {
+    pub fn accepts(&self, value: &str) -> bool {
         match &self.request.what {
             What::Search { index, search } | What::Count { index, search } => {
-                let found = NodeReply::read(200, value.as_bytes(), index, &given(search));
+                let found = NodeReply::read(200, value.as_bytes(), index, &node_search(search));
                 found.landing() == Landing::Honoured
             }
             _ => true,
@@ -204,18 +217,18 @@
     }
 
     /// The same for an edit that a node of the dialect answered.
-    pub fn takes_from_node(&self, value: &str) -> bool {
+    pub fn accepts_from_node(&self, value: &str) -> bool {
         match &self.request.what {
             What::Edit { edit, .. } => fernglade_dialect::reply::saved(value.as_bytes(), &edit.id),
-            _ => self.takes(value),
+            _ => self.accepts(value),
         }
     }
 
     /// What a node of the dialect is asked.
-    pub fn asked(&self, text: &str) -> Option<Asked> {
+    pub fn node_request(&self, text: &str) -> Option<Asked> {
         match &self.request.what {
             What::Edit { index, edit } => {
-                let path = format!("/{index}/{}/{}", edit.step, encoded(&edit.id));
+                let path = format!("/{index}/{}/{}", edit.step, percent_encode(&edit.id));
                 Some(Asked { path, body: edit.body.clone(), search: false })
             }
             What::Search { index, .. } | What::Count { index, .. } => {
@@ -225,12 +238,12 @@
         }
     }
 
-    pub fn opaque(&self) -> Option<String> {
+    pub fn opaque_id(&self) -> Option<String> {
         self.request.opaque.clone()
     }
 
     /// The answer, from the values that are in; or why there is none.
-    pub fn answer(&self, open: &Open, now: Moment) -> Result<serde_json::Value, Fault> {
+    pub fn answer(&self, open: &OpenScan, now: Moment) -> Result<serde_json::Value, Fault> {
         let (index, search) = match &self.request.what {
             What::Edit { index, edit } => return Ok(edit.saved(index)),
             What::Search { index, search } | What::Count { index, search } => (index, search),
@@ -238,50 +251,51 @@
         };
         let mut merge = Merge::new(search);
         let mut shards = Shards { total: open.parts.len(), missing: Vec::new() };
-        for ((shard, value), lost) in open.parts.iter().zip(&open.lost) {
-            let reply =
-                value.as_ref().map(|value| NodeReply::read(200, value.as_bytes(), index, &given(search)));
+        for ((shard, value), last_failure) in open.parts.iter().zip(&open.last_failures) {
+            let reply = value
+                .as_ref()
+                .map(|value| NodeReply::read(200, value.as_bytes(), index, &node_search(search)));
             let taken = match reply {
                 Some(NodeReply::Found(found)) => merge.take(*shard, found),
                 _ => false,
             };
             if !taken {
-                shards.missing.push((*shard, missing(*lost)));
+                shards.missing.push((*shard, missing_reason(*last_failure)));
             }
         }
-        if !shards.all_in() && !self.partial {
+        if !shards.all_in() && !self.allow_partial {
             return Err(written_off(false));
         }
         let found_all = merge.finish(shards.all_in());
         Ok(match &self.request.what {
             What::Count { .. } => counted(index, found_all.total.unwrap_or(0), &shards),
-            _ => found(index, search, found_all, &shards, now.since(self.began)),
+            _ => found(index, search, found_all, &shards, now.since(self.started_at)),
         })
     }
 
-    pub fn bounce(&self) -> Fault {
+    pub fn rejection(&self) -> Fault {
         bounced()
     }
 
     /// No promise: where a second run may do harm it is never a status that asks for one.
-    pub fn write_off(&self) -> Fault {
-        written_off(self.once)
+    pub fn failure(&self) -> Fault {
+        written_off(self.not_repeatable)
     }
 }
 
 /// An id as a step of a path.
-fn encoded(id: &str) -> String {
+fn percent_encode(id: &str) -> String {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte);
     id.bytes().map(|b| if plain(b) { char::from(b).to_string() } else { format!("%{b:02X}") }).collect()
 }
 
 /// A search as nodes are asked it: the first page up to the end of the one that is wanted.
-fn given(search: &Search) -> Search {
+fn node_search(search: &Search) -> Search {
     Search { from: 0, size: search.window(), timeout: None, ..search.clone() }
 }
 
-fn missing(lost: Option<Landing>) -> Missing {
-    match lost {
+fn missing_reason(last_failure: Option<Landing>) -> Missing {
+    match last_failure {
         Some(Landing::TurnedAway) => Missing::TurnedAway,
         Some(Landing::Silent | Landing::CalledOff) => Missing::Late,
         None | Some(Landing::Unsent) => Missing::Skipped,
@@ -292,12 +306,12 @@
 /// A reply in the dialect.
 pub fn reply(
     result: Result<serde_json::Value, Fault>,
-    pause: fernglade::Span,
-    opaque: Option<String>,
+    retry_after: fernglade::Span,
+    opaque_id: Option<String>,
 ) -> Reply {
     let (status, body) = match result {
         Ok(value) => (200, value),
         Err(fault) => (fault.kind.status(), fault.body()),
     };
-    Reply::QueryApi { status, body: body.to_string(), retry_after: pause, opaque_id: opaque }
+    Reply::QueryApi { status, body: body.to_string(), retry_after, opaque_id }
 }
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -1,11 +1,11 @@
 //! The one place where state changes.
 
-use super::alarms::Alarm;
-use super::clients::{Clients, Doing, HALF_ASKED};
-use super::desk::{Desk, Open};
-use super::pool::Stand;
-use super::query::{self, Batch, Held, Indices};
-use super::sums::{Left, Sums};
+use super::clients::{ClientActivity, Clients, REQUEST_TIMEOUT};
+use super::host::{MixerHost, OpenScan};
+use super::pool::CallState;
+use super::query::{self, Indices, MultiSearch, QueryContext};
+use super::scan_counters::{ScanCounters, ScanOutcome};
+use super::timers::Timer;
 use super::{ClientId, CloseReason, Effect, Event, LinkId, Metrics, Reply, SearcherProtocol};
 use crate::protocol::frames::PartEnd;
 use crate::protocol::lists::News;
@@ -24,40 +24,40 @@
 
 /// After a stop is asked for, clients go on coming for 0.4 s at most (PROTOCOL.md); what comes later than
 /// 0.7 s is nobody's.
-const DOOR_OPEN: Span = Span::of_millis(600);
+const ACCEPT_GRACE: Span = Span::of_millis(600);
 /// Who stood outside when the door was shut has so long to ask.
-const LAST_CALL: Span = Span::of_millis(50);
+const BACKLOG_GRACE: Span = Span::of_millis(50);
 
 /// An attempt may begin 0.1 s after its client has gone, and tell 0.15 s more than is left (the operators' terms).
-const HALF_WRITTEN: Span = Span::of_millis(100);
+const PARTIAL_WRITE_TIMEOUT: Span = Span::of_millis(100);
 
 /// Who has just come is about to ask.
-const SETTLING: Span = Span::of_millis(100);
+const NEW_CLIENT_GRACE: Span = Span::of_millis(100);
 
 pub struct State {
     mixer: Mixer,
-    desk: Desk,
+    host: MixerHost,
     types: Vec<(String, TrafficType)>,
     customers: Vec<String>,
     shards: u32,
     indices: Indices,
     name: String,
     /// Scans and parts that may be open at once.
-    most_held: usize,
+    max_open_items: usize,
     /// No client comes any more, none that is idle stays, and what is asked now finds nobody who will be here to
     /// answer it: whoever stops us waits for what came before (PROTOCOL.md).
-    last_call: bool,
+    draining: bool,
     /// How often the watch broke since discovery last answered.
-    broke: u32,
+    watch_failures: u32,
     descriptors: Descriptors,
     /// When the door is next to be looked after.
-    door_due: Option<Moment>,
+    admission_due: Option<Moment>,
     /// When those who are turned away at the door are to come back, where the platform lets us say so.
-    come_back: Span,
+    refusal_retry_after: Span,
 }
 
 /// What this mixer does as one of its fleet, as far as the operator wants it.
-fn as_one(readings: &Readings, seed: u64, operator: &Operator) -> Result<AsOne, Misread> {
+fn fleet_policies(readings: &Readings, seed: u64, operator: &Operator) -> Result<AsOne, Misread> {
     let fleet = readings.number("fleet_size", 1.0)?.max(1.0);
     Ok(AsOne {
         shedder: operator.sheds_as_one().then(Shedder::default),
@@ -67,7 +67,7 @@
 }
 
 /// What no deployment leaves out, and without which each scan would fail for no reason that anybody sees.
-fn has_what_it_needs(readings: &Readings) -> Result<(), Misread> {
+fn require_settings(readings: &Readings) -> Result<(), Misread> {
     let fixed =
         ["tick", "limits.dial_timeout", "family_info.cells", "family_info.width", "family_info.slabs"];
     fixed.into_iter().chain(["services.count"]).try_for_each(|path| readings.must_state(path))?;
@@ -83,158 +83,159 @@
         operator: &Operator,
         name: &str,
     ) -> Result<Self, Misread> {
-        has_what_it_needs(readings)?;
+        require_settings(readings)?;
         let types: Vec<_> = readings.names("services")?.into_iter().zip(readings.traffic_types()?).collect();
         if let Some((name, _)) = types.iter().find(|(_, kind)| kind.second_step) {
             return Err(Misread(format!("settings: {name}: a second step is not spoken on sockets")));
         }
-        let mut desk = Desk::default();
-        desk.clients = Clients::new(operator.house(), descriptors.clients);
-        desk.roll.dialect = operator.dialect().clone();
-        desk.may_call_off = readings.yes("limits.cancel");
-        desk.dial_within = readings.span("limits.dial_timeout")?;
-        desk.pool.most = descriptors.links.max(1);
-        desk.pool.per_link = readings.number("limits.multiplex", 1.0)?.max(1.0) as usize;
-        desk.pool.per_call = readings.number("family_info.per_call", 1.0)?.max(1.0) as usize;
+        let mut host = MixerHost::default();
+        host.clients = Clients::new(operator.house(), descriptors.clients);
+        host.registry.query_api = operator.dialect().clone();
+        host.may_cancel = readings.yes("limits.cancel");
+        host.dial_timeout = readings.span("limits.dial_timeout")?;
+        host.pool.max_links = descriptors.links.max(1);
+        host.pool.max_calls_per_link = readings.number("limits.multiplex", 1.0)?.max(1.0) as usize;
+        host.pool.max_parts_per_call = readings.number("family_info.per_call", 1.0)?.max(1.0) as usize;
         let areas = readings.words("areas");
-        desk.roll.dear_outside =
+        host.registry.costly_outside_zone =
             readings.dear_outside()?.map(|zone| areas.get(usize::from(zone)).cloned().unwrap_or_default());
-        let says = readings.yes("limits.retry_after");
-        let come_back = if says { readings.span("limits.max_retry_after")? } else { Span::ZERO };
+        let may_tell = readings.yes("limits.retry_after");
+        let refusal_retry_after =
+            if may_tell { readings.span("limits.max_retry_after")? } else { Span::ZERO };
         let (customers, shards) =
             (readings.names("customers")?, readings.number("family_info.slabs", 0.0)? as u32);
         let indices = Indices::new(operator.dialect(), &types, &customers, shards, seed).map_err(Misread)?;
         if operator.tells_figures() {
-            desk.sums = Sums::of(types.len());
+            host.counters = ScanCounters::for_traffic_types(types.len());
         }
         let mut mixer = readings.mixer(seed)?;
         mixer.beside_queue = operator.checks_beside_queue();
-        mixer.join(Box::new(as_one(readings, seed, operator)?));
+        mixer.join(Box::new(fleet_policies(readings, seed, operator)?));
         Ok(Self {
             mixer,
-            desk,
+            host,
             types,
             customers,
             shards,
             indices,
             name: name.into(),
-            most_held: readings.number("limits.max_open", 20_000.0)? as usize,
-            last_call: false,
-            broke: 0,
+            max_open_items: readings.number("limits.max_open", 20_000.0)? as usize,
+            draining: false,
+            watch_failures: 0,
             descriptors,
-            door_due: None,
-            come_back,
+            admission_due: None,
+            refusal_retry_after,
         })
     }
 
     fn is_ready(&self) -> bool {
-        self.desk.roll.any_ready() && !self.desk.stopping && self.mixer.takes_scans(self.desk.now)
+        self.host.registry.any_ready() && !self.host.shutting_down && self.mixer.takes_scans(self.host.now)
     }
 
     /// What it tells of itself, but for what only the program knows.
-    fn figures(&self) -> Metrics {
+    fn metrics(&self) -> Metrics {
         let names = self.types.iter().map(|(name, _)| name.clone());
         Metrics {
             ready: self.is_ready(),
-            searchers_listed: self.desk.roll.ready_and_listed().0 as u64,
-            relays: self.desk.sums.relays,
-            traffic_types: names.zip(self.desk.sums.lines().iter().cloned()).collect(),
+            searchers_listed: self.host.registry.ready_and_total().0 as u64,
+            relays: self.host.counters.relays,
+            traffic_types: names.zip(self.host.counters.by_traffic_type().iter().cloned()).collect(),
         }
     }
 
     /// The list as it was last had, and the first watch.
     pub fn begin(&mut self, known: &News, discovery: SocketAddr, now: Moment) -> Vec<Effect> {
-        self.desk.now = now;
-        let listings = self.desk.roll.take(known);
-        self.mixer.remembered(&mut self.desk, &listings);
-        self.desk.keep_drains();
-        self.desk.roll.move_to(discovery);
-        self.mixer.watch(&mut self.desk, 0);
-        self.settle()
+        self.host.now = now;
+        let listings = self.host.registry.apply(known);
+        self.mixer.remembered(&mut self.host, &listings);
+        self.host.release_unready_links();
+        self.host.registry.move_to(discovery);
+        self.mixer.watch(&mut self.host, 0);
+        self.process_pending()
     }
 
     #[cfg(test)]
-    pub fn desk(&self) -> &Desk {
-        &self.desk
+    pub fn host(&self) -> &MixerHost {
+        &self.host
     }
 
     /// Lets what has landed be heard, until nothing is left to say, and gives what is to be done.
-    fn settle(&mut self) -> Vec<Effect> {
+    fn process_pending(&mut self) -> Vec<Effect> {
         loop {
-            if let Some((ticket, how, took)) = self.desk.landed.pop_front() {
-                self.mixer.landed(&mut self.desk, ticket, how, took);
-            } else if let Some((searcher, there)) = self.desk.checked.pop_front() {
-                self.mixer.checked(&mut self.desk, searcher, there);
-            } else if let Some(client) = self.desk.going_on.pop_front() {
-                self.go_on(client);
-            } else if !self.desk.place_all() {
+            if let Some((ticket, landing, took)) = self.host.landed.pop_front() {
+                self.mixer.landed(&mut self.host, ticket, landing, took);
+            } else if let Some((searcher, there)) = self.host.probe_results.pop_front() {
+                self.mixer.checked(&mut self.host, searcher, there);
+            } else if let Some(client) = self.host.resumable.pop_front() {
+                self.resume_multi_search(client);
+            } else if !self.host.assign_relays() {
                 break;
             }
         }
-        self.mind_door();
-        let desk = &mut self.desk;
-        desk.effects.extend(desk.alarms.changed().map(Effect::SetTimer));
-        std::mem::take(&mut desk.effects)
+        self.update_admission();
+        let host = &mut self.host;
+        host.effects.extend(host.timers.changed_deadline().map(Effect::SetTimer));
+        std::mem::take(&mut host.effects)
     }
 
     /// Carries out what the house asks for, until it asks for nothing more.
-    fn mind_door(&mut self) {
-        let now = self.desk.now;
-        let places = self.descriptors.places_beside(self.desk.pool.held());
-        self.desk.clients.set_most(places, now);
-        for act in self.desk.clients.acts() {
+    fn update_admission(&mut self) {
+        let now = self.host.now;
+        let places = self.descriptors.places_beside(self.host.pool.descriptors_in_use());
+        self.host.clients.set_max_clients(places, now);
+        for act in self.host.clients.take_actions() {
             match act {
-                Act::Enter(Guest(id)) => self.enter(ClientId(id)),
+                Act::Enter(Guest(id)) => self.admit(ClientId(id)),
                 Act::Refuse(Guest(id), _) => {
-                    let pause = self.desk.clients.come_back().unwrap_or(self.come_back);
-                    self.desk.effects.push(Effect::RefuseClient(ClientId(id), pause));
+                    let pause = self.host.clients.refusal_retry_after().unwrap_or(self.refusal_retry_after);
+                    self.host.effects.push(Effect::RefuseClient(ClientId(id), pause));
                 }
-                Act::Leave(Guest(id)) => self.desk.effects.push(Effect::CloseClient(ClientId(id))),
-                Act::Door(open) => self.desk.effects.push(Effect::SetAccepting(open)),
+                Act::Leave(Guest(id)) => self.host.effects.push(Effect::CloseClient(ClientId(id))),
+                Act::Door(open) => self.host.effects.push(Effect::SetAccepting(open)),
             }
         }
-        let due = self.desk.clients.due(now);
-        if let Some(at) = due.filter(|at| self.door_due.is_none_or(|set| *at < set || set <= now)) {
-            self.door_due = Some(at);
-            self.desk.alarms.set(at, Alarm::Door(at));
+        let due = self.host.clients.due(now);
+        if let Some(at) = due.filter(|at| self.admission_due.is_none_or(|set| *at < set || set <= now)) {
+            self.admission_due = Some(at);
+            self.host.timers.set(at, Timer::AdmissionDue(at));
         }
     }
 
-    fn enter(&mut self, client: ClientId) {
-        let now = self.desk.now;
-        self.desk.clients.came(client, now);
-        self.desk.effects.push(Effect::AdmitClient(client));
-        self.await_whole(client, now);
+    fn admit(&mut self, client: ClientId) {
+        let now = self.host.now;
+        self.host.clients.admitted(client, now);
+        self.host.effects.push(Effect::AdmitClient(client));
+        self.start_request_timeout(client, now);
     }
 
-    fn hear(&mut self, news: &News) {
-        let listings = self.desk.roll.take(news);
-        self.mixer.listed(&mut self.desk, news.whole, &listings);
-        self.desk.keep_drains();
+    fn apply_discovery(&mut self, news: &News) {
+        let listings = self.host.registry.apply(news);
+        self.mixer.listed(&mut self.host, news.whole, &listings);
+        self.host.release_unready_links();
     }
 
-    fn asked(&mut self, client: ClientId, ask: Ask) {
-        let Some(began) = self.desk.clients.asking_since(client, self.desk.now) else { return };
-        self.open(client, ask, began, None);
+    fn scan_requested(&mut self, client: ClientId, ask: Ask) {
+        let Some(began) = self.host.clients.request_start(client, self.host.now) else { return };
+        self.open_scan(client, ask, began, None);
     }
 
     /// The same in the query dialect: it becomes the same scan.
-    fn queried(&mut self, client: ClientId, request: Request) {
-        let Some(began) = self.desk.clients.asking_since(client, self.desk.now) else { return };
+    fn query_requested(&mut self, client: ClientId, request: Request) {
+        let Some(began) = self.host.clients.request_start(client, self.host.now) else { return };
         let opaque = request.opaque.clone();
-        let told = match request.what {
+        let result = match request.what {
             What::Many { index, lines } => {
-                self.desk.batches.insert(client, Batch::new(index, lines, opaque, began));
-                return self.go_on(client);
+                self.host.multi_searches.insert(client, MultiSearch::new(index, lines, opaque, began));
+                return self.resume_multi_search(client);
             }
             What::Nodes { json } => {
-                let rows: Vec<_> = self.desk.roll.rows().collect();
-                return self.tell_table(client, &["name", "address", "state", "speaks"], rows, json);
+                let rows: Vec<_> = self.host.registry.rows().collect();
+                return self.reply_with_table(client, &["name", "address", "state", "speaks"], rows, json);
             }
             What::Shards { json } => {
-                let state = if self.desk.roll.any_ready() { "STARTED" } else { "UNASSIGNED" };
+                let state = if self.host.registry.any_ready() { "STARTED" } else { "UNASSIGNED" };
                 let row = |shard: u32| vec![shard.to_string(), state.to_string()];
-                return self.tell_table(
+                return self.reply_with_table(
                     client,
                     &["shard", "state"],
                     (0..self.shards).map(row).collect(),
@@ -242,71 +243,84 @@
                 );
             }
             What::Root => Ok(root(&self.name)),
-            What::Health => Ok(health(self.desk.roll.ready_and_listed(), self.shards)),
-            _ => match self.indices.ask(request, &self.types, began) {
-                Ok((ask, held)) => return self.open(client, ask, began, Some(held)),
+            What::Health => Ok(health(self.host.registry.ready_and_total(), self.shards)),
+            _ => match self.indices.to_scan(request, &self.types, began) {
+                Ok((ask, context)) => return self.open_scan(client, ask, began, Some(context)),
                 Err(fault) => Err(fault),
             },
         };
-        self.desk.reply(client, query::reply(told, Span::ZERO, opaque), false);
+        self.host.reply(client, query::reply(result, Span::ZERO, opaque), false);
     }
 
-    fn tell_table(&mut self, client: ClientId, names: &[&str], rows: Vec<Vec<String>>, json: bool) {
+    fn reply_with_table(&mut self, client: ClientId, names: &[&str], rows: Vec<Vec<String>>, json: bool) {
         let body = table(names, &rows, json);
         let reply = Reply::QueryApi { status: 200, body, retry_after: Span::ZERO, opaque_id: None };
-        self.desk.reply(client, reply, false);
+        self.host.reply(client, reply, false);
     }
 
     /// The next scan of a request that holds several, or their answer once all have ended.
-    fn go_on(&mut self, client: ClientId) {
-        let now = self.desk.now;
-        let Some(batch) = self.desk.batches.get_mut(&client) else { return };
-        let Some(request) = batch.next() else {
-            let reply = self.desk.batches.remove(&client).map(|batch| batch.reply(now));
-            return reply.into_iter().for_each(|reply| self.desk.reply(client, reply, false));
+    fn resume_multi_search(&mut self, client: ClientId) {
+        let now = self.host.now;
+        let Some(multi_search) = self.host.multi_searches.get_mut(&client) else { return };
+        let Some(request) = multi_search.next() else {
+            let reply = self.host.multi_searches.remove(&client).map(|multi_search| multi_search.reply(now));
+            return reply.into_iter().for_each(|reply| self.host.reply(client, reply, false));
         };
-        match self.indices.ask(request, &self.types, now) {
-            Ok((ask, held)) => self.open(client, ask, now, Some(held)),
-            Err(fault) => self.desk.reply(client, query::reply(Err(fault), Span::ZERO, None), false),
+        match self.indices.to_scan(request, &self.types, now) {
+            Ok((ask, context)) => self.open_scan(client, ask, now, Some(context)),
+            Err(fault) => self.host.reply(client, query::reply(Err(fault), Span::ZERO, None), false),
         }
     }
 
-    fn open(&mut self, client: ClientId, mut ask: Ask, began: Moment, query: Option<Held>) {
+    fn open_scan(&mut self, client: ClientId, mut ask: Ask, began: Moment, query: Option<QueryContext>) {
         // A name of ours that somebody's request has taken by chance or malice gives way.
-        while query.is_some() && self.desk.names.contains(&ask.name) {
+        while query.is_some() && self.host.open_names.contains(&ask.name) {
             ask.name.push('x');
         }
-        let scan = match self.taken(&ask, began) {
+        let scan = match self.validate(&ask, began) {
             Ok(scan) => scan,
             Err(blame) => {
                 let reply = match query {
-                    Some(held) => query::reply(Err(query::fault_of(blame)), Span::ZERO, held.opaque()),
+                    Some(context) => {
+                        query::reply(Err(query::fault_from_blame(blame)), Span::ZERO, context.opaque_id())
+                    }
                     None => Reply::InvalidRequest(blame),
                 };
-                return self.desk.reply(client, reply, false);
+                return self.host.reply(client, reply, false);
             }
         };
         let parts: Vec<_> = ask.parts.iter().map(|part| (part.shard, None)).collect();
-        self.desk.held += 1 + parts.len();
-        let (name, lost) = (ask.name.clone(), vec![None; parts.len()]);
-        let asked = query.as_ref().and_then(|held| held.asked(&ask.text)).map(Rc::new);
+        self.host.open_items += 1 + parts.len();
+        let (name, last_failures) = (ask.name.clone(), vec![None; parts.len()]);
+        let node_request = query.as_ref().and_then(|context| context.node_request(&ask.text)).map(Rc::new);
         let (label, text) = (ask.label, ask.text.into());
-        let (traffic_type, since) = (scan.traffic_type, began);
-        let open =
-            Open { client, name, label, text, traffic_type, since, parts, lost, size: 0, query, asked };
-        self.desk.sums.taken(traffic_type);
-        let id = self.desk.scans.open(open);
-        self.desk.names.insert(ask.name);
-        self.desk.clients.set(client, Doing::Waiting(id), self.desk.now);
+        let (traffic_type, started_at) = (scan.traffic_type, began);
+        let open = OpenScan {
+            client,
+            name,
+            label,
+            text,
+            traffic_type,
+            started_at,
+            parts,
+            last_failures,
+            answer_bytes: 0,
+            query,
+            node_request,
+        };
+        self.host.counters.scan_accepted(traffic_type);
+        let id = self.host.scans.open(open);
+        self.host.open_names.insert(ask.name);
+        self.host.clients.set_activity(client, ClientActivity::AwaitingAnswer(id), self.host.now);
         // The bench turns such scans away before they reach a mixer; here they come this far.
-        if self.desk.held > self.most_held || self.last_call {
-            return self.mixer.turn_away(&mut self.desk, id);
+        if self.host.open_items > self.max_open_items || self.draining {
+            return self.mixer.turn_away(&mut self.host, id);
         }
-        self.mixer.taken(&mut self.desk, id, scan);
+        self.mixer.taken(&mut self.host, id, scan);
     }
 
     /// The scan in the module's terms, if it makes sense here.
-    fn taken(&self, ask: &Ask, began: Moment) -> Result<ScanTaken, Blame> {
+    fn validate(&self, ask: &Ask, began: Moment) -> Result<ScanTaken, Blame> {
         let wrong = |what: String| Err(Blame::Request(what));
         let Some(traffic_type) = self.types.iter().position(|(name, _)| *name == ask.traffic_type) else {
             return Err(Blame::Path);
@@ -318,7 +332,7 @@
         if matches!(self.types[traffic_type].1.effect, Redoing::Labelled(_)) && ask.label.is_none() {
             return wrong("no Idempotency-Key".into());
         }
-        if self.desk.names.contains(&ask.name) {
+        if self.host.open_names.contains(&ask.name) {
             return Err(Blame::Conflict);
         }
         if let Some(part) = ask.parts.iter().find(|part| part.shard >= self.shards) {
@@ -337,29 +351,31 @@
         Ok(ScanTaken {
             traffic_type,
             customer: customer.unwrap_or(0),
-            left: ask.left.less(self.desk.now.since(began)),
+            left: ask.left.less(self.host.now.since(began)),
             work: ask.parts.iter().filter_map(|part| part.work).reduce(|a, b| a + b),
             repeat: ask.repeat,
             parts,
         })
     }
 
-    fn client_gone(&mut self, client: ClientId) {
-        self.desk.batches.remove(&client);
-        if let Some(Doing::Waiting(id)) = self.desk.clients.gone(client, self.desk.now) {
-            self.desk.close(id, Left::Failed);
-            self.mixer.client_left(&mut self.desk, id);
+    fn client_disconnected(&mut self, client: ClientId) {
+        self.host.multi_searches.remove(&client);
+        if let Some(ClientActivity::AwaitingAnswer(id)) =
+            self.host.clients.disconnected(client, self.host.now)
+        {
+            self.host.close_scan(id, ScanOutcome::Failed);
+            self.mixer.client_left(&mut self.host, id);
         }
     }
 
-    fn part_back(&mut self, link_id: LinkId, id: &str, end: PartEnd, value: String) {
-        let found = self.desk.find(link_id, id);
-        let Some(link) = self.desk.pool.links.get_mut(&link_id) else { return };
-        link.heard(self.desk.now);
+    fn part_answered(&mut self, link_id: LinkId, id: &str, end: PartEnd, value: String) {
+        let found = self.host.find_relay(link_id, id);
+        let Some(link) = self.host.pool.links.get_mut(&link_id) else { return };
+        link.note_received(self.host.now);
         let Some((call_id, ticket)) = found else {
-            // Late, and passed over; or of nobody, and whose answer it spoilt can't be told.
-            if !link.gave_up(id) {
-                self.end_garbled(link_id);
+            // HedgeDecision, and passed over; or of nobody, and whose answer it spoilt can't be told.
+            if !link.take_cancelled(id) {
+                self.abort_on_protocol_error(link_id);
             }
             return;
         };
@@ -369,225 +385,234 @@
                 link.calls.remove(&call_id);
             }
         }
-        let how = match end {
-            PartEnd::Honoured => self.keep_value(ticket, value),
+        let landing = match end {
+            PartEnd::Honoured => self.store_value(ticket, value),
             PartEnd::Erred => Landing::Erred,
             PartEnd::TurnedAway => Landing::TurnedAway,
         };
-        self.desk.land(ticket, how);
+        self.host.land_relay(ticket, landing);
     }
 
     /// A value that leaves no room for it in an answer is as good as none.
-    fn keep_value(&mut self, ticket: Ticket, value: String) -> Landing {
-        let Some(relay) = self.desk.relays.get(&ticket) else { return Landing::Erred };
-        let Some(open) = self.desk.scans.get_mut(relay.scan) else { return Landing::Honoured };
+    fn store_value(&mut self, ticket: Ticket, value: String) -> Landing {
+        let Some(relay) = self.host.relays.get(&ticket) else { return Landing::Erred };
+        let Some(open) = self.host.scans.get_mut(relay.scan) else { return Landing::Honoured };
         // Each byte may take six where it is escaped; plain ones are the rule.
         let escaped = value.bytes().filter(|b| *b < b' ' || matches!(b, b'"' | b'\\')).count();
-        let size = open.size + value.len() + 5 * escaped + PART_FRAME;
+        let size = open.answer_bytes + value.len() + 5 * escaped + PART_FRAME;
         if size > MOST_BODY - PART_FRAME {
             return Landing::Erred;
         }
-        let of_node = self.desk.roll.tongue(relay.to) == SearcherProtocol::QueryApi;
-        let takes = |held: &Held| if of_node { held.takes_from_node(&value) } else { held.takes(&value) };
-        if open.query.as_ref().is_some_and(|held| !takes(held)) {
+        let from_query_node = self.host.registry.protocol(relay.to) == SearcherProtocol::QueryApi;
+        let accepts = |context: &QueryContext| {
+            if from_query_node {
+                context.accepts_from_node(&value)
+            } else {
+                context.accepts(&value)
+            }
+        };
+        if open.query.as_ref().is_some_and(|context| !accepts(context)) {
             return Landing::Erred;
         }
-        open.size = size;
+        open.answer_bytes = size;
         open.parts[relay.part].1 = Some(value);
         Landing::Honoured
     }
 
-    fn speaks(&mut self, link_id: LinkId, version: String) {
-        let Some(link) = self.desk.pool.links.get_mut(&link_id) else { return };
-        link.heard(self.desk.now);
+    fn node_version_received(&mut self, link_id: LinkId, version: String) {
+        let Some(link) = self.host.pool.links.get_mut(&link_id) else { return };
+        link.note_received(self.host.now);
         let to = link.to;
-        if self.desk.roll.note_version(to, &version) {
-            let to = self.desk.roll.name(to).cloned().unwrap_or_default();
-            self.desk.effects.push(Effect::LogNodeVersion { to, version });
+        if self.host.registry.record_version(to, &version) {
+            let to = self.host.registry.name(to).cloned().unwrap_or_default();
+            self.host.effects.push(Effect::LogNodeVersion { to, version });
         }
     }
 
-    fn check_back(&mut self, link_id: LinkId, there: bool) {
-        if let Some(link) = self.desk.pool.links.get_mut(&link_id) {
-            link.heard(self.desk.now);
-            if std::mem::take(&mut link.checking) {
-                self.desk.checked.push_back((link.to, there));
+    fn health_probe_answered(&mut self, link_id: LinkId, there: bool) {
+        if let Some(link) = self.host.pool.links.get_mut(&link_id) {
+            link.note_received(self.host.now);
+            if std::mem::take(&mut link.probing) {
+                self.host.probe_results.push_back((link.to, there));
             }
         }
     }
 
     /// A frame is half said, or whole after all. Searchers write theirs in one piece: what takes longer than a
     /// link may take to come up is not coming, and what follows it can't be told apart from it.
-    fn amid(&mut self, id: LinkId, amid: bool) {
-        let (now, within) = (self.desk.now, self.desk.dial_within);
-        let Some(link) = self.desk.pool.links.get_mut(&id) else { return };
-        link.amid = amid.then_some(now);
-        if amid {
-            self.desk.alarms.set(now + within, Alarm::HalfSaid(id, now));
+    fn frame_partially_read(&mut self, id: LinkId, partial: bool) {
+        let (now, within) = (self.host.now, self.host.dial_timeout);
+        let Some(link) = self.host.pool.links.get_mut(&id) else { return };
+        link.partial_read_since = partial.then_some(now);
+        if partial {
+            self.host.timers.set(now + within, Timer::PartialReadTimeout(id, now));
         }
     }
 
-    fn half_said(&mut self, id: LinkId, since: Moment) {
-        if self.desk.pool.links.get(&id).is_some_and(|link| link.amid == Some(since)) {
-            self.end_garbled(id);
+    fn partial_read_timed_out(&mut self, id: LinkId, since: Moment) {
+        if self.host.pool.links.get(&id).is_some_and(|link| link.partial_read_since == Some(since)) {
+            self.abort_on_protocol_error(id);
         }
     }
 
     /// A frame of ours is half written, or whole after all. Nothing of it can be taken back: its searcher would have it
     /// later than its client's end, its window or the time that it tells allow.
-    fn half_written(&mut self, id: LinkId, half: bool) {
-        let now = self.desk.now;
-        let Some(link) = self.desk.pool.links.get_mut(&id) else { return };
-        link.half_written = half.then_some(now);
-        if half {
-            self.desk.alarms.set(now + HALF_WRITTEN, Alarm::HalfWritten(id, now));
+    fn frame_partially_written(&mut self, id: LinkId, partial: bool) {
+        let now = self.host.now;
+        let Some(link) = self.host.pool.links.get_mut(&id) else { return };
+        link.partial_write_since = partial.then_some(now);
+        if partial {
+            self.host.timers.set(now + PARTIAL_WRITE_TIMEOUT, Timer::PartialWriteTimeout(id, now));
         }
     }
 
     /// A searcher that reads no more: what is half written there never runs, and what is out there is as after a reset.
-    fn still_half_written(&mut self, id: LinkId, since: Moment) {
-        if self.desk.pool.links.get(&id).is_some_and(|link| link.half_written == Some(since)) {
-            self.cut(id, CloseReason::ConnectionBroken);
+    fn partial_write_timed_out(&mut self, id: LinkId, since: Moment) {
+        if self.host.pool.links.get(&id).is_some_and(|link| link.partial_write_since == Some(since)) {
+            self.abort_link(id, CloseReason::ConnectionBroken);
         }
     }
 
-    fn end_garbled(&mut self, id: LinkId) {
-        self.cut(id, CloseReason::ProtocolError);
+    fn abort_on_protocol_error(&mut self, id: LinkId) {
+        self.abort_link(id, CloseReason::ProtocolError);
     }
 
-    fn cut(&mut self, id: LinkId, ending: CloseReason) {
-        self.link_ended(id, ending);
-        self.desk.pool.closing.insert(id);
-        self.desk.effects.push(Effect::AbortLink(id));
+    fn abort_link(&mut self, id: LinkId, reason: CloseReason) {
+        self.link_closed(id, reason);
+        self.host.pool.closing.insert(id);
+        self.host.effects.push(Effect::AbortLink(id));
     }
 
-    fn link_ended(&mut self, id: LinkId, ending: CloseReason) {
-        self.desk.pool.closing.remove(&id);
-        self.desk.pool.attempts.ended(id);
-        let Some(link) = self.desk.pool.links.remove(&id) else { return };
-        let idle = ending == CloseReason::ClosedByPeer && link.is_idle();
-        let ending = if idle { CloseReason::ClosedIdle } else { ending };
-        let to = self.desk.roll.name(link.to).cloned().unwrap_or_else(|| link.address.to_string());
-        self.desk.effects.push(Effect::LogLinkClosed { to, reason: ending });
+    fn link_closed(&mut self, id: LinkId, reason: CloseReason) {
+        self.host.pool.closing.remove(&id);
+        self.host.pool.attempts.failed(id);
+        let Some(link) = self.host.pool.links.remove(&id) else { return };
+        let idle = reason == CloseReason::ClosedByPeer && link.is_idle();
+        let reason = if idle { CloseReason::ClosedIdle } else { reason };
+        let to = self.host.registry.name(link.to).cloned().unwrap_or_else(|| link.address.to_string());
+        self.host.effects.push(Effect::LogLinkClosed { to, reason });
         for call in link.calls.into_values() {
-            let how = ending.landing(call.stand == Stand::Out);
+            let landing = reason.landing(call.state == CallState::Written);
             for ticket in call.parts {
-                if !(link.up && how == Landing::Unreached && self.desk.goes_on(ticket)) {
-                    self.desk.land(ticket, how);
+                if !(link.connected
+                    && landing == Landing::Unreached
+                    && self.host.reassign_after_break(ticket))
+                {
+                    self.host.land_relay(ticket, landing);
                 }
             }
         }
-        if link.checking {
-            self.desk.checked.push_back((link.to, false));
+        if link.probing {
+            self.host.probe_results.push_back((link.to, false));
         }
     }
 
     /// What has come from a client, since then, is to be whole in time.
-    fn await_whole(&mut self, client: ClientId, since: Moment) {
-        self.desk.alarms.set(since + HALF_ASKED, Alarm::HalfAsked(client, since));
-    }
-
-    fn time_came(&mut self) {
-        self.desk.alarms.rang();
-        while let Some(alarm) = self.desk.alarms.next(self.desk.now) {
-            match alarm {
-                Alarm::Wake(ticket) => self.mixer.woken(&mut self.desk, ticket),
-                Alarm::Overdue(ticket, due) => self.desk.overdue(ticket, due),
-                Alarm::BeginBy(ticket, left) => self.desk.too_late_to_begin(ticket, left),
-                Alarm::HalfAsked(client, since) => {
-                    if self.desk.clients.is_half_asked(client, since) {
-                        self.desk.clients.set(client, Doing::Leaving, self.desk.now);
-                        self.desk.effects.push(Effect::CloseClient(client));
+    fn start_request_timeout(&mut self, client: ClientId, since: Moment) {
+        self.host.timers.set(since + REQUEST_TIMEOUT, Timer::RequestTimeout(client, since));
+    }
+
+    fn timer_fired(&mut self) {
+        self.host.timers.fired();
+        while let Some(timer) = self.host.timers.next(self.host.now) {
+            match timer {
+                Timer::Wake(ticket) => self.mixer.woken(&mut self.host, ticket),
+                Timer::RelayDeadline(ticket, deadline) => self.host.relay_deadline_passed(ticket, deadline),
+                Timer::SendDeadline(ticket, started_at) => self.host.send_deadline_passed(ticket, started_at),
+                Timer::RequestTimeout(client, since) => {
+                    if self.host.clients.is_request_incomplete(client, since) {
+                        self.host.clients.set_activity(client, ClientActivity::Closing, self.host.now);
+                        self.host.effects.push(Effect::CloseClient(client));
                     }
                 }
-                Alarm::Door(due) => {
-                    if self.door_due == Some(due) {
-                        self.door_due = None;
-                        self.desk.clients.tick(self.desk.now);
+                Timer::AdmissionDue(due) => {
+                    if self.admission_due == Some(due) {
+                        self.admission_due = None;
+                        self.host.clients.tick(self.host.now);
                     }
                 }
-                Alarm::HalfSaid(link, since) => self.half_said(link, since),
-                Alarm::HalfWritten(link, since) => self.still_half_written(link, since),
-                Alarm::DialLate(link) => self.desk.dial_late(link),
-                Alarm::ShutDoor => self.desk.effects.push(Effect::CloseListener),
-                Alarm::LastCall => {
-                    self.last_call = true;
-                    self.desk.clients.close(self.desk.now);
-                    self.send_off_idle(self.desk.now);
+                Timer::PartialReadTimeout(link, since) => self.partial_read_timed_out(link, since),
+                Timer::PartialWriteTimeout(link, since) => self.partial_write_timed_out(link, since),
+                Timer::HedgeDialDue(link) => self.host.hedge_dial(link),
+                Timer::CloseListener => self.host.effects.push(Effect::CloseListener),
+                Timer::BacklogGraceOver => {
+                    self.draining = true;
+                    self.host.clients.stop_admitting(self.host.now);
+                    self.close_idle_clients(self.host.now);
                 }
             }
         }
     }
 
-    fn send_off_idle(&mut self, by: Moment) {
-        let idle = self.desk.clients.send_off_idle(by, self.desk.now);
-        self.desk.effects.extend(idle.into_iter().map(Effect::CloseClient));
+    fn close_idle_clients(&mut self, by: Moment) {
+        let idle = self.host.clients.close_idle(by, self.host.now);
+        self.host.effects.extend(idle.into_iter().map(Effect::CloseClient));
     }
 
-    fn stop(&mut self) {
-        if !self.desk.stopping {
-            self.desk.stopping = true;
+    fn shut_down(&mut self) {
+        if !self.host.shutting_down {
+            self.host.shutting_down = true;
             // Who has just come is about to ask.
-            self.send_off_idle(self.desk.now.less(SETTLING));
-            self.desk.alarms.set(self.desk.now + DOOR_OPEN, Alarm::ShutDoor);
+            self.close_idle_clients(self.host.now.less(NEW_CLIENT_GRACE));
+            self.host.timers.set(self.host.now + ACCEPT_GRACE, Timer::CloseListener);
         }
     }
 }
 
 /// Takes an event in, at its time, and gives what is to be done.
 pub fn reduce(state: &mut State, event: Event, now: Moment) -> Vec<Effect> {
-    state.desk.now = now;
+    state.host.now = now;
     match event {
-        Event::ClientAccepted(client, from) => state.desk.clients.knocked(client, from, now),
+        Event::ClientAccepted(client, from) => state.host.clients.accepted(client, from, now),
         Event::RequestStarted(client, stood) => {
-            state.desk.clients.stirred(client, now.less(stood), now);
-            state.await_whole(client, now);
+            state.host.clients.request_started(client, now.less(stood), now);
+            state.start_request_timeout(client, now);
         }
-        Event::ScanRequested(client, ask) => state.asked(client, ask),
-        Event::QueryRequested(client, request) => state.queried(client, *request),
+        Event::ScanRequested(client, ask) => state.scan_requested(client, ask),
+        Event::QueryRequested(client, request) => state.query_requested(client, *request),
         Event::MetricsRequested(client) => {
-            let figures = state.figures();
-            state.desk.reply(client, Reply::Metrics(Box::new(figures)), false);
+            let metrics = state.metrics();
+            state.host.reply(client, Reply::Metrics(Box::new(metrics)), false);
         }
         Event::HealthRequested(client) => {
             let ready = state.is_ready();
-            state.desk.reply(client, Reply::Health(ready), false);
+            state.host.reply(client, Reply::Health(ready), false);
         }
         Event::InvalidRequest(client, blame, lost) => {
-            state.desk.reply(client, Reply::InvalidRequest(blame), lost)
-        }
-        Event::ClientDisconnected(client) => state.client_gone(client),
-        Event::LinkConnected(link) => state.desk.link_up(link),
-        Event::NodeVersionReceived(link, version) => state.speaks(link, version),
-        Event::CallWritten(link, call) => state.desk.call_out(link, call),
-        Event::CallWithdrawn(link, call) => state.desk.withdrawn(link, call),
-        Event::PartAnswered { link, id, end, value } => state.part_back(link, &id, end, value),
-        Event::HealthProbeAnswered(link, there) => state.check_back(link, there),
-        Event::FramePartiallyRead(link, amid) => state.amid(link, amid),
-        Event::FramePartiallyWritten(link, half) => state.half_written(link, half),
-        Event::LinkClosed(link, ending) => state.link_ended(link, ending),
+            state.host.reply(client, Reply::InvalidRequest(blame), lost)
+        }
+        Event::ClientDisconnected(client) => state.client_disconnected(client),
+        Event::LinkConnected(link) => state.host.link_connected(link),
+        Event::NodeVersionReceived(link, version) => state.node_version_received(link, version),
+        Event::CallWritten(link, call) => state.host.call_written(link, call),
+        Event::CallWithdrawn(link, call) => state.host.call_withdrawn(link, call),
+        Event::PartAnswered { link, id, end, value } => state.part_answered(link, &id, end, value),
+        Event::HealthProbeAnswered(link, there) => state.health_probe_answered(link, there),
+        Event::FramePartiallyRead(link, partial) => state.frame_partially_read(link, partial),
+        Event::FramePartiallyWritten(link, partial) => state.frame_partially_written(link, partial),
+        Event::LinkClosed(link, reason) => state.link_closed(link, reason),
         Event::DiscoveryUpdated(news) => {
-            state.hear(&news);
-            state.broke = 0;
-            state.desk.watch_list();
+            state.apply_discovery(&news);
+            state.watch_failures = 0;
+            state.host.watch_list();
         }
         Event::DiscoveryMoved(discovery) => {
-            state.desk.roll.move_to(discovery);
-            state.desk.watch_list();
+            state.host.registry.move_to(discovery);
+            state.host.watch_list();
         }
         Event::DiscoveryWatchFailed => {
-            state.desk.roll.broke();
-            state.broke = state.broke.saturating_add(1);
-            state.mixer.watch(&mut state.desk, state.broke);
-        }
-        Event::TimerFired => state.time_came(),
-        Event::ShutdownRequested => state.stop(),
-        Event::OutOfResources => state.desk.clients.ran_short(now),
-        Event::AdmissionRulesChanged(rules) => state.desk.clients.set_rules(rules, now),
-        Event::ListenerClosed => state.desk.alarms.set(now + LAST_CALL, Alarm::LastCall),
-    }
-    let mut effects = state.settle();
-    if state.last_call && state.desk.clients.is_empty() {
+            state.host.registry.watch_failed();
+            state.watch_failures = state.watch_failures.saturating_add(1);
+            state.mixer.watch(&mut state.host, state.watch_failures);
+        }
+        Event::TimerFired => state.timer_fired(),
+        Event::ShutdownRequested => state.shut_down(),
+        Event::OutOfResources => state.host.clients.out_of_resources(now),
+        Event::AdmissionRulesChanged(rules) => state.host.clients.set_rules(rules, now),
+        Event::ListenerClosed => state.host.timers.set(now + BACKLOG_GRACE, Timer::BacklogGraceOver),
+    }
+    let mut effects = state.process_pending();
+    if state.draining && state.host.clients.is_empty() {
         effects.push(Effect::Exit);
     }
     effects
--- a/crates/mixer/src/routing/tests.rs
+++ b/crates/mixer/src/routing/tests.rs
@@ -498,7 +498,7 @@
     play.pass(3_000);
     assert!(matches!(play.replies()[0].1, Reply::Rejected(_)));
     assert!(!play.effects.iter().any(|effect| matches!(effect, Effect::CancelPart { .. })));
-    assert!(play.state.desk().relays.is_empty());
+    assert!(play.state.host().relays.is_empty());
 }
 
 #[test]
@@ -590,9 +590,9 @@
     play.feed(Event::ClientDisconnected(begun));
     assert!(play.did(&Effect::WithdrawCall(link, call)));
     play.feed(Event::CallWritten(link, call));
-    assert_eq!(play.state.desk().relays.len(), 1, "it had begun, and is waited for to its time");
+    assert_eq!(play.state.host().relays.len(), 1, "it had begun, and is waited for to its time");
     play.pass(2_000);
-    assert!(play.state.desk().relays.is_empty() && play.state.desk().held == 0);
+    assert!(play.state.host().relays.is_empty() && play.state.host().open_items == 0);
     assert!(play.took(|effect| matches!(effect, Effect::CancelPart { .. }).then_some(())).is_empty());
 }
 
@@ -669,12 +669,12 @@
         play.back(handed.link, &handed.errands[0].id, PartEnd::Honoured, "v");
         play.feed(Event::ClientDisconnected(client));
         play.pass(50);
-        let desk = play.state.desk();
-        assert!(desk.roll.len() == 1 && desk.pool.links.len() <= 2, "{} links", desk.pool.links.len());
-        before = before.max(desk.alarms.len());
+        let host = play.state.host();
+        assert!(host.registry.len() == 1 && host.pool.links.len() <= 2, "{} links", host.pool.links.len());
+        before = before.max(host.timers.len());
         play.effects.clear();
     }
-    assert!(before < 200, "{before} alarms");
+    assert!(before < 200, "{before} timers");
 }
 
 fn wrong(what: &str) -> Blame {
@@ -722,11 +722,11 @@
     for name in ["a", "b", "c", "d"] {
         play.ask(ask(name, "look", &[0, 1, 2, 3, 4, 5, 6]));
     }
-    let held = play.state.desk().held;
+    let held = play.state.host().open_items;
     assert!(held <= 40);
     play.ask(ask("over", "look", &[0, 1, 2, 3, 4, 5, 6, 7]));
     assert!(matches!(play.replies().last(), Some((_, Reply::Rejected(_), _))));
-    assert_eq!(play.state.desk().held, held);
+    assert_eq!(play.state.host().open_items, held);
 }
 
 #[test]
@@ -899,7 +899,7 @@
             checks += usize::from(play.did(&Effect::ProbeHealth(link)));
         }
     }
-    assert!(checks > 40 && play.state.desk().pool.links.len() <= 3, "{checks} checks");
+    assert!(checks > 40 && play.state.host().pool.links.len() <= 3, "{checks} checks");
 }
 
 #[test]
@@ -913,9 +913,9 @@
         play.feed(Event::ClientDisconnected(client));
         play.effects.clear();
     }
-    let desk = play.state.desk();
-    assert!(desk.relays.is_empty() && desk.names.is_empty() && desk.held == 0);
-    assert!(desk.pool.links.values().all(|link| link.calls.is_empty()) && desk.pool.links.len() <= 2);
+    let host = play.state.host();
+    assert!(host.relays.is_empty() && host.open_names.is_empty() && host.open_items == 0);
+    assert!(host.pool.links.values().all(|link| link.calls.is_empty()) && host.pool.links.len() <= 2);
 }
 
 /// Before so many searchers, with the index `cues` of the query dialect.
--- a/crates/mixer/src/routing/alarms.rs
+++ b/crates/mixer/src/routing/timers.rs
@@ -6,42 +6,42 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug)]
-pub enum Alarm {
+pub enum Timer {
     /// The module asked to be woken.
     Wake(Ticket),
     /// A relay's time is over, if it is still the one that is due then.
-    Overdue(Ticket, Moment),
+    RelayDeadline(Ticket, Moment),
     /// A relay that waits to be sent by then, if it is still the one of that time, is not to be.
-    BeginBy(Ticket, Moment),
+    SendDeadline(Ticket, Moment),
     /// What a client has been about since then is to be whole.
-    HalfAsked(ClientId, Moment),
+    RequestTimeout(ClientId, Moment),
     /// Somebody at the door may have waited long enough, if this is still what is due.
-    Door(Moment),
+    AdmissionDue(Moment),
     /// A frame that began then is to be whole.
-    HalfSaid(LinkId, Moment),
+    PartialReadTimeout(LinkId, Moment),
     /// A frame of ours that began to be written then is to be out.
-    HalfWritten(LinkId, Moment),
+    PartialWriteTimeout(LinkId, Moment),
     /// A dial that is not up by then is late.
-    DialLate(LinkId),
-    ShutDoor,
-    LastCall,
+    HedgeDialDue(LinkId),
+    CloseListener,
+    BacklogGraceOver,
 }
 
 #[derive(Default)]
-pub struct Alarms {
-    due: BTreeMap<(Moment, u64), Alarm>,
+pub struct Timers {
+    due: BTreeMap<(Moment, u64), Timer>,
     count: u64,
-    told: Option<Moment>,
+    reported: Option<Moment>,
 }
 
-impl Alarms {
-    pub fn set(&mut self, at: Moment, alarm: Alarm) {
+impl Timers {
+    pub fn set(&mut self, at: Moment, timer: Timer) {
         self.count += 1;
-        self.due.insert((at, self.count), alarm);
+        self.due.insert((at, self.count), timer);
     }
 
-    /// The next alarm whose time has come, in the order of their times.
-    pub fn next(&mut self, now: Moment) -> Option<Alarm> {
+    /// The next timer whose time has come, in the order of their times.
+    pub fn next(&mut self, now: Moment) -> Option<Timer> {
         let first = self.due.first_entry().filter(|entry| entry.key().0 <= now)?;
         Some(first.remove())
     }
@@ -51,16 +51,16 @@
         self.due.len()
     }
 
-    /// The time to be woken at, where it is another than was told before.
-    pub fn changed(&mut self) -> Option<Moment> {
+    /// The time to be woken at, where it is another than was reported before.
+    pub fn changed_deadline(&mut self) -> Option<Moment> {
         let first = self.due.first_key_value().map(|((at, _), _)| *at);
-        let changed = first != self.told;
-        self.told = first;
+        let changed = first != self.reported;
+        self.reported = first;
         first.filter(|_| changed)
     }
 
-    /// The program's alarm has rung, and is to be set anew.
-    pub fn rang(&mut self) {
-        self.told = None;
+    /// The program's timer has rung, and is to be set anew.
+    pub fn fired(&mut self) {
+        self.reported = None;
     }
 }
