--- a/crates/mixer/src/routing/close_reason.rs
+++ b/crates/mixer/src/routing/close_reason.rs
@@ -1,35 +1,37 @@
-//! The ways in which a connection ends, and what each means for the parts on it.
+//! Why a link was closed, and what that means for the parts sent over it.
 
 use fernglade::Landing;
 
+/// Why a link was closed, or why it could not be connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Nobody listens there.
+    /// Nothing listens at the address.
     ConnectionRefused,
-    /// It was not up within the time given.
+    /// The connection was not established within the dial timeout.
     ConnectTimedOut,
-    /// There is no way there.
+    /// There is no route to the address.
     Unreachable,
-    /// We had no descriptor or memory for it.
+    /// This process had no descriptor or memory left for the connection.
     OutOfResources,
-    /// The other side closed it while nothing was out on it.
+    /// The peer closed the connection while no call was outstanding.
     ClosedIdle,
-    /// The other side closed it.
+    /// The peer closed the connection.
     ClosedByPeer,
-    /// It broke.
+    /// The connection failed, for example by a reset.
     ConnectionBroken,
-    /// What came over it can't be read, or belongs to nobody.
+    /// Incoming data is malformed or answers no known part.
     ProtocolError,
-    /// The searcher could not use what we sent, and said so.
+    /// The searcher reported that it could not parse what was sent.
     RejectedByPeer,
-    /// It takes no more bytes, and what waits for it is at its bound.
+    /// The searcher does not read, and the backlog of unwritten bytes has reached its limit.
     WriteBacklogFull,
-    /// We closed it.
+    /// This side closed the connection.
     ClosedLocally,
 }
 
 impl CloseReason {
-    /// How a part lands whose connection ended so; `out` tells whether its call's last byte was written.
+    /// The outcome of a part whose link closed for this reason; `written` tells whether the last byte of its
+    /// call had been written.
     pub fn landing(self, written: bool) -> Landing {
         match (self, written) {
             (CloseReason::OutOfResources, _)
@@ -38,7 +40,8 @@
             | (_, false) => Landing::Unreached,
             (CloseReason::ClosedLocally, true) => Landing::CalledOff,
             (CloseReason::WriteBacklogFull, true) => Landing::Silent,
-            // It is there, and talks: a failed part that may have run, and no connection that dropped.
+            // The searcher is alive and responds: the part failed and may have run, but this isn't a lost
+            // connection.
             (CloseReason::ProtocolError | CloseReason::RejectedByPeer, true) => Landing::Erred,
             (CloseReason::ClosedIdle | CloseReason::ClosedByPeer | CloseReason::ConnectionBroken, true) => {
                 Landing::Dropped
--- a/crates/mixer/src/routing/event.rs
+++ b/crates/mixer/src/routing/event.rs
@@ -1,4 +1,4 @@
-//! What happens, and what is to be done about it.
+//! The inputs (events) and outputs (effects) of the routing state machine.
 
 use super::{CloseReason, TrafficTypeCounts};
 use crate::protocol::frames::{Errand, PartEnd};
@@ -9,170 +9,159 @@
 use fernglade_dialect::request::Request;
 use std::net::{IpAddr, SocketAddr};
 
-/// A client's connection. Never given twice.
+/// Identifies a client connection. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClientId(pub u64);
 
-/// A connection to a searcher. Never given twice.
+/// Identifies a connection to a searcher. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkId(pub u64);
 
-/// One call on a link, of one part or several.
+/// Identifies one call on a link; a call carries one or more parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// What a searcher speaks.
+/// The protocol that a searcher speaks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SearcherProtocol {
-    /// The platform's frames.
+    /// The platform's binary frames.
     #[default]
     Frames,
-    /// The query dialect, over HTTP/1.1.
+    /// The query API, over HTTP/1.1.
     QueryApi,
 }
 
+/// An input to the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A client's connection was accepted; whether it is let in is answered by an effect.
+    /// A client connection was accepted. An effect tells whether it is admitted.
     ClientAccepted(ClientId, IpAddr),
-    /// A request has begun and may not be whole, or may have stood there unread for so long.
+    /// A request has begun to arrive and may still be incomplete. The span is how long it may have waited
+    /// unread.
     RequestStarted(ClientId, Span),
+    /// A client sent a scan in the platform's own format.
     ScanRequested(ClientId, Ask),
+    /// A client asked whether this mixer is ready.
     HealthRequested(ClientId),
-    /// One who may asked what this mixer tells of itself.
+    /// A client that is allowed to asked for this mixer's metrics.
     MetricsRequested(ClientId),
-    /// It asked in the query dialect.
+    /// A client sent a request of the query API.
     QueryRequested(ClientId, Box<Request>),
-    /// It asked for what can't be had; `lost` where nothing more can be read from it.
+    /// A client sent an invalid request. The flag is set when nothing more can be read from its connection.
     InvalidRequest(ClientId, Blame, bool),
+    /// A client's connection has ended.
     ClientDisconnected(ClientId),
+    /// A dialled link is connected.
     LinkConnected(LinkId),
-    /// A node of the query dialect said which version it speaks.
+    /// A query API node reported its version.
     NodeVersionReceived(LinkId, String),
-    /// A call's last byte was written.
+    /// The last byte of a call was written.
     CallWritten(LinkId, CallId),
-    /// A call was taken back, and none of it was written.
+    /// A call was withdrawn before any of it was written.
     CallWithdrawn(LinkId, CallId),
-    PartAnswered {
-        link: LinkId,
-        id: String,
-        end: PartEnd,
-        value: String,
-    },
+    /// A searcher answered a part.
+    PartAnswered { link: LinkId, id: String, end: PartEnd, value: String },
+    /// A health probe was answered; the flag tells whether the searcher is healthy.
     HealthProbeAnswered(LinkId, bool),
-    /// Part of a frame has come, or its rest after that.
+    /// `true`: an incoming frame has been read in part. `false`: its remainder has arrived.
     FramePartiallyRead(LinkId, bool),
-    /// Part of a frame of ours was written, or its rest after that.
+    /// `true`: an outgoing frame has been written in part. `false`: its remainder has been written.
     FramePartiallyWritten(LinkId, bool),
+    /// A link was closed, or could not be connected.
     LinkClosed(LinkId, CloseReason),
+    /// Discovery sent a list of searchers or changes to it.
     DiscoveryUpdated(News),
+    /// The request to discovery failed.
     DiscoveryWatchFailed,
-    /// Discovery is at another address from now on.
+    /// Discovery has moved to another address.
     DiscoveryMoved(SocketAddr),
-    /// The time asked for by `Effect::SetTimer` has come.
+    /// The time requested with `Effect::SetTimer` has come.
     TimerFired,
+    /// The process was asked to shut down.
     ShutdownRequested,
-    /// A client could not be let in, or a searcher not be dialled, for want of a descriptor or memory.
+    /// A client could not be admitted or a searcher not dialled because descriptors or memory ran out.
     OutOfResources,
-    /// Who stood outside has been accepted, and nobody listens any more.
+    /// All clients in the listen backlog have been accepted and the listener is closed.
     ListenerClosed,
-    /// The operator's rules of the house were changed.
+    /// The operator's admission rules have changed.
     AdmissionRulesChanged(HouseRules),
 }
 
+/// An action that the caller of the state machine carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// The answer to what a client asked last; `last` where its connection ends with it.
-    Reply {
-        client: ClientId,
-        reply: Reply,
-        last: bool,
-    },
-    /// Lets in a client that was accepted: it is read from now on.
+    /// Answers a client's current request; `last` closes its connection afterwards.
+    Reply { client: ClientId, reply: Reply, last: bool },
+    /// Admits an accepted client: requests are read from its connection from now on.
     AdmitClient(ClientId),
-    /// Tells a client that was accepted, and not let in, to come back later, and ends its connection.
+    /// Refuses an accepted client: tells it when to retry and closes its connection.
     RefuseClient(ClientId, Span),
-    /// Ends a client's connection.
+    /// Closes a client's connection.
     CloseClient(ClientId),
-    /// Whether further clients are accepted; those that wait outside stay there.
+    /// Starts or stops accepting clients. While stopped, new clients stay in the listen backlog.
     SetAccepting(bool),
-    /// No more clients: accepts who already stands outside, and stops listening.
+    /// Accepts the clients in the listen backlog, then closes the listener.
     CloseListener,
-    Dial {
-        link: LinkId,
-        to: SocketAddr,
-        timeout: Span,
-        protocol: SearcherProtocol,
-    },
-    /// Begins a further attempt beside a dial that is not up; the first that is up is the link.
+    /// Connects to a searcher.
+    Dial { link: LinkId, to: SocketAddr, timeout: Span, protocol: SearcherProtocol },
+    /// Starts another connection attempt for a dial that is not connected yet; the first to connect becomes
+    /// the link.
     HedgeDial(LinkId),
-    Call {
-        link: LinkId,
-        call: CallId,
-        part_requests: Vec<Errand>,
-    },
-    /// Takes a call back if none of it was written; `Event::CallWithdrawn` if so.
+    /// Writes a call with its parts to a link.
+    Call { link: LinkId, call: CallId, part_requests: Vec<Errand> },
+    /// Withdraws a call if none of it has been written yet; answered by `Event::CallWithdrawn` in that case.
     WithdrawCall(LinkId, CallId),
-    CancelPart {
-        link: LinkId,
-        id: String,
-    },
+    /// Tells a searcher that the answer to a part is no longer needed.
+    CancelPart { link: LinkId, id: String },
+    /// Sends a health probe.
     ProbeHealth(LinkId),
-    /// Asks a node of the query dialect which version it speaks.
+    /// Asks a query API node for its version.
     RequestVersion(LinkId),
+    /// Closes a link.
     CloseLink(LinkId),
-    /// Ends a link whatever is going on there; what waits to be written never is.
+    /// Closes a link at once; bytes that wait to be written are dropped.
     AbortLink(LinkId),
-    /// Asks discovery, in place of whatever it was asked before: for what is newer than a version, or for
-    /// the whole list; `waits` where it may hold its answer until there is something.
-    WatchDiscovery {
-        at: SocketAddr,
-        after: Option<u64>,
-        long_poll: bool,
-    },
-    /// Asks for `Event::TimerFired` at that time; replaces what was asked for before.
+    /// Asks discovery for what is newer than a version, or for the whole list, replacing any earlier request.
+    /// With `long_poll` discovery may hold its answer until something changes.
+    WatchDiscovery { at: SocketAddr, after: Option<u64>, long_poll: bool },
+    /// Requests `Event::TimerFired` at that time, replacing any earlier request.
     SetTimer(Moment),
-    /// A link is over, for the log.
-    LogLinkClosed {
-        to: String,
-        reason: CloseReason,
-    },
-    /// A node's version was learnt, for the log.
-    LogNodeVersion {
-        to: String,
-        version: String,
-    },
-    /// All is done: the program may end.
+    /// Logs that a link was closed.
+    LogLinkClosed { to: String, reason: CloseReason },
+    /// Logs a node's version when it becomes known.
+    LogNodeVersion { to: String, version: String },
+    /// Everything is done: the process may exit.
     Exit,
 }
 
-/// What a mixer tells of itself.
+/// The metrics that the state machine knows of.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Metrics {
+    /// Whether this mixer can serve scans.
     pub ready: bool,
-    /// Searchers that its list has as ready.
+    /// Searchers that discovery lists as ready.
     pub searchers_listed: u64,
+    /// Relays sent so far.
     pub relays: u64,
-    /// By traffic type.
+    /// Scan counts by traffic type.
     pub traffic_types: Vec<(String, TrafficTypeCounts)>,
 }
 
+/// The answer to one client request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    Answer {
-        complete: bool,
-        values: Vec<(u32, String)>,
-    },
+    /// The values of the parts that were answered, by shard; `complete` when none is missing.
+    Answer { complete: bool, values: Vec<(u32, String)> },
+    /// The scan was rejected without running and may be retried after this span.
     Rejected(Span),
+    /// The scan failed and parts of it may have run.
     Failed,
+    /// Whether this mixer is ready.
     Health(bool),
+    /// The metrics of this mixer.
     Metrics(Box<Metrics>),
+    /// The request was invalid.
     InvalidRequest(Blame),
-    /// In the query dialect.
-    QueryApi {
-        status: u16,
-        body: String,
-        retry_after: Span,
-        opaque_id: Option<String>,
-    },
+    /// An answer of the query API.
+    QueryApi { status: u16, body: String, retry_after: Span, opaque_id: Option<String> },
 }
--- a/crates/mixer/src/routing/host.rs
+++ b/crates/mixer/src/routing/host.rs
@@ -1,4 +1,5 @@
-//! The module's host: its calls become effects, and ids become scans, relays and links.
+//! The `Host` implementation for the routing logic: turns its calls into effects, and maps its ids to scans,
+//! relays and links.
 
 use super::clients::{ClientActivity, Clients};
 use super::connection_attempts::HedgeDecision;
@@ -14,61 +15,63 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// A scan that is open. It goes with its final answer.
+/// A scan that has not received its final answer.
 pub struct OpenScan {
     pub client: ClientId,
     pub name: String,
     pub label: Option<String>,
     pub text: Rc<str>,
-    /// What it counts as, and when its request had come.
+    /// Its traffic type, for the counters, and when its request began to arrive.
     pub traffic_type: usize,
     pub started_at: Moment,
-    /// Each part's shard, and its value once it is in.
+    /// The shard of each part, and its value once answered.
     pub parts: Vec<(u32, Option<String>)>,
-    /// How each part landed last, where it brought no value.
+    /// The last unsuccessful outcome of each part, if any.
     pub last_failures: Vec<Option<Landing>>,
-    /// How many bytes of an answer its values take so far.
+    /// Bytes that the values received so far take in the answer.
     pub answer_bytes: usize,
-    /// What was asked in the query dialect, if it was, and how its nodes are asked it.
+    /// The original request of the query API, if it was one, and the request sent to its nodes.
     pub query: Option<QueryContext>,
     pub node_request: Option<Rc<Asked>>,
 }
 
-/// A relay that has not landed.
+/// A relay without an outcome yet.
 pub struct Relay {
     pub scan: ScanId,
     pub part: usize,
     pub to: Searcher,
     pub started_at: Moment,
     deadline: Moment,
-    /// Its link broke under it before it was written, and it went to another.
+    /// The link failed before this relay was written, and it was moved to another link.
     reassigned: bool,
-    /// Nobody waits for it: it is not to be written if that can be helped, and may not be called off once it is.
+    /// The result is no longer needed: the relay is withdrawn if it has not been written. Once it is written,
+    /// the platform may not allow cancelling it.
     cancelled: bool,
     part_request: Errand,
     location: Option<(LinkId, CallId)>,
 }
 
+/// The part of the state that the routing logic acts on.
 #[derive(Default)]
 pub struct MixerHost {
     pub now: Moment,
     pub effects: Vec<Effect>,
     pub clients: Clients,
     pub scans: Slots<OpenScan>,
-    /// Their names: no two that are open share one.
+    /// Names of the open scans; unique.
     pub open_names: BTreeSet<String>,
-    /// Scans and parts that are open.
+    /// Number of open scans and parts.
     pub open_items: usize,
     pub relays: BTreeMap<Ticket, Relay>,
-    /// Relays of this event, not yet on a link.
+    /// Relays started by the current event that have no link yet.
     unassigned: Vec<Ticket>,
-    /// Relays that landed while the module was busy, or now.
+    /// Finished relays that the routing logic hasn't been told of yet.
     pub landed: VecDeque<(Ticket, Landing, Span)>,
-    /// Checks that ended while the module was busy.
+    /// Health probe results that the routing logic hasn't been told of yet.
     pub probe_results: VecDeque<(Searcher, bool)>,
-    /// Clients that asked for several scans in one request; each goes with its answer, or its client.
+    /// Multi-search requests by client, removed when answered or when the client disconnects.
     pub multi_searches: BTreeMap<ClientId, MultiSearch>,
-    /// Those of them whose last scan has ended.
+    /// Clients whose multi-search request can go on because its last scan has ended.
     pub resumable: VecDeque<ClientId>,
     pub pool: LinkPool,
     pub counters: ScanCounters,
@@ -80,6 +83,7 @@
 }
 
 impl MixerHost {
+    /// Records the outcome of a relay.
     pub fn land_relay(&mut self, ticket: Ticket, landing: Landing) -> Option<Relay> {
         let relay = self.relays.remove(&ticket)?;
         if let Some(last_failure) =
@@ -91,14 +95,14 @@
         Some(relay)
     }
 
-    /// Ends our wait for a relay. What has not been written of it never is.
+    /// Stops waiting for a relay. If it has not been written, it never will be.
     pub fn abandon_relay(&mut self, ticket: Ticket, landing: Landing) {
         let Some(relay) = self.land_relay(ticket, landing) else { return };
         let (Some((link_id, call_id)), id) = (relay.location, relay.part_request.id) else { return };
         let Some(link) = self.pool.links.get_mut(&link_id) else { return };
         let Some(call) = link.calls.get_mut(&call_id) else { return };
         call.parts.retain(|other| *other != ticket);
-        // Waited for until its time was up: where nothing has come meanwhile, nothing new goes that way.
+        // The relay timed out; if nothing arrived on its link in the meantime, the link gets no new calls.
         link.unresponsive |=
             call.state == CallState::Written && self.now >= relay.deadline && call.sent_at > link.last_heard;
         match call.state {
@@ -122,13 +126,14 @@
         self.close_idle_links(|_, link| link.unresponsive);
     }
 
-    /// Where the call of a relay stands, once it is on a link.
+    /// The state of a relay's call, once it is assigned to a link.
     fn call_state(&self, ticket: Ticket) -> Option<CallState> {
         let (link, call) = self.relays.get(&ticket)?.location?;
         Some(self.pool.links.get(&link)?.calls.get(&call)?.state)
     }
 
-    /// Asks for a relay back that was handed over. It is waited for on where that comes too late.
+    /// Requests withdrawal of a relay that was submitted for writing. If it has been written, its answer is
+    /// awaited.
     fn withdraw_relay(&mut self, ticket: Ticket) {
         let Some(relay) = self.relays.get_mut(&ticket) else { return };
         let Some((link_id, call_id)) = relay.location else { return };
@@ -142,7 +147,7 @@
         }
     }
 
-    /// What was written and is waited for no more: its answer may yet come.
+    /// Cancels a part that has been written; its answer may still arrive.
     fn cancel_written(&mut self, link_id: LinkId, id: String) {
         if self.pool.links.get(&link_id).is_some_and(|link| link.protocol == SearcherProtocol::QueryApi) {
             return self.abort_link(link_id);
@@ -155,7 +160,8 @@
         }
     }
 
-    /// Ends a link on which an answer is owed that nobody waits for, and that would stand before the next one.
+    /// Closes a link that owes an answer nobody needs, as that answer would have to arrive before the next
+    /// one.
     fn abort_link(&mut self, link_id: LinkId) {
         let Some(link) = self.pool.links.remove(&link_id) else { return };
         self.pool.closing.insert(link_id);
@@ -163,15 +169,15 @@
         self.effects.push(Effect::AbortLink(link_id));
     }
 
-    /// A ticket may be let again: the relay is meant whose time is over now.
+    /// Tickets are reused: only the relay with this very deadline is meant.
     pub fn relay_deadline_passed(&mut self, ticket: Ticket, deadline: Moment) {
         if self.relays.get(&ticket).is_some_and(|relay| relay.deadline == deadline) {
             self.abandon_relay(ticket, Landing::Silent);
         }
     }
 
-    /// A ticket may be let again: the relay is meant that left then. What waits for a link is never handed over, what
-    /// waits to be written is taken back.
+    /// Tickets are reused: only the relay started at this very time is meant. A relay that waits for its link
+    /// is dropped, one that waits to be written is withdrawn.
     pub fn send_deadline_passed(&mut self, ticket: Ticket, started_at: Moment) {
         if self.relays.get(&ticket).is_none_or(|relay| relay.started_at != started_at) {
             return;
@@ -183,7 +189,7 @@
         }
     }
 
-    /// A part that is out on a link, by its id.
+    /// Finds an outstanding part on a link by its id.
     pub fn find_relay(&self, link: LinkId, id: &str) -> Option<(CallId, Ticket)> {
         let named =
             |ticket: &&Ticket| self.relays.get(ticket).is_some_and(|relay| relay.part_request.id == id);
@@ -191,6 +197,7 @@
         self.pool.links.get(&link)?.calls.iter().find_map(within)
     }
 
+    /// Submits the calls and the probe that waited for a link to connect.
     pub fn link_connected(&mut self, id: LinkId) {
         self.pool.attempts.connected(id, self.now);
         let Some(link) = self.pool.links.get_mut(&id) else { return };
@@ -205,7 +212,7 @@
         calls.into_iter().for_each(|call| self.submit_call(id, call));
     }
 
-    /// Hands a call over to be written.
+    /// Submits a call for writing.
     fn submit_call(&mut self, link_id: LinkId, call_id: CallId) {
         let Some(call) = self.pool.links.get_mut(&link_id).and_then(|l| l.calls.get_mut(&call_id)) else {
             return;
@@ -220,6 +227,7 @@
         self.effects.push(Effect::Call { link: link_id, call: call_id, part_requests });
     }
 
+    /// Records that a call was written, and cancels its parts that were given up in the meantime.
     pub fn call_written(&mut self, link_id: LinkId, call_id: CallId) {
         let Some(link) = self.pool.links.get_mut(&link_id) else { return };
         let Some(call) = link.calls.get_mut(&call_id) else { return };
@@ -231,7 +239,7 @@
         cancelled.into_iter().for_each(|id| self.cancel_written(link_id, id));
     }
 
-    /// A call was taken back: its parts that are still wanted go out anew, unless their searcher has left.
+    /// Handles a withdrawn call: parts still needed are sent again unless their searcher is no longer ready.
     pub fn call_withdrawn(&mut self, link_id: LinkId, call_id: CallId) {
         let Some(link) = self.pool.links.get_mut(&link_id) else { return };
         let Some(call) = link.calls.remove(&call_id) else { return };
@@ -247,8 +255,8 @@
         }
     }
 
-    /// A link broke that had been up. What was not written of a part goes on a new one, once: against links
-    /// that end just as they are used again, which says nothing of whether their searcher can be reached.
+    /// Moves an unwritten relay of a connected link that closed to a new link, once per relay. A searcher may
+    /// close an idle link just as it is used again, which doesn't mean that the searcher is unreachable.
     pub fn reassign_after_break(&mut self, ticket: Ticket) -> bool {
         let Some(relay) = self.relays.get_mut(&ticket) else { return false };
         let reassigns = !relay.reassigned && !relay.cancelled && self.registry.is_ready(relay.to);
@@ -257,8 +265,8 @@
         reassigns
     }
 
-    /// Takes back what was not written to searchers that are to get nothing new, or are elsewhere now, and lets go of
-    /// the links there.
+    /// Withdraws unwritten calls to searchers that are no longer ready or have changed their address, and
+    /// closes their idle links.
     pub fn release_unready_links(&mut self) {
         let is_current = |registry: &SearcherRegistry, link: &Link| {
             registry.is_ready(link.to) && registry.address(link.to) == Some(link.address)
@@ -281,14 +289,14 @@
         dropped.into_iter().for_each(|(link, call)| self.call_withdrawn(link, call));
     }
 
-    /// Hangs up links on which nothing is going on.
+    /// Closes matching links on which nothing is outstanding.
     fn close_idle_links(&mut self, of: impl Fn(&SearcherRegistry, &Link) -> bool) {
         let idle = self.pool.remove_idle(|link| of(&self.registry, link));
         self.effects.extend(idle.into_iter().map(Effect::CloseLink));
     }
 
-    /// Puts the relays of this event on links, those to one searcher in shared calls; false where there are
-    /// none.
+    /// Assigns the relays started by the current event to links, batching those to the same searcher. Returns
+    /// whether there were any.
     pub fn assign_relays(&mut self) -> bool {
         let any = !self.unassigned.is_empty();
         let mut by_searcher: BTreeMap<Searcher, Vec<Ticket>> = BTreeMap::new();
@@ -312,7 +320,7 @@
         any
     }
 
-    /// What can't be said in the query dialect never gets there.
+    /// Sends one part to a query API node. A part that has no form in the query API is not sent.
     fn assign_to_node(&mut self, to: Searcher, ticket: Ticket) {
         if self.relays.get(&ticket).is_some_and(|relay| relay.part_request.asked.is_some()) {
             self.assign(to, &[ticket]);
@@ -353,7 +361,7 @@
         Some(link)
     }
 
-    /// A dial may be late.
+    /// Starts a hedged connection attempt if the dial takes too long.
     pub fn hedge_dial(&mut self, link: LinkId) {
         if !self.pool.links.contains_key(&link) {
             return;
@@ -369,6 +377,7 @@
         }
     }
 
+    /// Answers a client, or adds the reply to its multi-search request.
     pub fn reply(&mut self, client: ClientId, reply: Reply, last: bool) {
         if let Some(multi_search) = self.multi_searches.get_mut(&client) {
             multi_search.record(&reply);
@@ -384,7 +393,7 @@
         self.effects.push(Effect::Reply { client, reply, last });
     }
 
-    /// What is held of a scan goes, and it is counted by how it left.
+    /// Removes a scan and counts it by its outcome.
     pub fn close_scan(&mut self, id: ScanId, outcome: ScanOutcome) -> Option<OpenScan> {
         let open = self.scans.close(id)?;
         self.counters.scan_ended(open.traffic_type, outcome, self.now.since(open.started_at));
@@ -438,8 +447,8 @@
         }
     }
 
-    /// What was written is called off only where the platform lets us; what was not is nobody's yet, and is taken
-    /// back whatever the platform says.
+    /// A written relay is cancelled only where the platform allows it. An unwritten one is always withdrawn,
+    /// because no searcher has it yet.
     fn call_off(&mut self, ticket: Ticket) {
         match self.call_state(ticket) {
             Some(CallState::Written) if !self.may_cancel => {}
@@ -486,7 +495,8 @@
         else {
             return;
         };
-        // Checks of one searcher come one after another: one that is unanswered by now never will be.
+        // Probes of one searcher are sequential: one that is still unanswered when the next begins won't be
+        // answered.
         let unanswered = self.pool.remove_unanswered_probes(searcher);
         self.effects.extend(unanswered.into_iter().map(Effect::CloseLink));
         let found = self.pool.find_responsive(searcher, address).or_else(|| self.dial(searcher, address));
--- a/crates/mixer/src/routing/mod.rs
+++ b/crates/mixer/src/routing/mod.rs
@@ -1,5 +1,6 @@
-//! Where a scan goes, as one state machine: [`reduce`] takes an event and leaves effects. It holds the module
-//! and is its `Host`; it has no sockets, and no clock but the events' time.
+//! Scan routing as a state machine: [`reduce`] takes one event and returns the effects to carry out. It wraps
+//! the routing logic of the `fernglade` crate and implements its `Host` trait. It owns no sockets, and the
+//! time passed in with each event is its only clock.
 
 mod clients;
 mod close_reason;
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -1,4 +1,4 @@
-//! The one place where state changes.
+//! The state of the mixer, and [`reduce`], the only function that changes it.
 
 use super::clients::{ClientActivity, Clients, REQUEST_TIMEOUT};
 use super::host::{MixerHost, OpenScan};
@@ -22,18 +22,20 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// After a stop is asked for, clients go on coming for 0.4 s at most (PROTOCOL.md); what comes later than
-/// 0.7 s is nobody's.
+/// How long clients are still accepted after a shutdown request. New clients may arrive for up to 0.4 s
+/// (PROTOCOL.md); nobody is responsible for clients that arrive after 0.7 s.
 const ACCEPT_GRACE: Span = Span::of_millis(600);
-/// Who stood outside when the door was shut has so long to ask.
+/// How long clients from the listen backlog have to send a request once the listener is closed.
 const BACKLOG_GRACE: Span = Span::of_millis(50);
 
-/// An attempt may begin 0.1 s after its client has gone, and tell 0.15 s more than is left (the operators' terms).
+/// How long a frame may stay partially written. The operators' terms let an attempt start at most 0.1 s after
+/// its client has gone, and claim at most 0.15 s more than the time left.
 const PARTIAL_WRITE_TIMEOUT: Span = Span::of_millis(100);
 
-/// Who has just come is about to ask.
+/// How long a newly admitted client counts as about to send a request.
 const NEW_CLIENT_GRACE: Span = Span::of_millis(100);
 
+/// The complete state of one mixer.
 pub struct State {
     mixer: Mixer,
     host: MixerHost,
@@ -42,21 +44,22 @@
     shards: u32,
     indices: Indices,
     name: String,
-    /// Scans and parts that may be open at once.
+    /// Maximum number of scans and parts open at once.
     max_open_items: usize,
-    /// No client comes any more, none that is idle stays, and what is asked now finds nobody who will be here to
-    /// answer it: whoever stops us waits for what came before (PROTOCOL.md).
+    /// Set once the backlog grace is over: no client arrives any more, idle clients are closed, and new scans
+    /// are rejected because the process may be gone before they are answered. The supervisor waits only for
+    /// requests that came before (PROTOCOL.md).
     draining: bool,
-    /// How often the watch broke since discovery last answered.
+    /// Failed discovery requests since discovery last answered.
     watch_failures: u32,
     descriptors: Descriptors,
-    /// When the door is next to be looked after.
+    /// When admission control next has something to do.
     admission_due: Option<Moment>,
-    /// When those who are turned away at the door are to come back, where the platform lets us say so.
+    /// The retry time sent to refused clients; zero where the platform doesn't allow sending one.
     refusal_retry_after: Span,
 }
 
-/// What this mixer does as one of its fleet, as far as the operator wants it.
+/// The policies that act on the load of the whole fleet of mixers, as far as the operator enables them.
 fn fleet_policies(readings: &Readings, seed: u64, operator: &Operator) -> Result<AsOne, Misread> {
     let fleet = readings.number("fleet_size", 1.0)?.max(1.0);
     Ok(AsOne {
@@ -66,7 +69,8 @@
     })
 }
 
-/// What no deployment leaves out, and without which each scan would fail for no reason that anybody sees.
+/// Checks the settings that every deployment must state; without them each scan would fail for no visible
+/// reason.
 fn require_settings(readings: &Readings) -> Result<(), Misread> {
     let fixed =
         ["tick", "limits.dial_timeout", "family_info.cells", "family_info.width", "family_info.slabs"];
@@ -76,6 +80,7 @@
 }
 
 impl State {
+    /// Builds the state from the settings and the operator's file.
     pub fn new(
         readings: &Readings,
         seed: u64,
@@ -132,7 +137,7 @@
         self.host.registry.any_ready() && !self.host.shutting_down && self.mixer.takes_scans(self.host.now)
     }
 
-    /// What it tells of itself, but for what only the program knows.
+    /// The metrics known here; the program adds those of the process.
     fn metrics(&self) -> Metrics {
         let names = self.types.iter().map(|(name, _)| name.clone());
         Metrics {
@@ -143,7 +148,7 @@
         }
     }
 
-    /// The list as it was last had, and the first watch.
+    /// Starts from the list of searchers known from an earlier run, and issues the first discovery request.
     pub fn begin(&mut self, known: &News, discovery: SocketAddr, now: Moment) -> Vec<Effect> {
         self.host.now = now;
         let listings = self.host.registry.apply(known);
@@ -154,12 +159,14 @@
         self.process_pending()
     }
 
+    /// The host, for inspection by tests.
     #[cfg(test)]
     pub fn host(&self) -> &MixerHost {
         &self.host
     }
 
-    /// Lets what has landed be heard, until nothing is left to say, and gives what is to be done.
+    /// Passes finished relays and probes to the routing logic until nothing is pending, and returns the
+    /// effects.
     fn process_pending(&mut self) -> Vec<Effect> {
         loop {
             if let Some((ticket, landing, took)) = self.host.landed.pop_front() {
@@ -178,7 +185,7 @@
         std::mem::take(&mut host.effects)
     }
 
-    /// Carries out what the house asks for, until it asks for nothing more.
+    /// Carries out the actions that admission control has requested since it was last asked.
     fn update_admission(&mut self) {
         let now = self.host.now;
         let places = self.descriptors.places_beside(self.host.pool.descriptors_in_use());
@@ -219,7 +226,7 @@
         self.open_scan(client, ask, began, None);
     }
 
-    /// The same in the query dialect: it becomes the same scan.
+    /// Handles a request of the query API; searches and edits become the same kind of scan.
     fn query_requested(&mut self, client: ClientId, request: Request) {
         let Some(began) = self.host.clients.request_start(client, self.host.now) else { return };
         let opaque = request.opaque.clone();
@@ -258,7 +265,7 @@
         self.host.reply(client, reply, false);
     }
 
-    /// The next scan of a request that holds several, or their answer once all have ended.
+    /// Opens the next scan of a multi-search request, or answers it once all of its scans have ended.
     fn resume_multi_search(&mut self, client: ClientId) {
         let now = self.host.now;
         let Some(multi_search) = self.host.multi_searches.get_mut(&client) else { return };
@@ -273,7 +280,7 @@
     }
 
     fn open_scan(&mut self, client: ClientId, mut ask: Ask, began: Moment, query: Option<QueryContext>) {
-        // A name of ours that somebody's request has taken by chance or malice gives way.
+        // Choose another name if a client's scan already uses the generated one, by chance or on purpose.
         while query.is_some() && self.host.open_names.contains(&ask.name) {
             ask.name.push('x');
         }
@@ -312,14 +319,14 @@
         let id = self.host.scans.open(open);
         self.host.open_names.insert(ask.name);
         self.host.clients.set_activity(client, ClientActivity::AwaitingAnswer(id), self.host.now);
-        // The bench turns such scans away before they reach a mixer; here they come this far.
+        // The benchmark harness rejects such scans before they reach a mixer; real clients are rejected here.
         if self.host.open_items > self.max_open_items || self.draining {
             return self.mixer.turn_away(&mut self.host, id);
         }
         self.mixer.taken(&mut self.host, id, scan);
     }
 
-    /// The scan in the module's terms, if it makes sense here.
+    /// Validates a scan and translates it for the routing logic.
     fn validate(&self, ask: &Ask, began: Moment) -> Result<ScanTaken, Blame> {
         let wrong = |what: String| Err(Blame::Request(what));
         let Some(traffic_type) = self.types.iter().position(|(name, _)| *name == ask.traffic_type) else {
@@ -342,7 +349,7 @@
         if shards.len() < ask.parts.len() {
             return wrong("a range stands twice".into());
         }
-        // Portions are written with so many digits only; what is meant is all of the answer.
+        // Weights are written with limited precision, so their sum is only close to 1; normalize it.
         let sum: f64 = ask.parts.iter().map(|part| part.weight).sum();
         if (sum - 1.0).abs() > 0.01 {
             return wrong("the portions are not a whole".into());
@@ -373,7 +380,8 @@
         let Some(link) = self.host.pool.links.get_mut(&link_id) else { return };
         link.note_received(self.host.now);
         let Some((call_id, ticket)) = found else {
-            // HedgeDecision, and passed over; or of nobody, and whose answer it spoilt can't be told.
+            // Either a late answer to a cancelled part, which is dropped; or the answer to an unknown part,
+            // in which case it can't be told whose answer it corrupted.
             if !link.take_cancelled(id) {
                 self.abort_on_protocol_error(link_id);
             }
@@ -393,11 +401,11 @@
         self.host.land_relay(ticket, landing);
     }
 
-    /// A value that leaves no room for it in an answer is as good as none.
+    /// Stores the value of a part. A value that doesn't fit into the answer fails its part.
     fn store_value(&mut self, ticket: Ticket, value: String) -> Landing {
         let Some(relay) = self.host.relays.get(&ticket) else { return Landing::Erred };
         let Some(open) = self.host.scans.get_mut(relay.scan) else { return Landing::Honoured };
-        // Each byte may take six where it is escaped; plain ones are the rule.
+        // An escaped byte may take up to six bytes; most values need no escaping.
         let escaped = value.bytes().filter(|b| *b < b' ' || matches!(b, b'"' | b'\\')).count();
         let size = open.answer_bytes + value.len() + 5 * escaped + PART_FRAME;
         if size > MOST_BODY - PART_FRAME {
@@ -438,8 +446,9 @@
         }
     }
 
-    /// A frame is half said, or whole after all. Searchers write theirs in one piece: what takes longer than a
-    /// link may take to come up is not coming, and what follows it can't be told apart from it.
+    /// Records that an incoming frame is incomplete, or complete after all. Searchers write a frame in one
+    /// piece, so one that takes longer than the dial timeout won't be completed, and later frames couldn't be
+    /// told apart from it.
     fn frame_partially_read(&mut self, id: LinkId, partial: bool) {
         let (now, within) = (self.host.now, self.host.dial_timeout);
         let Some(link) = self.host.pool.links.get_mut(&id) else { return };
@@ -455,8 +464,9 @@
         }
     }
 
-    /// A frame of ours is half written, or whole after all. Nothing of it can be taken back: its searcher would have it
-    /// later than its client's end, its window or the time that it tells allow.
+    /// Records that an outgoing frame is partially written, or completely after all. A partially written
+    /// frame can't be withdrawn: the searcher might receive it after the client has gone, after its repeat
+    /// window, or with less time left than the frame states.
     fn frame_partially_written(&mut self, id: LinkId, partial: bool) {
         let now = self.host.now;
         let Some(link) = self.host.pool.links.get_mut(&id) else { return };
@@ -466,7 +476,8 @@
         }
     }
 
-    /// A searcher that reads no more: what is half written there never runs, and what is out there is as after a reset.
+    /// The searcher has stopped reading. The partially written call never runs; parts already written are
+    /// treated as after a connection reset.
     fn partial_write_timed_out(&mut self, id: LinkId, since: Moment) {
         if self.host.pool.links.get(&id).is_some_and(|link| link.partial_write_since == Some(since)) {
             self.abort_link(id, CloseReason::ConnectionBroken);
@@ -507,7 +518,7 @@
         }
     }
 
-    /// What has come from a client, since then, is to be whole in time.
+    /// Limits the time a client has from `since` to complete its request.
     fn start_request_timeout(&mut self, client: ClientId, since: Moment) {
         self.host.timers.set(since + REQUEST_TIMEOUT, Timer::RequestTimeout(client, since));
     }
@@ -552,14 +563,14 @@
     fn shut_down(&mut self) {
         if !self.host.shutting_down {
             self.host.shutting_down = true;
-            // Who has just come is about to ask.
+            // Clients that have just connected are about to send a request.
             self.close_idle_clients(self.host.now.less(NEW_CLIENT_GRACE));
             self.host.timers.set(self.host.now + ACCEPT_GRACE, Timer::CloseListener);
         }
     }
 }
 
-/// Takes an event in, at its time, and gives what is to be done.
+/// Applies an event at the given time and returns the effects to carry out.
 pub fn reduce(state: &mut State, event: Event, now: Moment) -> Vec<Effect> {
     state.host.now = now;
     match event {
