--- a/crates/mixer/src/routing/clients.rs
+++ b/crates/mixer/src/routing/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' connections, and what each is about.
+//! The client connections and their activity.
 
 use super::ClientId;
 use fernglade::{Moment, ScanId, Span};
@@ -6,32 +6,35 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// A request is to be whole so long after its first byte, and a connection's first so long after that came:
-/// clients send theirs in one piece. Whoever connects is owed an answer or a close within three seconds; one
-/// of them is for waiting on the porch.
+/// Time limit for a request from its first byte, and for the first request of a connection from when it was
+/// admitted; clients send a request in one piece. A client is owed an answer or a close within three seconds
+/// of connecting, one of which is reserved for waiting for admission.
 pub const REQUEST_TIMEOUT: Span = Span::of_millis(2_000);
-/// What a client is about.
+
+/// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClientActivity {
+    /// No request is in progress.
     Idle,
-    /// A request has begun to come, then.
+    /// A request began to arrive at that time.
     SendingRequest(Moment),
+    /// The client waits for the answer to a scan.
     AwaitingAnswer(ScanId),
-    /// Its connection ends with what is being written to it.
+    /// The connection closes once its pending output is written.
     Closing,
 }
 
 struct Client {
     activity: ClientActivity,
-    /// Nothing whole has come from it yet.
+    /// No complete request has arrived yet.
     new: bool,
-    /// It was sent off. What it had asked by then is answered, and is the last.
+    /// The connection is being closed. A request that has already arrived is still answered, as the last one.
     closing: bool,
-    /// When it came, if it is new; else when it fell idle or started_at to ask.
+    /// When a new client was admitted; otherwise when it became idle or its request began to arrive.
     since: Moment,
 }
 
-/// Who is inside, and what about. Who is let in, and who goes, is the house's to say.
+/// The admitted clients. Admission control decides which clients are admitted and which are closed.
 pub struct Clients {
     connected: BTreeMap<ClientId, Client>,
     admission: House,
@@ -45,22 +48,24 @@
 }
 
 impl Clients {
+    /// Creates an empty set with the operator's admission rules.
     pub fn new(rules: HouseRules, max_clients: usize) -> Self {
         Self { connected: BTreeMap::new(), admission: House::new(rules, max_clients), actions: Vec::new() }
     }
 
-    /// A connection was accepted.
+    /// Reports an accepted connection to admission control.
     pub fn accepted(&mut self, client: ClientId, from: IpAddr, now: Moment) {
         self.actions.extend(self.admission.arrive(now, Guest(client.0), from));
     }
 
-    /// It was let in.
+    /// Adds a client that was admitted.
     pub fn admitted(&mut self, client: ClientId, now: Moment) {
         self.connected
             .insert(client, Client { activity: ClientActivity::Idle, new: true, closing: false, since: now });
     }
 
-    /// What the house has asked for since it was last asked; whoever is to leave is marked so.
+    /// The actions requested by admission control since the last call. Clients that it closes are marked as
+    /// closing.
     pub fn take_actions(&mut self) -> Vec<Act> {
         let actions = std::mem::take(&mut self.actions);
         for action in &actions {
@@ -83,41 +88,48 @@
         self.actions.extend(self.admission.stand(now, Guest(client.0), standing));
     }
 
+    /// When [`Self::tick`] is next to be called.
     pub fn due(&self, now: Moment) -> Option<Moment> {
         self.admission.due(now)
     }
 
+    /// Lets admission control act on the passage of time.
     pub fn tick(&mut self, now: Moment) {
         self.actions.extend(self.admission.tick(now));
     }
 
+    /// Reports that descriptors or memory ran out.
     pub fn out_of_resources(&mut self, now: Moment) {
         self.actions.extend(self.admission.ran_short(now));
     }
 
+    /// Changes the number of clients that may be connected at once.
     pub fn set_max_clients(&mut self, max_clients: usize, now: Moment) {
         self.actions.extend(self.admission.set_most(now, max_clients));
     }
 
+    /// Applies changed admission rules of the operator.
     pub fn set_rules(&mut self, rules: HouseRules, now: Moment) {
         self.actions.extend(self.admission.set_rules(now, rules));
     }
 
+    /// Stops admitting clients for good.
     pub fn stop_admitting(&mut self, now: Moment) {
         self.actions.extend(self.admission.close(now));
     }
 
-    /// When those turned away at the door are told to come back, where the operator says so.
+    /// The retry time told to refused clients, if the operator configured one.
     pub fn refusal_retry_after(&self) -> Option<Span> {
         self.admission.rules().come_back
     }
 
+    /// Removes a client, and returns what it was doing.
     pub fn disconnected(&mut self, client: ClientId, now: Moment) -> Option<ClientActivity> {
         self.actions.extend(self.admission.gone(now, Guest(client.0)));
         self.connected.remove(&client).map(|client| client.activity)
     }
 
-    /// What it asks counts from `started_at`, and is to be whole some time from now.
+    /// Records that a request has been arriving since `started_at`. The time limit to complete it starts now.
     pub fn request_started(&mut self, client_id: ClientId, started_at: Moment, now: Moment) {
         if let Some(client) = self.connected.get_mut(&client_id) {
             client.activity = ClientActivity::SendingRequest(started_at);
@@ -126,7 +138,7 @@
         }
     }
 
-    /// A whole request has come, or its answer went out.
+    /// Records that a complete request has arrived or that its answer was sent.
     pub fn set_activity(&mut self, client_id: ClientId, activity: ClientActivity, now: Moment) {
         if let Some(client) = self.connected.get_mut(&client_id) {
             let closing = client.closing || activity == ClientActivity::Closing;
@@ -135,7 +147,7 @@
         }
     }
 
-    /// Whether what was to be whole by now, since then, is not.
+    /// Whether the request or the silence that began at `since` has run out of time.
     pub fn is_request_incomplete(&self, client: ClientId, since: Moment) -> bool {
         let incomplete = |client: &Client| match client.activity {
             ClientActivity::Idle => client.new,
@@ -145,18 +157,20 @@
         self.connected.get(&client).is_some_and(|client| client.since == since && incomplete(client))
     }
 
+    /// Whether no client is left, neither admitted nor waiting for admission.
     pub fn is_empty(&self) -> bool {
         self.connected.is_empty() && self.admission.is_empty()
     }
 
-    /// Whether its connection ends with its answer: it was sent off, or it makes room.
+    /// Whether the connection closes after the current answer, because it is being closed anyway or to make
+    /// room.
     pub fn closes_after_answer(&self, client: ClientId, now: Moment) -> bool {
         let closing = self.connected.get(&client).is_some_and(|client| client.closing);
         closing || self.admission.ends_with_answer(now, Guest(client.0))
     }
 
-    /// Since when a request that is whole now has been coming; none where its client is not here, or waits for
-    /// another.
+    /// When a now complete request began to arrive; `None` if its client is gone or still waits for another
+    /// answer.
     pub fn request_start(&self, client: ClientId, now: Moment) -> Option<Moment> {
         match self.connected.get(&client)?.activity {
             ClientActivity::SendingRequest(started_at) => Some(started_at),
@@ -165,7 +179,7 @@
         }
     }
 
-    /// All idle ones leave, but for the new ones that came later.
+    /// Closes all idle clients except new ones that connected after `by`.
     pub fn close_idle(&mut self, by: Moment, now: Moment) -> Vec<ClientId> {
         let closing =
             |client: &Client| client.activity == ClientActivity::Idle && (!client.new || client.since <= by);
--- a/crates/mixer/src/routing/connection_attempts.rs
+++ b/crates/mixer/src/routing/connection_attempts.rs
@@ -1,48 +1,51 @@
-//! Hedged connection attempts: beside one that is late a further one is begun, and the first that is up is used.
+//! Hedged connection attempts: when a dial is slow, another attempt is started and the first to connect is
+//! used.
 //!
-//! Guards against connections that come up late now and then (a packet lost, a full queue): the system tries again
-//! only after a second, while a new attempt is up at once. Should also cover a searcher whose machine forgets a
-//! handshake. Hurts a searcher that takes no connections at all, by further attempts: each dial earns a share of one.
+//! Guards against connections that are occasionally slow to establish (a lost packet, a full queue): the
+//! operating system retries only after a second, while a new attempt connects at once. It should also cover a
+//! searcher whose host loses a handshake. It costs extra attempts at a searcher that accepts no connections
+//! at all, so every dial adds only a fraction of an attempt to the hedge budget.
 
 use super::LinkId;
 use fernglade::{Moment, Span};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Further attempts beside one dial.
+/// Hedged attempts per dial.
 const MAX_HEDGES_PER_DIAL: u32 = 2;
-/// Further attempts for each dial, and how many may come in a row.
+/// Budget earned by each dial, and the most that can be saved up for a burst.
 const HEDGES_PER_DIAL: f64 = 0.5;
 const MAX_HEDGE_BUDGET: f64 = 8.0;
-/// An attempt is late after so many times the usual time.
+/// A dial is hedged after this multiple of the median connect time.
 const HEDGE_DELAY_FACTOR: u64 = 4;
-/// The bounds of that, as parts of the time that a dial is given; the first is also what holds before any is known.
+/// Bounds of the hedge delay, as fractions (1/n) of the dial timeout; the first applies while no connect time
+/// is known.
 const DEFAULT_DELAY_DIVISOR: u64 = 8;
 const MIN_DELAY_DIVISOR: u64 = 32;
 const MAX_DELAY_DIVISOR: u64 = 4;
-/// Dials of which the usual time is the median.
+/// Number of recent dials from which the median is taken.
 const MAX_SAMPLES: usize = 16;
 
-/// One dial that is not over.
+/// A dial in progress.
 struct Dial {
     last_attempt: Moment,
     hedges: u32,
 }
 
-/// All dials of this mixer, and what the last ones connect_times.
+/// All dials of this mixer, and the connect times of the latest ones.
 pub struct ConnectionAttempts {
     dials: BTreeMap<LinkId, Dial>,
     connect_times: VecDeque<Span>,
     hedge_budget: f64,
 }
 
-/// What to do about a dial that may be late.
+/// What to do about a dial that may be slow.
 #[derive(Debug, PartialEq)]
 pub enum HedgeDecision {
-    /// It is over, or has had all that it may have.
+    /// The dial is over or has used all of its hedged attempts.
     Stop,
-    /// Begin a further attempt, and look at it again then.
+    /// Start a hedged attempt, and check again at that time.
     Start(Moment),
-    /// None may begin now; look at it again then.
+    /// No attempt may start now; check again at that time.
     Wait(Moment),
 }
 
@@ -53,14 +56,14 @@
 }
 
 impl ConnectionAttempts {
-    /// A dial begins, which is given this time; returns when it is late.
+    /// Records the start of a dial, and returns when to consider a hedged attempt.
     pub fn start(&mut self, link: LinkId, now: Moment, timeout: Span) -> Moment {
         self.hedge_budget = (self.hedge_budget + HEDGES_PER_DIAL).min(MAX_HEDGE_BUDGET);
         self.dials.insert(link, Dial { last_attempt: now, hedges: 0 });
         now + self.hedge_delay(timeout)
     }
 
-    /// It may be late now; `has_room` where a descriptor is left for a further attempt.
+    /// Decides whether to start a hedged attempt; `has_room` tells whether a descriptor is left for one.
     pub fn hedge_decision(
         &mut self,
         link: LinkId,
@@ -80,7 +83,7 @@
         HedgeDecision::Start(recheck_at)
     }
 
-    /// It is up: all its other attempts are over.
+    /// The dial is connected, which ends all of its other attempts.
     pub fn connected(&mut self, link: LinkId, now: Moment) {
         let Some(dial) = self.dials.remove(&link) else { return };
         if self.connect_times.len() == MAX_SAMPLES {
@@ -89,16 +92,17 @@
         self.connect_times.push_back(now.since(dial.last_attempt));
     }
 
-    /// It is over with no connection.
+    /// The dial ended without a connection.
     pub fn failed(&mut self, link: LinkId) {
         self.dials.remove(&link);
     }
 
-    /// Descriptors that further attempts may hold now.
+    /// The number of descriptors that hedged attempts may be using.
     pub fn hedges_in_flight(&self) -> usize {
         self.dials.values().map(|dial| dial.hedges as usize).sum()
     }
 
+    /// How long to wait for an attempt before starting another.
     fn hedge_delay(&self, timeout: Span) -> Span {
         let fraction = |of: u64| timeout.micros() / of;
         let mut connect_times: Vec<u64> = self.connect_times.iter().map(|span| span.micros()).collect();
--- a/crates/mixer/src/routing/host.rs
+++ b/crates/mixer/src/routing/host.rs
@@ -290,15 +290,15 @@
     }
 
     /// Closes matching links on which nothing is outstanding.
-    fn close_idle_links(&mut self, of: impl Fn(&SearcherRegistry, &Link) -> bool) {
-        let idle = self.pool.remove_idle(|link| of(&self.registry, link));
+    fn close_idle_links(&mut self, matches: impl Fn(&SearcherRegistry, &Link) -> bool) {
+        let idle = self.pool.remove_idle(|link| matches(&self.registry, link));
         self.effects.extend(idle.into_iter().map(Effect::CloseLink));
     }
 
     /// Assigns the relays started by the current event to links, batching those to the same searcher. Returns
     /// whether there were any.
     pub fn assign_relays(&mut self) -> bool {
-        let any = !self.unassigned.is_empty();
+        let had_relays = !self.unassigned.is_empty();
         let mut by_searcher: BTreeMap<Searcher, Vec<Ticket>> = BTreeMap::new();
         for ticket in std::mem::take(&mut self.unassigned) {
             if let Some(relay) = self.relays.get(&ticket) {
@@ -317,7 +317,7 @@
                 }
             }
         }
-        any
+        had_relays
     }
 
     /// Sends one part to a query API node. A part that has no form in the query API is not sent.
@@ -356,8 +356,8 @@
         let protocol = self.registry.protocol(to);
         let link = self.pool.open(to, address, protocol)?;
         self.effects.push(Effect::Dial { link, to: address, timeout: self.dial_timeout, protocol });
-        let late = self.pool.attempts.start(link, self.now, self.dial_timeout);
-        self.timers.set(late, Timer::HedgeDialDue(link));
+        let hedge_at = self.pool.attempts.start(link, self.now, self.dial_timeout);
+        self.timers.set(hedge_at, Timer::HedgeDialDue(link));
         Some(link)
     }
 
@@ -369,11 +369,11 @@
         let has_room = self.pool.descriptors_in_use() < self.pool.max_links;
         match self.pool.attempts.hedge_decision(link, self.now, self.dial_timeout, has_room) {
             HedgeDecision::Stop => {}
-            HedgeDecision::Start(again) => {
+            HedgeDecision::Start(recheck_at) => {
                 self.effects.push(Effect::HedgeDial(link));
-                self.timers.set(again, Timer::HedgeDialDue(link));
+                self.timers.set(recheck_at, Timer::HedgeDialDue(link));
             }
-            HedgeDecision::Wait(again) => self.timers.set(again, Timer::HedgeDialDue(link)),
+            HedgeDecision::Wait(recheck_at) => self.timers.set(recheck_at, Timer::HedgeDialDue(link)),
         }
     }
 
@@ -415,8 +415,8 @@
         self.now
     }
 
-    fn relay(&mut self, ticket: Ticket, scan: ScanId, part: usize, to: Searcher, patience: Span) {
-        let deadline = self.now + patience;
+    fn relay(&mut self, ticket: Ticket, scan: ScanId, part: usize, to: Searcher, timeout: Span) {
+        let deadline = self.now + timeout;
         let Some(open) = self.scans.get(scan) else {
             self.landed.push_back((ticket, Landing::Unsent, Span::ZERO));
             return;
@@ -472,10 +472,10 @@
         self.finish_scan(scan, ScanOutcome::Served, values);
     }
 
-    fn bounce(&mut self, scan: ScanId, pause: Span) {
+    fn bounce(&mut self, scan: ScanId, retry_after: Span) {
         self.finish_scan(scan, ScanOutcome::Refused, |open| match &open.query {
-            Some(query) => query::reply(Err(query.rejection()), pause, query.opaque_id()),
-            None => Reply::Rejected(pause),
+            Some(query) => query::reply(Err(query.rejection()), retry_after, query.opaque_id()),
+            None => Reply::Rejected(retry_after),
         });
     }
 
--- a/crates/mixer/src/routing/pool.rs
+++ b/crates/mixer/src/routing/pool.rs
@@ -1,4 +1,4 @@
-//! The links to searchers, and the calls on them.
+//! The pool of links to searchers and the calls on them.
 
 use super::connection_attempts::ConnectionAttempts;
 use super::{CallId, LinkId, SearcherProtocol};
@@ -9,29 +9,30 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Where a call stands.
+/// The progress of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallState {
     /// Its link is not connected yet.
     AwaitingLink,
-    /// Handed over to be written.
+    /// Submitted for writing.
     Submitted,
-    /// To be taken back, if that is still possible.
+    /// Withdrawal has been requested, which succeeds only if nothing has been written.
     Withdrawing,
-    /// Its last byte was written.
+    /// Its last byte has been written.
     Written,
 }
 
-/// Takes one place on its link until its last part has landed.
+/// A call on a link. It occupies one slot of the link until the outcome of its last part is known.
 pub struct Call {
     pub parts: Vec<Ticket>,
     pub state: CallState,
-    /// When its last byte was written, or it was put on its link.
+    /// When its last byte was written or, before that, when it was assigned to its link.
     pub sent_at: Moment,
-    /// Ids given connected while it could not be taken back.
+    /// Ids of parts cancelled after the call was submitted.
     pub cancelled: Vec<String>,
 }
 
+/// A connection to a searcher.
 pub struct Link {
     pub to: Searcher,
     pub address: SocketAddr,
@@ -39,31 +40,32 @@
     pub connected: bool,
     pub calls: BTreeMap<CallId, Call>,
     pub probing: bool,
-    /// When anything whole last came over it, if ever.
+    /// When a complete message last arrived; the default value if none has.
     pub last_heard: Moment,
-    /// Since when a frame has been half said.
+    /// Since when an incoming frame has been incomplete.
     pub partial_read_since: Option<Moment>,
-    /// Since when a frame of ours has been half written.
+    /// Since when an outgoing frame has been partially written.
     pub partial_write_since: Option<Moment>,
-    /// A part was waited for over it until its time was connected, and nothing came all the while.
+    /// A part timed out on this link and nothing arrived while it waited. The link gets no new calls.
     pub unresponsive: bool,
-    /// When a call was last put on it, and how often one was of late, but for the first.
+    /// When a call was last assigned to it, and a decaying count of the calls after the first.
     last_used: Option<Moment>,
     reuse_count: DecayingCount,
-    /// Ids of parts that were given connected and may yet be answered, the latest.
+    /// Ids of cancelled parts that may still be answered; only the latest are kept.
     cancelled: VecDeque<String>,
 }
 
-/// A link that was not last_used for so long is given connected first, and over so long its uses are counted.
+/// Links unused for this long are evicted first. Also the window over which uses are counted.
 const RECENT_USE_WINDOW: Span = Span::of_millis(10_000);
 
-/// A full pool is evicted of this part of the links it may hold.
+/// A full pool evicts up to this fraction (1/n) of its capacity.
 const EVICTION_DIVISOR: usize = 3;
 
-/// Twice what a link of our deployments carries at once; parts that are lost for good push each other out.
+/// Twice the number of parts a link carries at once in our deployments. Ids of parts that are never answered
+/// push each other out.
 const MAX_CANCELLED_IDS: usize = 64;
 
-/// What an idle link is retention_value to a pool that has no room for all.
+/// How valuable an idle link is when the pool is full.
 struct RetentionValue {
     recent: bool,
     reuse_count: f64,
@@ -86,6 +88,7 @@
         }
     }
 
+    /// Remembers a cancelled part whose answer may still arrive.
     pub fn note_cancelled(&mut self, id: String) {
         if self.cancelled.len() == MAX_CANCELLED_IDS {
             self.cancelled.pop_front();
@@ -93,13 +96,13 @@
         self.cancelled.push_back(id);
     }
 
-    /// Whether it was waited for here once; its answer is passed over, once.
+    /// Whether this part was cancelled on this link. Forgets the id, as at most one late answer is ignored.
     pub fn take_cancelled(&mut self, id: &str) -> bool {
         let at = self.cancelled.iter().position(|other| other == id);
         at.and_then(|at| self.cancelled.remove(at)).is_some()
     }
 
-    /// Puts a call on it.
+    /// Assigns a call to the link.
     pub fn add_call(&mut self, id: CallId, call: Call) {
         if self.last_used.replace(call.sent_at).is_some() {
             self.reuse_count.note(call.sent_at, RECENT_USE_WINDOW);
@@ -107,41 +110,45 @@
         self.calls.insert(id, call);
     }
 
+    /// Whether neither calls nor a health probe are outstanding.
     pub fn is_idle(&self) -> bool {
         self.calls.is_empty() && !self.probing
     }
 
+    /// Records that a complete message arrived.
     pub fn note_received(&mut self, now: Moment) {
         (self.last_heard, self.unresponsive) = (now, false);
     }
 }
 
-/// Bounded by the descriptors set aside for it.
+/// All links of this mixer, bounded by the descriptors reserved for them.
 #[derive(Default)]
 pub struct LinkPool {
     pub links: BTreeMap<LinkId, Link>,
-    /// Let go, and not over yet: they hold a descriptor until they are.
+    /// Links being closed; they hold a descriptor until they are.
     pub closing: BTreeSet<LinkId>,
     pub attempts: ConnectionAttempts,
-    /// Calls that a link carries at once, and parts that a call holds.
+    /// Calls that a link carries at once, and parts that a call carries.
     pub max_calls_per_link: usize,
     pub max_parts_per_call: usize,
+    /// Limit on links and hedged connection attempts.
     pub max_links: usize,
     last_id: u64,
 }
 
 impl LinkPool {
+    /// A new id for a link or a call.
     pub fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// The link that has room for one more call: one that is connected before one that is not, and of these the one
-    /// that has served longest, so that the others can fall idle.
+    /// A link with room for one more call. Prefers connected links, and among these the oldest, so that the
+    /// others can become idle.
     pub fn find_available(&self, to: Searcher, address: SocketAddr) -> Option<LinkId> {
         let max_calls = |link: &Link| match link.protocol {
             SearcherProtocol::Frames => self.max_calls_per_link,
-            // Answers come in the order of questions: one at a time, or a slow one would hold connected the next.
+            // Responses arrive in the order of the requests, so a slow one would block the next.
             SearcherProtocol::QueryApi => 1,
         };
         let has_capacity = |link: &Link| {
@@ -156,35 +163,37 @@
             .map(|(id, _)| id)
     }
 
+    /// Any link to a searcher that isn't known to be unresponsive.
     pub fn find_responsive(&self, to: Searcher, address: SocketAddr) -> Option<LinkId> {
         self.links_to(to, address).filter(|(_, link)| !link.unresponsive).map(|(id, _)| id).next()
     }
 
-    /// Takes out a searcher's links that owe the answer to a check and nothing else.
-    pub fn remove_unanswered_probes(&mut self, of: Searcher) -> Vec<LinkId> {
-        let owes_probe = |link: &mut Link| link.to == of && std::mem::take(&mut link.probing);
+    /// Removes a searcher's links that have only an unanswered health probe outstanding.
+    pub fn remove_unanswered_probes(&mut self, searcher: Searcher) -> Vec<LinkId> {
+        let owes_probe = |link: &mut Link| link.to == searcher && std::mem::take(&mut link.probing);
         let unresponsive = self.links.extract_if(.., |_, link| owes_probe(link) && link.is_idle());
         let unresponsive: Vec<LinkId> = unresponsive.map(|(id, _)| id).collect();
         self.closing.extend(&unresponsive);
         unresponsive
     }
 
-    /// The links to a searcher at its present address.
+    /// The links to a searcher at its current address.
     fn links_to(&self, to: Searcher, address: SocketAddr) -> impl Iterator<Item = (LinkId, &Link)> {
         let matches = move |link: &Link| link.to == to && link.address == address;
         self.links.iter().filter(move |(_, link)| matches(link)).map(|(id, link)| (*id, link))
     }
 
-    /// Descriptors held by links, those that close and further attempts included.
+    /// Descriptors in use by links, including closing ones, and by hedged connection attempts.
     pub fn descriptors_in_use(&self) -> usize {
         self.links.len() + self.closing.len() + self.attempts.hedges_in_flight()
     }
 
+    /// Whether the limit on links is reached.
     pub fn is_full(&self) -> bool {
         self.links.len() + self.attempts.hedges_in_flight() >= self.max_links
     }
 
-    /// A further link, where descriptors are left for one.
+    /// Opens another link if the limit allows it.
     pub fn open(&mut self, to: Searcher, address: SocketAddr, protocol: SearcherProtocol) -> Option<LinkId> {
         if self.is_full() {
             return None;
@@ -209,13 +218,13 @@
         Some(id)
     }
 
-    /// Takes out the idle links that are retention_value least, connected to a part of what the pool may hold; none where it is not
-    /// full. First go those that have not been last_used for long, then any that were never last_used again, then those last_used
-    /// again least. Guards against a mixer that needs more searchers than it may hold links to: were all idle links
-    /// let go of, or the longest idle first, searchers that are needed by turns would each lose their link before
-    /// their next turn, and every call would be dialled for. Those never last_used again go by tie_break, as nobody knows which
-    /// of them will be: in any fixed order links that nobody needs any more would keep out those that are needed.
-    /// Hurts a searcher that has just begun to be needed, by a few dials.
+    /// Evicts the least valuable idle links, up to a fraction of the capacity, if the pool is full. Links
+    /// unused for long go first, then links used only once, then the least reused ones. This serves a mixer
+    /// that calls more searchers than it can hold links to: evicting all idle links, or the least recently
+    /// used first, would drop the link of each searcher called in turn just before its next turn, and every
+    /// call would need a new connection. Links used only once are evicted in random order, because nobody
+    /// knows which will be used again; in any fixed order links no longer needed would keep out those that
+    /// are. The cost is a few extra dials to a searcher that has only just come into use.
     pub fn evict_idle(&mut self, now: Moment) -> Vec<LinkId> {
         if !self.is_full() {
             return Vec::new();
@@ -231,9 +240,9 @@
         evicted
     }
 
-    /// Takes out the links on which nothing is going on.
-    pub fn remove_idle(&mut self, of: impl Fn(&Link) -> bool) -> Vec<LinkId> {
-        let idle = self.links.extract_if(.., |_, link| link.is_idle() && of(link));
+    /// Removes matching links on which nothing is outstanding.
+    pub fn remove_idle(&mut self, matches: impl Fn(&Link) -> bool) -> Vec<LinkId> {
+        let idle = self.links.extract_if(.., |_, link| link.is_idle() && matches(link));
         let idle: Vec<LinkId> = idle.map(|(id, _)| id).collect();
         self.closing.extend(&idle);
         idle
--- a/crates/mixer/src/routing/query.rs
+++ b/crates/mixer/src/routing/query.rs
@@ -1,5 +1,5 @@
-//! Requests of the query dialect, made into the same scans as the platform's own, and what their clients hear. No
-//! decision is made here: which searcher, whether again and what is turned away is the module's.
+//! Turns requests of the query API into the same scans as the platform's own, and their results into
+//! responses. All routing decisions (which searcher, retries, load shedding) are made by the routing logic.
 
 use super::host::OpenScan;
 use super::Reply;
@@ -20,17 +20,18 @@
 /// What is kept of a request while its scan is open.
 pub struct QueryContext {
     request: Request,
-    /// Whether an answer from some of the shards is one.
+    /// Whether a response from only some of the shards is allowed.
     allow_partial: bool,
-    /// Nothing of it may run twice.
+    /// Whether the request must not run twice.
     not_repeatable: bool,
     started_at: Moment,
 }
 
-/// What all answers of one body may take together: as many as a few full ones.
+/// Limit on the total size of the responses within one multi-search response, a few full ones.
 const MAX_MULTI_SEARCH_BYTES: usize = 1024 * 1024;
 
-/// Searches that one request holds: each is a scan of its own, one after another, and a bad one spoils no other.
+/// A request with several searches. Each becomes a scan of its own, one after another; an invalid search
+/// doesn't affect the others.
 pub struct MultiSearch {
     index: Option<String>,
     lines: VecDeque<Line>,
@@ -41,6 +42,7 @@
 }
 
 impl MultiSearch {
+    /// Creates a multi-search; `index` is the default for searches that name none.
     pub fn new(
         index: Option<String>,
         lines: Vec<Line>,
@@ -50,7 +52,7 @@
         Self { index, lines: lines.into(), answers: Vec::new(), response_bytes: 0, opaque_id, started_at }
     }
 
-    /// The next that can be asked; those before it that can't have their answers.
+    /// The next valid search; errors are recorded for the invalid ones before it.
     pub fn next(&mut self) -> Option<Request> {
         while let Some((index, search)) = self.lines.pop_front() {
             let index = index.or_else(|| self.index.clone());
@@ -73,7 +75,7 @@
         self.answers.push(answer);
     }
 
-    /// One of them has ended.
+    /// Records the response to the search that has just ended.
     pub fn record(&mut self, reply: &Reply) {
         let Reply::QueryApi { status, body, .. } = reply else { return };
         self.response_bytes += body.len();
@@ -82,6 +84,7 @@
         self.push(answer);
     }
 
+    /// The response to the whole request.
     pub fn reply(self, now: Moment) -> Reply {
         let took = now.since(self.started_at).micros() / 1000;
         let all = serde_json::json!({"took": took, "responses": self.answers});
@@ -89,16 +92,18 @@
     }
 }
 
-/// The indices, checked against the deployment's settings.
+/// The indices that the operator configured, checked against the deployment's settings.
 pub struct Indices {
     all: BTreeMap<String, Index>,
     shards: u32,
-    /// Names its scans, beside a count: no two mixers' are alike, nor those of two lives of one.
+    /// Makes scan names unique, together with a counter: it differs between mixers and between restarts of
+    /// one mixer.
     nonce: u64,
     count: u64,
 }
 
 impl Indices {
+    /// Checks that every index refers to known traffic types and customers.
     pub fn new(
         dialect: &Dialect,
         types: &[(String, TrafficType)],
@@ -133,7 +138,7 @@
         Ok(Self { all: dialect.indices.clone(), shards, nonce, count: 0 })
     }
 
-    /// The scan that a request is, and what is kept of it.
+    /// Translates a request into a scan, and keeps what the response needs.
     pub fn to_scan(
         &mut self,
         request: Request,
@@ -175,7 +180,7 @@
             text,
             parts: shards.into_iter().map(|shard| AskedPart { shard, weight, work: None }).collect(),
         };
-        // Both have to allow it.
+        // Both the index and the request have to allow it.
         let allow_partial = index.partial && request.partial != Some(false);
         Ok((
             ask,
@@ -189,13 +194,13 @@
     }
 }
 
-/// What each shard's node is asked, in its own words; the time left goes with the part, and not in here.
+/// The request body for the nodes. The timeout is sent with each part, so it isn't included here.
 fn node_query_body(index: &str, search: &Search) -> String {
     let (_, body) = errand(index, search, 0, fernglade::Span::ZERO);
     String::from_utf8(body).unwrap_or_default()
 }
 
-/// What a blame of the platform's side says in the dialect.
+/// Translates a request error of the platform into one of the query API.
 pub fn fault_from_blame(blame: Blame) -> Fault {
     match blame {
         Blame::Dialect(fault) => fault,
@@ -205,7 +210,7 @@
 }
 
 impl QueryContext {
-    /// Whether a shard's value is one: a node that half understands has failed its part.
+    /// Whether a shard's response is valid. A response that can only be parsed in part fails its part.
     pub fn accepts(&self, value: &str) -> bool {
         match &self.request.what {
             What::Search { index, search } | What::Count { index, search } => {
@@ -216,7 +221,7 @@
         }
     }
 
-    /// The same for an edit that a node of the dialect answered.
+    /// Like [`Self::accepts`], for the response of a query API node, which includes edits.
     pub fn accepts_from_node(&self, value: &str) -> bool {
         match &self.request.what {
             What::Edit { edit, .. } => fernglade_dialect::reply::saved(value.as_bytes(), &edit.id),
@@ -224,7 +229,7 @@
         }
     }
 
-    /// What a node of the dialect is asked.
+    /// The request to a query API node, if this request has one.
     pub fn node_request(&self, text: &str) -> Option<Asked> {
         match &self.request.what {
             What::Edit { index, edit } => {
@@ -238,11 +243,12 @@
         }
     }
 
+    /// The client's X-Opaque-Id.
     pub fn opaque_id(&self) -> Option<String> {
         self.request.opaque.clone()
     }
 
-    /// The answer, from the values that are in; or why there is none.
+    /// Builds the response from the values received, or the error if they aren't enough.
     pub fn answer(&self, open: &OpenScan, now: Moment) -> Result<serde_json::Value, Fault> {
         let (index, search) = match &self.request.what {
             What::Edit { index, edit } => return Ok(edit.saved(index)),
@@ -273,27 +279,30 @@
         })
     }
 
+    /// The error for a scan that was rejected without running.
     pub fn rejection(&self) -> Fault {
         bounced()
     }
 
-    /// No promise: where a second run may do harm it is never a status that asks for one.
+    /// The error for a failed scan. Where a second run could do harm, its status is never one that invites a
+    /// retry.
     pub fn failure(&self) -> Fault {
         written_off(self.not_repeatable)
     }
 }
 
-/// An id as a step of a path.
+/// Percent-encodes a document id as a path segment.
 fn percent_encode(id: &str) -> String {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte);
     id.bytes().map(|b| if plain(b) { char::from(b).to_string() } else { format!("%{b:02X}") }).collect()
 }
 
-/// A search as nodes are asked it: the first page up to the end of the one that is wanted.
+/// The search to send to the nodes: all hits up to the end of the requested page.
 fn node_search(search: &Search) -> Search {
     Search { from: 0, size: search.window(), timeout: None, ..search.clone() }
 }
 
+/// The reason reported for a shard that is missing from the response.
 fn missing_reason(last_failure: Option<Landing>) -> Missing {
     match last_failure {
         Some(Landing::TurnedAway) => Missing::TurnedAway,
@@ -303,7 +312,7 @@
     }
 }
 
-/// A reply in the dialect.
+/// Builds a response of the query API.
 pub fn reply(
     result: Result<serde_json::Value, Fault>,
     retry_after: fernglade::Span,
--- a/crates/mixer/src/routing/searcher_registry.rs
+++ b/crates/mixer/src/routing/searcher_registry.rs
@@ -1,4 +1,4 @@
-//! The searchers as the list names them: numbers, addresses, and the version to watch from.
+//! The searchers listed by discovery: their numbers, addresses, and the list version to watch from.
 
 use super::{Effect, SearcherProtocol};
 use crate::protocol::lists::{News, Row};
@@ -8,49 +8,53 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Holds those on the list and no others.
+/// The searchers on the current list.
 #[derive(Default)]
 pub struct SearcherRegistry {
     numbers: Numbers<String>,
     searchers: BTreeMap<Searcher, RegisteredSearcher>,
-    /// Where discovery is; nowhere until it is told.
+    /// The address of discovery, once known.
     discovery: Option<SocketAddr>,
-    /// What the next watch goes on from; none where the whole list is to be had first.
+    /// The version that the next watch continues from; `None` if the whole list has to be fetched first.
     version: Option<u64>,
-    /// It has not answered since it broke, or moved: what it has is asked for, and nothing yet to come waited for.
+    /// Discovery has not answered since it failed or moved, so the next request must return at once and not
+    /// long-poll.
     stale: bool,
-    /// Who speaks the query dialect.
+    /// Which searchers speak the query API.
     pub query_api: Dialect,
-    /// The zone that it has a price to leave.
+    /// Traffic out of this zone is charged for; searchers in other zones are marked accordingly.
     pub costly_outside_zone: Option<String>,
 }
 
+/// One listed searcher.
 struct RegisteredSearcher {
     protocol: SearcherProtocol,
-    /// What a node of the query dialect said that it speaks, at this address.
+    /// The version that a query API node reported at this address.
     version: Option<String>,
     address: SocketAddr,
     ready: bool,
 }
 
 impl SearcherRegistry {
-    /// Discovery is there from now on, and what was had so far may be old: the whole list comes first.
+    /// Switches to discovery at another address. What is known may be outdated, so the whole list is fetched
+    /// first.
     pub fn move_to(&mut self, discovery: SocketAddr) {
         (self.discovery, self.version, self.stale) = (Some(discovery), None, true);
     }
 
-    /// What discovery is to be asked next.
+    /// The next request to discovery.
     pub fn watch_effect(&self) -> Option<Effect> {
         self.discovery.map(|at| Effect::WatchDiscovery { at, after: self.version, long_poll: !self.stale })
     }
 
-    /// A watch of it broke.
+    /// Records that a request to discovery failed.
     pub fn watch_failed(&mut self) {
         self.stale = true;
     }
 
-    /// Takes news in, and gives what the module is to hear. Of changes that are older than what was told before
-    /// nothing is taken, as they might have a searcher ready again that drains: the whole list is to be had.
+    /// Applies a discovery update, and returns the listings for the routing logic. Changes older than the
+    /// current version are ignored and the whole list is requested, because they could mark a draining
+    /// searcher as ready again.
     pub fn apply(&mut self, news: &News) -> Vec<Listing> {
         let older = !news.whole && self.version.is_some_and(|version| news.version < version);
         (self.version, self.stale) = ((!older).then_some(news.version), false);
@@ -91,33 +95,38 @@
         Listing { searcher, cell: row.cell, ready: row.ready, started: row.started, dear }
     }
 
+    /// The address of a listed searcher.
     pub fn address(&self, searcher: Searcher) -> Option<SocketAddr> {
         self.searchers.get(&searcher).map(|entry| entry.address)
     }
 
+    /// The protocol that a searcher speaks.
     pub fn protocol(&self, searcher: Searcher) -> SearcherProtocol {
         self.searchers.get(&searcher).map(|entry| entry.protocol).unwrap_or_default()
     }
 
+    /// Whether a query API node has reported its version.
     pub fn knows_version(&self, searcher: Searcher) -> bool {
         self.searchers.get(&searcher).is_some_and(|entry| entry.version.is_some())
     }
 
-    /// True where it is news.
+    /// Stores the version that a node reported, and returns whether it has changed.
     pub fn record_version(&mut self, searcher: Searcher, version: &str) -> bool {
         let Some(entry) = self.searchers.get_mut(&searcher) else { return false };
         entry.version.replace(version.into()).as_deref() != Some(version)
     }
 
+    /// Whether a searcher is listed as ready.
     pub fn is_ready(&self, searcher: Searcher) -> bool {
         self.searchers.get(&searcher).is_some_and(|entry| entry.ready)
     }
 
+    /// The name of a listed searcher.
     pub fn name(&self, searcher: Searcher) -> Option<&String> {
         self.numbers.name(searcher)
     }
 
-    /// Each that is listed: its name, its address, whether it is ready, what it speaks.
+    /// A table row for each listed searcher: name, address, state and protocol.
     pub fn rows(&self) -> impl Iterator<Item = Vec<String>> + '_ {
         self.searchers.iter().map(|(searcher, entry)| {
             let name = self.numbers.name(*searcher).cloned().unwrap_or_default();
@@ -131,15 +140,17 @@
         })
     }
 
-    /// How many are ready, and how many are listed.
+    /// The number of ready searchers, and of all listed ones.
     pub fn ready_and_total(&self) -> (usize, usize) {
         (self.searchers.values().filter(|entry| entry.ready).count(), self.searchers.len())
     }
 
+    /// Whether any listed searcher is ready.
     pub fn any_ready(&self) -> bool {
         self.searchers.values().any(|entry| entry.ready)
     }
 
+    /// The number of listed searchers.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.searchers.len()
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -171,8 +171,8 @@
         loop {
             if let Some((ticket, landing, took)) = self.host.landed.pop_front() {
                 self.mixer.landed(&mut self.host, ticket, landing, took);
-            } else if let Some((searcher, there)) = self.host.probe_results.pop_front() {
-                self.mixer.checked(&mut self.host, searcher, there);
+            } else if let Some((searcher, healthy)) = self.host.probe_results.pop_front() {
+                self.mixer.checked(&mut self.host, searcher, healthy);
             } else if let Some(client) = self.host.resumable.pop_front() {
                 self.resume_multi_search(client);
             } else if !self.host.assign_relays() {
@@ -194,8 +194,9 @@
             match act {
                 Act::Enter(Guest(id)) => self.admit(ClientId(id)),
                 Act::Refuse(Guest(id), _) => {
-                    let pause = self.host.clients.refusal_retry_after().unwrap_or(self.refusal_retry_after);
-                    self.host.effects.push(Effect::RefuseClient(ClientId(id), pause));
+                    let retry_after =
+                        self.host.clients.refusal_retry_after().unwrap_or(self.refusal_retry_after);
+                    self.host.effects.push(Effect::RefuseClient(ClientId(id), retry_after));
                 }
                 Act::Leave(Guest(id)) => self.host.effects.push(Effect::CloseClient(ClientId(id))),
                 Act::Door(open) => self.host.effects.push(Effect::SetAccepting(open)),
@@ -222,17 +223,19 @@
     }
 
     fn scan_requested(&mut self, client: ClientId, ask: Ask) {
-        let Some(began) = self.host.clients.request_start(client, self.host.now) else { return };
-        self.open_scan(client, ask, began, None);
+        let Some(request_start) = self.host.clients.request_start(client, self.host.now) else { return };
+        self.open_scan(client, ask, request_start, None);
     }
 
     /// Handles a request of the query API; searches and edits become the same kind of scan.
     fn query_requested(&mut self, client: ClientId, request: Request) {
-        let Some(began) = self.host.clients.request_start(client, self.host.now) else { return };
+        let Some(request_start) = self.host.clients.request_start(client, self.host.now) else { return };
         let opaque = request.opaque.clone();
         let result = match request.what {
             What::Many { index, lines } => {
-                self.host.multi_searches.insert(client, MultiSearch::new(index, lines, opaque, began));
+                self.host
+                    .multi_searches
+                    .insert(client, MultiSearch::new(index, lines, opaque, request_start));
                 return self.resume_multi_search(client);
             }
             What::Nodes { json } => {
@@ -251,8 +254,8 @@
             }
             What::Root => Ok(root(&self.name)),
             What::Health => Ok(health(self.host.registry.ready_and_total(), self.shards)),
-            _ => match self.indices.to_scan(request, &self.types, began) {
-                Ok((ask, context)) => return self.open_scan(client, ask, began, Some(context)),
+            _ => match self.indices.to_scan(request, &self.types, request_start) {
+                Ok((ask, context)) => return self.open_scan(client, ask, request_start, Some(context)),
                 Err(fault) => Err(fault),
             },
         };
@@ -279,12 +282,18 @@
         }
     }
 
-    fn open_scan(&mut self, client: ClientId, mut ask: Ask, began: Moment, query: Option<QueryContext>) {
+    fn open_scan(
+        &mut self,
+        client: ClientId,
+        mut ask: Ask,
+        request_start: Moment,
+        query: Option<QueryContext>,
+    ) {
         // Choose another name if a client's scan already uses the generated one, by chance or on purpose.
         while query.is_some() && self.host.open_names.contains(&ask.name) {
             ask.name.push('x');
         }
-        let scan = match self.validate(&ask, began) {
+        let scan = match self.validate(&ask, request_start) {
             Ok(scan) => scan,
             Err(blame) => {
                 let reply = match query {
@@ -301,7 +310,7 @@
         let (name, last_failures) = (ask.name.clone(), vec![None; parts.len()]);
         let node_request = query.as_ref().and_then(|context| context.node_request(&ask.text)).map(Rc::new);
         let (label, text) = (ask.label, ask.text.into());
-        let (traffic_type, started_at) = (scan.traffic_type, began);
+        let (traffic_type, started_at) = (scan.traffic_type, request_start);
         let open = OpenScan {
             client,
             name,
@@ -327,7 +336,7 @@
     }
 
     /// Validates a scan and translates it for the routing logic.
-    fn validate(&self, ask: &Ask, began: Moment) -> Result<ScanTaken, Blame> {
+    fn validate(&self, ask: &Ask, request_start: Moment) -> Result<ScanTaken, Blame> {
         let wrong = |what: String| Err(Blame::Request(what));
         let Some(traffic_type) = self.types.iter().position(|(name, _)| *name == ask.traffic_type) else {
             return Err(Blame::Path);
@@ -358,7 +367,7 @@
         Ok(ScanTaken {
             traffic_type,
             customer: customer.unwrap_or(0),
-            left: ask.left.less(self.host.now.since(began)),
+            left: ask.left.less(self.host.now.since(request_start)),
             work: ask.parts.iter().filter_map(|part| part.work).reduce(|a, b| a + b),
             repeat: ask.repeat,
             parts,
@@ -437,11 +446,11 @@
         }
     }
 
-    fn health_probe_answered(&mut self, link_id: LinkId, there: bool) {
+    fn health_probe_answered(&mut self, link_id: LinkId, healthy: bool) {
         if let Some(link) = self.host.pool.links.get_mut(&link_id) {
             link.note_received(self.host.now);
             if std::mem::take(&mut link.probing) {
-                self.host.probe_results.push_back((link.to, there));
+                self.host.probe_results.push_back((link.to, healthy));
             }
         }
     }
@@ -450,11 +459,11 @@
     /// piece, so one that takes longer than the dial timeout won't be completed, and later frames couldn't be
     /// told apart from it.
     fn frame_partially_read(&mut self, id: LinkId, partial: bool) {
-        let (now, within) = (self.host.now, self.host.dial_timeout);
+        let (now, timeout) = (self.host.now, self.host.dial_timeout);
         let Some(link) = self.host.pool.links.get_mut(&id) else { return };
         link.partial_read_since = partial.then_some(now);
         if partial {
-            self.host.timers.set(now + within, Timer::PartialReadTimeout(id, now));
+            self.host.timers.set(now + timeout, Timer::PartialReadTimeout(id, now));
         }
     }
 
@@ -575,8 +584,8 @@
     state.host.now = now;
     match event {
         Event::ClientAccepted(client, from) => state.host.clients.accepted(client, from, now),
-        Event::RequestStarted(client, stood) => {
-            state.host.clients.request_started(client, now.less(stood), now);
+        Event::RequestStarted(client, unread_for) => {
+            state.host.clients.request_started(client, now.less(unread_for), now);
             state.start_request_timeout(client, now);
         }
         Event::ScanRequested(client, ask) => state.scan_requested(client, ask),
@@ -589,8 +598,8 @@
             let ready = state.is_ready();
             state.host.reply(client, Reply::Health(ready), false);
         }
-        Event::InvalidRequest(client, blame, lost) => {
-            state.host.reply(client, Reply::InvalidRequest(blame), lost)
+        Event::InvalidRequest(client, blame, closes) => {
+            state.host.reply(client, Reply::InvalidRequest(blame), closes)
         }
         Event::ClientDisconnected(client) => state.client_disconnected(client),
         Event::LinkConnected(link) => state.host.link_connected(link),
@@ -598,7 +607,7 @@
         Event::CallWritten(link, call) => state.host.call_written(link, call),
         Event::CallWithdrawn(link, call) => state.host.call_withdrawn(link, call),
         Event::PartAnswered { link, id, end, value } => state.part_answered(link, &id, end, value),
-        Event::HealthProbeAnswered(link, there) => state.health_probe_answered(link, there),
+        Event::HealthProbeAnswered(link, healthy) => state.health_probe_answered(link, healthy),
         Event::FramePartiallyRead(link, partial) => state.frame_partially_read(link, partial),
         Event::FramePartiallyWritten(link, partial) => state.frame_partially_written(link, partial),
         Event::LinkClosed(link, reason) => state.link_closed(link, reason),
