--- a/crates/mixer/src/routing/event.rs
+++ b/crates/mixer/src/routing/event.rs
@@ -152,7 +152,7 @@
 pub enum Reply {
     /// The values of the parts that were answered, by shard; `complete` when none is missing.
     Answer { complete: bool, values: Vec<(u32, String)> },
-    /// The scan was rejected without running and may be retried after this span.
+    /// The scan was rejected and may safely be retried after this span.
     Rejected(Span),
     /// The scan failed and parts of it may have run.
     Failed,
--- a/crates/mixer/src/routing/query.rs
+++ b/crates/mixer/src/routing/query.rs
@@ -116,23 +116,28 @@
             let kind =
                 |wanted: &String| types.iter().find(|(known, _)| known == wanted).map(|(_, kind)| kind);
             let Some(searches) = kind(&index.searches) else {
-                return invalid(format!("searches: no traffic type {}", index.searches));
+                return invalid(format!("searches: unknown traffic type {}", index.searches));
             };
             if searches.effect != Redoing::Redoable {
-                return invalid(format!("searches: {} may not run again, and searches may", index.searches));
+                return invalid(format!(
+                    "searches: traffic type {} is not safe to repeat, but searches may be repeated",
+                    index.searches
+                ));
             }
             match index.edits.as_ref().map(|edits| (edits, kind(edits))) {
-                Some((edits, None)) => return invalid(format!("edits: no traffic type {edits}")),
+                Some((edits, None)) => return invalid(format!("edits: unknown traffic type {edits}")),
                 Some((edits, Some(kind))) if kind.effect == Redoing::Redoable => {
-                    return invalid(format!("edits: {edits} may run again, and edits may not"));
+                    return invalid(format!(
+                        "edits: traffic type {edits} may be repeated freely, but edits must not be"
+                    ));
                 }
                 _ => {}
             }
             if !customers.is_empty() && !customers.contains(&index.customer) {
-                return invalid(format!("customer: no customer {}", index.customer));
+                return invalid(format!("customer: unknown customer {}", index.customer));
             }
             if types.iter().any(|(known, _)| known == name) {
-                return invalid("it is named like a traffic type".into());
+                return invalid("the name is already used by a traffic type".into());
             }
         }
         Ok(Self { all: dialect.indices.clone(), shards, nonce, count: 0 })
@@ -279,7 +284,7 @@
         })
     }
 
-    /// The error for a scan that was rejected without running.
+    /// The error for a rejected scan, which may safely be retried.
     pub fn rejection(&self) -> Fault {
         bounced()
     }
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -93,7 +93,7 @@
         require_settings(readings)?;
         let types: Vec<_> = readings.names("services")?.into_iter().zip(readings.traffic_types()?).collect();
         if let Some((name, _)) = types.iter().find(|(_, kind)| kind.second_step) {
-            return Err(Misread(format!("settings: {name}: a second step is not spoken on sockets")));
+            return Err(Misread(format!("settings: {name}: a second step is not supported over sockets")));
         }
         let mut host = MixerHost::default();
         host.clients = Clients::new(operator.house(), descriptors.clients);
--- a/crates/mixer/tests/sockets.rs
+++ b/crates/mixer/tests/sockets.rs
@@ -312,5 +312,8 @@
     let text = text.replace("\"per_call\":1", "\"per_call\":1,\"fetch_parts\":[3,0]");
     let output = command(&orders_file("second-step", &text)).output().unwrap();
     let says = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(!output.status.success() && says.contains("look: a second step is not spoken"), "{says}");
+    assert!(
+        !output.status.success() && says.contains("look: a second step is not supported over sockets"),
+        "{says}"
+    );
 }
