--- a/crates/mixer/src/routing/event.rs
+++ b/crates/mixer/src/routing/event.rs
@@ -43,7 +43,7 @@
     ScanRequested(ClientId, Ask),
     /// A client asked whether this mixer is ready.
     HealthRequested(ClientId),
-    /// A client that is allowed to asked for this mixer's metrics.
+    /// An authorized client asked for this mixer's metrics.
     MetricsRequested(ClientId),
     /// A client sent a request of the query API.
     QueryRequested(ClientId, Box<Request>),
--- a/crates/mixer/src/routing/query.rs
+++ b/crates/mixer/src/routing/query.rs
@@ -144,7 +144,7 @@
     }
 
     /// Translates a request into a scan, and keeps what the response needs.
-    pub fn to_scan(
+    pub fn build_scan(
         &mut self,
         request: Request,
         types: &[(String, TrafficType)],
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -256,7 +256,7 @@
             }
             What::Root => Ok(root(&self.name)),
             What::Health => Ok(health(self.host.registry.ready_and_total(), self.shards)),
-            _ => match self.indices.to_scan(request, &self.types, request_start) {
+            _ => match self.indices.build_scan(request, &self.types, request_start) {
                 Ok((ask, context)) => return self.open_scan(client, ask, request_start, Some(context)),
                 Err(fault) => Err(fault),
             },
@@ -278,7 +278,7 @@
             let reply = self.host.multi_searches.remove(&client).map(|multi_search| multi_search.reply(now));
             return reply.into_iter().for_each(|reply| self.host.reply(client, reply, false));
         };
-        match self.indices.to_scan(request, &self.types, now) {
+        match self.indices.build_scan(request, &self.types, now) {
             Ok((ask, context)) => self.open_scan(client, ask, now, Some(context)),
             Err(fault) => self.host.reply(client, query::reply(Err(fault), Span::ZERO, None), false),
         }
