--- a/crates/mixer/src/routing/api_equivalence.rs
+++ b/crates/mixer/src/routing/api_equivalence.rs
@@ -40,7 +40,7 @@
     Fix,
 }
 
-/// One scan of a replay: when it is outcomes, its kind, its shards and its key.
+/// One scan of a replay: when it is sent, its kind, its shards and its key.
 #[derive(Clone, Debug)]
 struct ScanLine {
     at: u64,
--- a/crates/mixer/src/routing/tests.rs
+++ b/crates/mixer/src/routing/tests.rs
@@ -705,7 +705,7 @@
 #[test]
 fn searchers_that_come_and_go_leave_no_state_behind() {
     let mut mixer = test_mixer(1);
-    let mut before = 0;
+    let mut most_timers = 0;
     for number in 1..200 {
         let gone = Row { gone: true, ..row(number - 1, false) };
         let changes = if number % 10 == 0 {
@@ -715,16 +715,16 @@
         };
         mixer.feed(Event::DiscoveryUpdated(changes));
         let client = mixer.send_scan(scan_request(&format!("r{number}"), "look", &[0]));
-        let calls = mixer.send_calls().pop().expect("the new searcher gets the part");
-        mixer.answer_part(calls.link, &calls.part_requests[0].id, PartEnd::Honoured, "v");
+        let call = mixer.send_calls().pop().expect("the new searcher gets the part");
+        mixer.answer_part(call.link, &call.part_requests[0].id, PartEnd::Honoured, "v");
         mixer.feed(Event::ClientDisconnected(client));
         mixer.advance(50);
         let host = mixer.state.host();
         assert!(host.registry.len() == 1 && host.pool.links.len() <= 2, "{} links", host.pool.links.len());
-        before = before.max(host.timers.len());
+        most_timers = most_timers.max(host.timers.len());
         mixer.effects.clear();
     }
-    assert!(before < 200, "{before} timers");
+    assert!(most_timers < 200, "{most_timers} timers");
 }
 
 fn invalid_request(what: &str) -> Blame {
