--- a/crates/fronts/src/ids.rs
+++ b/crates/fronts/src/ids.rs
@@ -58,20 +58,20 @@
 }
 
 /// Numbers of the known searchers by name. A number is never reused.
-pub struct SearcherRegistry<K> {
+pub struct SearcherIds<K> {
     numbers: BTreeMap<K, Searcher>,
     names: BTreeMap<Searcher, K>,
     /// How many numbers have been assigned.
     assigned: u32,
 }
 
-impl<K> Default for SearcherRegistry<K> {
+impl<K> Default for SearcherIds<K> {
     fn default() -> Self {
         Self { numbers: BTreeMap::new(), names: BTreeMap::new(), assigned: 0 }
     }
 }
 
-impl<K: Ord + Clone> SearcherRegistry<K> {
+impl<K: Ord + Clone> SearcherIds<K> {
     /// Removes a searcher and returns its number. The name gets a new number if it comes back.
     pub fn remove(&mut self, name: &K) -> Option<Searcher> {
         let number = self.numbers.remove(name)?;
@@ -110,7 +110,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{SearcherRegistry, SlotMap};
+    use super::{SearcherIds, SlotMap};
     use fernglade::Searcher;
 
     #[test]
@@ -124,7 +124,7 @@
 
     #[test]
     fn numbers_are_assigned_in_order_and_never_reused() {
-        let mut searchers = SearcherRegistry::default();
+        let mut searchers = SearcherIds::default();
         assert_eq!(
             (searchers.get_or_assign(&"x"), searchers.get_or_assign(&"y"), searchers.get_or_assign(&"x")),
             (Searcher(0), Searcher(1), Searcher(0))
--- a/crates/fronts/src/lib.rs
+++ b/crates/fronts/src/lib.rs
@@ -4,5 +4,5 @@
 mod ids;
 mod settings;
 
-pub use ids::{SearcherRegistry, SlotMap};
+pub use ids::{SearcherIds, SlotMap};
 pub use settings::{Settings, SettingsError};
--- a/crates/mixer/src/program/identity.rs
+++ b/crates/mixer/src/program/identity.rs
@@ -2,7 +2,7 @@
 
 use super::Orders;
 use crate::protocol::metrics::{bucket_bounds_micros, MixerMetrics, TrafficTypeMetrics};
-use crate::routing::{Figures, Line};
+use crate::routing::{Metrics, TrafficTypeCounts};
 use fernglade_orders::{digest, OperatorConfig};
 use std::cell::{Cell, RefCell};
 use std::net::IpAddr;
@@ -51,8 +51,8 @@
         self.refused.set(true);
     }
 
-    pub fn tells(&self, figures: &Figures) -> MixerMetrics {
-        let of_type = |(name, line): &(String, Line)| TrafficTypeMetrics {
+    pub fn tells(&self, figures: &Metrics) -> MixerMetrics {
+        let of_type = |(name, line): &(String, TrafficTypeCounts)| TrafficTypeMetrics {
             name: name.clone(),
             taken: line.taken,
             served: line.served,
@@ -60,9 +60,9 @@
             failed: line.failed,
             open: line.open,
             cumulative_counts: bucket_bounds_micros()
-                .map(|bound| line.took.count_between(0, bound))
+                .map(|bound| line.latency.count_between(0, bound))
                 .collect(),
-            total_seconds: line.took.mean() * line.served as f64 / 1e6,
+            total_seconds: line.latency.mean() * line.served as f64 / 1e6,
         };
         MixerMetrics {
             version: env!("CARGO_PKG_VERSION").into(),
@@ -73,9 +73,9 @@
             ready: figures.ready,
             settings_refused: self.refused.get(),
             resident_bytes: resident(),
-            searchers_ready: figures.listed,
+            searchers_ready: figures.searchers_listed,
             relays: figures.relays,
-            traffic_types: figures.types.iter().map(of_type).collect(),
+            traffic_types: figures.traffic_types.iter().map(of_type).collect(),
         }
     }
 }
--- a/crates/mixer/src/routing/clients.rs
+++ b/crates/mixer/src/routing/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' connections, and what each is about.
+//! The client connections and their activity.
 
 use super::ClientId;
 use fernglade::{Moment, ScanId, Span};
@@ -8,36 +8,39 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// A request is to be whole so long after its first byte, and a connection's first so long after that came:
-/// clients send theirs in one piece. Whoever connects is owed an answer or a close within three seconds; one
-/// of them is for waiting on the porch.
-pub const HALF_ASKED: Span = Span::of_millis(2_000);
-/// What a client is about.
+/// Time limit for a request from its first byte, and for the first request of a connection from when it was
+/// admitted; clients send a request in one piece. A client is owed an answer or a close within three seconds
+/// of connecting, one of which is reserved for waiting for admission.
+pub const REQUEST_TIMEOUT: Span = Span::of_millis(2_000);
+
+/// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Doing {
+pub enum ClientActivity {
+    /// No request is in progress.
     Idle,
-    /// A request has begun to come, then.
-    Asking(Moment),
-    Waiting(ScanId),
-    /// Its connection ends with what is being written to it.
-    Leaving,
+    /// A request began to arrive at that time.
+    SendingRequest(Moment),
+    /// The client waits for the answer to a scan.
+    AwaitingAnswer(ScanId),
+    /// The connection closes once its pending output is written.
+    Closing,
 }
 
 struct Client {
-    doing: Doing,
-    /// Nothing whole has come from it yet.
+    activity: ClientActivity,
+    /// No complete request has arrived yet.
     new: bool,
-    /// It was sent off. What it had asked by then is answered, and is the last.
-    leaves: bool,
-    /// When it came, if it is new; else when it fell idle or began to ask.
+    /// The connection is being closed. A request that has already arrived is still answered, as the last one.
+    closing: bool,
+    /// When a new client was admitted; otherwise when it became idle or its request began to arrive.
     since: Moment,
 }
 
-/// Who is inside, and what about. Who is let in, and who goes, is the house's to say.
+/// The admitted clients. Admission control decides which clients are admitted and which are closed.
 pub struct Clients {
-    here: BTreeMap<ClientId, Client>,
-    house: AdmissionController,
-    acts: Vec<AdmissionAction>,
+    connected: BTreeMap<ClientId, Client>,
+    admission: AdmissionController,
+    actions: Vec<AdmissionAction>,
 }
 
 impl Default for Clients {
@@ -47,130 +50,148 @@
 }
 
 impl Clients {
-    pub fn new(rules: AdmissionPolicy, most: usize) -> Self {
-        Self { here: BTreeMap::new(), house: AdmissionController::new(rules, most), acts: Vec::new() }
+    /// Creates an empty set with the operator's admission rules.
+    pub fn new(rules: AdmissionPolicy, max_clients: usize) -> Self {
+        Self {
+            connected: BTreeMap::new(),
+            admission: AdmissionController::new(rules, max_clients),
+            actions: Vec::new(),
+        }
     }
 
-    /// A connection was accepted.
-    pub fn knocked(&mut self, client: ClientId, from: IpAddr, now: Moment) {
-        self.acts.extend(self.house.connection_accepted(now, ClientConnectionId(client.0), from));
+    /// Reports an accepted connection to admission control.
+    pub fn accepted(&mut self, client: ClientId, from: IpAddr, now: Moment) {
+        self.actions.extend(self.admission.connection_accepted(now, ClientConnectionId(client.0), from));
     }
 
-    /// It was let in.
-    pub fn came(&mut self, client: ClientId, now: Moment) {
-        self.here.insert(client, Client { doing: Doing::Idle, new: true, leaves: false, since: now });
+    /// Adds a client that was admitted.
+    pub fn admitted(&mut self, client: ClientId, now: Moment) {
+        self.connected
+            .insert(client, Client { activity: ClientActivity::Idle, new: true, closing: false, since: now });
     }
 
-    /// What the house has asked for since it was last asked; whoever is to leave is marked so.
-    pub fn acts(&mut self) -> Vec<AdmissionAction> {
-        let acts = std::mem::take(&mut self.acts);
-        for act in &acts {
-            if let AdmissionAction::Evict(ClientConnectionId(id)) = act {
-                let client = self.here.entry(ClientId(*id));
-                client.and_modify(|client| (client.doing, client.leaves) = (Doing::Leaving, true));
+    /// The actions requested by admission control since the last call. Clients that it closes are marked as
+    /// closing.
+    pub fn take_actions(&mut self) -> Vec<AdmissionAction> {
+        let actions = std::mem::take(&mut self.actions);
+        for action in &actions {
+            if let AdmissionAction::Evict(ClientConnectionId(id)) = action {
+                let client = self.connected.entry(ClientId(*id));
+                client
+                    .and_modify(|client| (client.activity, client.closing) = (ClientActivity::Closing, true));
             }
         }
-        acts
+        actions
     }
 
-    fn stand(&mut self, client: ClientId, doing: Doing, now: Moment) {
-        let standing = match doing {
-            Doing::Idle => Activity::Idle,
-            Doing::Asking(_) => Activity::ReceivingRequest,
-            Doing::Waiting(_) => Activity::ScanOpen,
-            Doing::Leaving => Activity::Closing,
+    fn report_activity(&mut self, client: ClientId, activity: ClientActivity, now: Moment) {
+        let standing = match activity {
+            ClientActivity::Idle => Activity::Idle,
+            ClientActivity::SendingRequest(_) => Activity::ReceivingRequest,
+            ClientActivity::AwaitingAnswer(_) => Activity::ScanOpen,
+            ClientActivity::Closing => Activity::Closing,
         };
-        self.acts.extend(self.house.activity_changed(now, ClientConnectionId(client.0), standing));
+        self.actions.extend(self.admission.activity_changed(now, ClientConnectionId(client.0), standing));
     }
 
+    /// When [`Self::tick`] is next to be called.
     pub fn due(&self, now: Moment) -> Option<Moment> {
-        self.house.next_tick(now)
+        self.admission.next_tick(now)
     }
 
+    /// Lets admission control act on the passage of time.
     pub fn tick(&mut self, now: Moment) {
-        self.acts.extend(self.house.tick(now));
+        self.actions.extend(self.admission.tick(now));
     }
 
-    pub fn ran_short(&mut self, now: Moment) {
-        self.acts.extend(self.house.descriptors_exhausted(now));
+    /// Reports that descriptors or memory ran out.
+    pub fn out_of_resources(&mut self, now: Moment) {
+        self.actions.extend(self.admission.descriptors_exhausted(now));
     }
 
-    pub fn set_most(&mut self, most: usize, now: Moment) {
-        self.acts.extend(self.house.set_capacity(now, most));
+    /// Changes the number of clients that may be connected at once.
+    pub fn set_max_clients(&mut self, max_clients: usize, now: Moment) {
+        self.actions.extend(self.admission.set_capacity(now, max_clients));
     }
 
+    /// Applies changed admission rules of the operator.
     pub fn set_rules(&mut self, rules: AdmissionPolicy, now: Moment) {
-        self.acts.extend(self.house.set_policy(now, rules));
+        self.actions.extend(self.admission.set_policy(now, rules));
     }
 
-    pub fn close(&mut self, now: Moment) {
-        self.acts.extend(self.house.shut_down(now));
+    /// Stops admitting clients for good.
+    pub fn stop_admitting(&mut self, now: Moment) {
+        self.actions.extend(self.admission.shut_down(now));
     }
 
-    /// When those turned away at the door are told to come back, where the operator says so.
-    pub fn come_back(&self) -> Option<Span> {
-        self.house.policy().retry_after
+    /// The retry time told to refused clients, if the operator configured one.
+    pub fn refusal_retry_after(&self) -> Option<Span> {
+        self.admission.policy().retry_after
     }
 
-    pub fn gone(&mut self, client: ClientId, now: Moment) -> Option<Doing> {
-        self.acts.extend(self.house.connection_closed(now, ClientConnectionId(client.0)));
-        self.here.remove(&client).map(|client| client.doing)
+    /// Removes a client, and returns what it was doing.
+    pub fn disconnected(&mut self, client: ClientId, now: Moment) -> Option<ClientActivity> {
+        self.actions.extend(self.admission.connection_closed(now, ClientConnectionId(client.0)));
+        self.connected.remove(&client).map(|client| client.activity)
     }
 
-    /// What it asks counts from `began`, and is to be whole some time from now.
-    pub fn stirred(&mut self, client_id: ClientId, began: Moment, now: Moment) {
-        if let Some(client) = self.here.get_mut(&client_id) {
-            client.doing = Doing::Asking(began);
+    /// Records that a request has been arriving since `started_at`. The time limit to complete it starts now.
+    pub fn request_started(&mut self, client_id: ClientId, started_at: Moment, now: Moment) {
+        if let Some(client) = self.connected.get_mut(&client_id) {
+            client.activity = ClientActivity::SendingRequest(started_at);
             client.since = if client.new { client.since } else { now };
-            self.stand(client_id, Doing::Asking(began), now);
+            self.report_activity(client_id, ClientActivity::SendingRequest(started_at), now);
         }
     }
 
-    /// A whole request has come, or its answer went out.
-    pub fn set(&mut self, client_id: ClientId, doing: Doing, now: Moment) {
-        if let Some(client) = self.here.get_mut(&client_id) {
-            let leaves = client.leaves || doing == Doing::Leaving;
-            *client = Client { doing, new: false, leaves, since: now };
-            self.stand(client_id, doing, now);
+    /// Records that a complete request has arrived or that its answer was sent.
+    pub fn set_activity(&mut self, client_id: ClientId, activity: ClientActivity, now: Moment) {
+        if let Some(client) = self.connected.get_mut(&client_id) {
+            let closing = client.closing || activity == ClientActivity::Closing;
+            *client = Client { activity, new: false, closing, since: now };
+            self.report_activity(client_id, activity, now);
         }
     }
 
-    /// Whether what was to be whole by now, since then, is not.
-    pub fn is_half_asked(&self, client: ClientId, since: Moment) -> bool {
-        let half = |client: &Client| match client.doing {
-            Doing::Idle => client.new,
-            Doing::Asking(_) => true,
-            Doing::Waiting(_) | Doing::Leaving => false,
+    /// Whether the request or the silence that began at `since` has run out of time.
+    pub fn is_request_incomplete(&self, client: ClientId, since: Moment) -> bool {
+        let incomplete = |client: &Client| match client.activity {
+            ClientActivity::Idle => client.new,
+            ClientActivity::SendingRequest(_) => true,
+            ClientActivity::AwaitingAnswer(_) | ClientActivity::Closing => false,
         };
-        self.here.get(&client).is_some_and(|client| client.since == since && half(client))
+        self.connected.get(&client).is_some_and(|client| client.since == since && incomplete(client))
     }
 
+    /// Whether no client is left, neither admitted nor waiting for admission.
     pub fn is_empty(&self) -> bool {
-        self.here.is_empty() && self.house.is_empty()
+        self.connected.is_empty() && self.admission.is_empty()
     }
 
-    /// Whether its connection ends with its answer: it was sent off, or it makes room.
-    pub fn ends_with_answer(&self, client: ClientId, now: Moment) -> bool {
-        let leaves = self.here.get(&client).is_some_and(|client| client.leaves);
-        leaves || self.house.closes_after_response(now, ClientConnectionId(client.0))
+    /// Whether the connection closes after the current answer, because it is being closed anyway or to make
+    /// room.
+    pub fn closes_after_answer(&self, client: ClientId, now: Moment) -> bool {
+        let closing = self.connected.get(&client).is_some_and(|client| client.closing);
+        closing || self.admission.closes_after_response(now, ClientConnectionId(client.0))
     }
 
-    /// Since when a request that is whole now has been coming; none where its client is not here, or waits for
-    /// another.
-    pub fn asking_since(&self, client: ClientId, now: Moment) -> Option<Moment> {
-        match self.here.get(&client)?.doing {
-            Doing::Asking(began) => Some(began),
-            Doing::Idle | Doing::Leaving => Some(now),
-            Doing::Waiting(_) => None,
+    /// When a now complete request began to arrive; `None` if its client is gone or still waits for another
+    /// answer.
+    pub fn request_start(&self, client: ClientId, now: Moment) -> Option<Moment> {
+        match self.connected.get(&client)?.activity {
+            ClientActivity::SendingRequest(started_at) => Some(started_at),
+            ClientActivity::Idle | ClientActivity::Closing => Some(now),
+            ClientActivity::AwaitingAnswer(_) => None,
         }
     }
 
-    /// All idle ones leave, but for the new ones that came later.
-    pub fn send_off_idle(&mut self, by: Moment, now: Moment) -> Vec<ClientId> {
-        let leaves = |client: &Client| client.doing == Doing::Idle && (!client.new || client.since <= by);
+    /// Closes all idle clients except new ones that connected after `by`.
+    pub fn close_idle(&mut self, by: Moment, now: Moment) -> Vec<ClientId> {
+        let closing =
+            |client: &Client| client.activity == ClientActivity::Idle && (!client.new || client.since <= by);
         let idle: Vec<ClientId> =
-            self.here.iter().filter(|(_, client)| leaves(client)).map(|(id, _)| *id).collect();
-        idle.iter().for_each(|client| self.set(*client, Doing::Leaving, now));
+            self.connected.iter().filter(|(_, client)| closing(client)).map(|(id, _)| *id).collect();
+        idle.iter().for_each(|client| self.set_activity(*client, ClientActivity::Closing, now));
         idle
     }
 }
--- a/crates/mixer/src/routing/mod.rs
+++ b/crates/mixer/src/routing/mod.rs
@@ -1,26 +1,27 @@
-//! Where a scan goes, as one state machine: [`reduce`] takes an event and leaves effects. It holds the module
-//! and is its `Host`; it has no sockets, and no clock but the events' time.
+//! Scan routing as a state machine: [`reduce`] takes one event and returns the effects to carry out. It wraps
+//! the routing logic of the `fernglade` crate and implements its `Host` trait. It owns no sockets, and the
+//! time passed in with each event is its only clock.
 
-mod alarms;
 mod clients;
+mod close_reason;
 mod connection_attempts;
-mod desk;
-mod ending;
 mod event;
+mod host;
 mod pool;
 mod query;
-mod roll;
+mod scan_counters;
+mod searcher_registry;
 mod state;
-mod sums;
+mod timers;
 
 #[cfg(test)]
 mod any_order;
 #[cfg(test)]
-mod doors;
+mod api_equivalence;
 #[cfg(test)]
 mod tests;
 
-pub use ending::Ending;
-pub use event::{CallId, ClientId, Effect, Event, Figures, LinkId, Reply, Tongue};
+pub use close_reason::CloseReason;
+pub use event::{CallId, ClientId, Effect, Event, LinkId, Metrics, Reply, SearcherProtocol};
+pub use scan_counters::TrafficTypeCounts;
 pub use state::{reduce, State};
-pub use sums::Line;
--- a/crates/mixer/src/routing/pool.rs
+++ b/crates/mixer/src/routing/pool.rs
@@ -1,7 +1,7 @@
-//! The links to searchers, and the calls on them.
+//! The pool of links to searchers and the calls on them.
 
 use super::connection_attempts::ConnectionAttempts;
-use super::{CallId, LinkId, Tongue};
+use super::{CallId, LinkId, SearcherProtocol};
 use fernglade::decaying_count::DecayingCount;
 use fernglade::mix::mix;
 use fernglade::{Moment, Searcher, Span, Ticket};
@@ -9,224 +9,240 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Where a call stands.
+/// The progress of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Stand {
-    /// Its link is not up yet.
-    Held,
-    /// Handed over to be written.
-    Handed,
-    /// To be taken back, if that is still possible.
-    Recalled,
-    /// Its last byte was written.
-    Out,
+pub enum CallState {
+    /// Its link is not connected yet.
+    AwaitingLink,
+    /// Submitted for writing.
+    Submitted,
+    /// Withdrawal has been requested, which succeeds only if nothing has been written.
+    Withdrawing,
+    /// Its last byte has been written.
+    Written,
 }
 
-/// Takes one place on its link until its last part has landed.
+/// A call on a link. It occupies one slot of the link until the outcome of its last part is known.
 pub struct Call {
     pub parts: Vec<Ticket>,
-    pub stand: Stand,
-    /// When its last byte was written, or it was put on its link.
-    pub left: Moment,
-    /// Ids given up while it could not be taken back.
-    pub given_up: Vec<String>,
+    pub state: CallState,
+    /// When its last byte was written or, before that, when it was assigned to its link.
+    pub sent_at: Moment,
+    /// Ids of parts cancelled after the call was submitted.
+    pub cancelled: Vec<String>,
 }
 
+/// A connection to a searcher.
 pub struct Link {
     pub to: Searcher,
     pub address: SocketAddr,
-    pub tongue: Tongue,
-    pub up: bool,
+    pub protocol: SearcherProtocol,
+    pub connected: bool,
     pub calls: BTreeMap<CallId, Call>,
-    pub checking: bool,
-    /// When anything whole last came over it, if ever.
-    pub heard: Moment,
-    /// Since when a frame has been half said.
-    pub amid: Option<Moment>,
-    /// Since when a frame of ours has been half written.
-    pub half_written: Option<Moment>,
-    /// A part was waited for over it until its time was up, and nothing came all the while.
-    pub mute: bool,
-    /// When a call was last put on it, and how often one was of late, but for the first.
-    used: Option<Moment>,
-    reused: DecayingCount,
-    /// Ids of parts that were given up and may yet be answered, the latest.
-    given_up: VecDeque<String>,
+    pub probing: bool,
+    /// When a complete message last arrived; the default value if none has.
+    pub last_heard: Moment,
+    /// Since when an incoming frame has been incomplete.
+    pub partial_read_since: Option<Moment>,
+    /// Since when an outgoing frame has been partially written.
+    pub partial_write_since: Option<Moment>,
+    /// A part timed out on this link and nothing arrived while it waited. The link gets no new calls.
+    pub unresponsive: bool,
+    /// When a call was last assigned to it, and a decaying count of the calls after the first.
+    last_used: Option<Moment>,
+    reuse_count: DecayingCount,
+    /// Ids of cancelled parts that may still be answered; only the latest are kept.
+    cancelled: VecDeque<String>,
 }
 
-/// A link that was not used for so long is given up first, and over so long its uses are counted.
-const USED_OVER: Span = Span::of_millis(10_000);
+/// Links unused for this long are evicted first. Also the window over which uses are counted.
+const RECENT_USE_WINDOW: Span = Span::of_millis(10_000);
 
-/// A full pool is cleared of this part of the links it may hold.
-const CLEARED_PART: usize = 3;
+/// A full pool evicts up to this fraction (1/n) of its capacity.
+const EVICTION_DIVISOR: usize = 3;
 
-/// Twice what a link of our deployments carries at once; parts that are lost for good push each other out.
-const MOST_GIVEN_UP: usize = 64;
+/// Twice the number of parts a link carries at once in our deployments. Ids of parts that are never answered
+/// push each other out.
+const MAX_CANCELLED_IDS: usize = 64;
 
-/// What an idle link is worth to a pool that has no room for all.
-struct Worth {
+/// How valuable an idle link is when the pool is full.
+struct RetentionValue {
     recent: bool,
-    reused: f64,
-    lot: u64,
+    reuse_count: f64,
+    tie_break: u64,
 }
 
-impl Worth {
+impl RetentionValue {
     fn compare(&self, other: &Self) -> Ordering {
-        let by_use = self.recent.cmp(&other.recent).then(self.reused.total_cmp(&other.reused));
-        by_use.then(self.lot.cmp(&other.lot))
+        let by_usage = self.recent.cmp(&other.recent).then(self.reuse_count.total_cmp(&other.reuse_count));
+        by_usage.then(self.tie_break.cmp(&other.tie_break))
     }
 }
 
 impl Link {
-    fn worth(&self, id: LinkId, now: Moment) -> Worth {
-        Worth {
-            recent: self.used.is_some_and(|at| now.since(at) < USED_OVER),
-            reused: self.reused.at(now, USED_OVER),
-            lot: mix(id.0 ^ now.micros()),
+    fn retention_value(&self, id: LinkId, now: Moment) -> RetentionValue {
+        RetentionValue {
+            recent: self.last_used.is_some_and(|at| now.since(at) < RECENT_USE_WINDOW),
+            reuse_count: self.reuse_count.at(now, RECENT_USE_WINDOW),
+            tie_break: mix(id.0 ^ now.micros()),
         }
     }
 
-    pub fn give_up(&mut self, id: String) {
-        if self.given_up.len() == MOST_GIVEN_UP {
-            self.given_up.pop_front();
+    /// Remembers a cancelled part whose answer may still arrive.
+    pub fn note_cancelled(&mut self, id: String) {
+        if self.cancelled.len() == MAX_CANCELLED_IDS {
+            self.cancelled.pop_front();
         }
-        self.given_up.push_back(id);
+        self.cancelled.push_back(id);
     }
 
-    /// Whether it was waited for here once; its answer is passed over, once.
-    pub fn gave_up(&mut self, id: &str) -> bool {
-        let at = self.given_up.iter().position(|other| other == id);
-        at.and_then(|at| self.given_up.remove(at)).is_some()
+    /// Whether this part was cancelled on this link. Forgets the id, as at most one late answer is ignored.
+    pub fn take_cancelled(&mut self, id: &str) -> bool {
+        let at = self.cancelled.iter().position(|other| other == id);
+        at.and_then(|at| self.cancelled.remove(at)).is_some()
     }
 
-    /// Puts a call on it.
-    pub fn carry(&mut self, id: CallId, call: Call) {
-        if self.used.replace(call.left).is_some() {
-            self.reused.note(call.left, USED_OVER);
+    /// Assigns a call to the link.
+    pub fn add_call(&mut self, id: CallId, call: Call) {
+        if self.last_used.replace(call.sent_at).is_some() {
+            self.reuse_count.note(call.sent_at, RECENT_USE_WINDOW);
         }
         self.calls.insert(id, call);
     }
 
+    /// Whether neither calls nor a health probe are outstanding.
     pub fn is_idle(&self) -> bool {
-        self.calls.is_empty() && !self.checking
+        self.calls.is_empty() && !self.probing
     }
 
-    pub fn heard(&mut self, now: Moment) {
-        (self.heard, self.mute) = (now, false);
+    /// Records that a complete message arrived.
+    pub fn note_received(&mut self, now: Moment) {
+        (self.last_heard, self.unresponsive) = (now, false);
     }
 }
 
-/// Bounded by the descriptors set aside for it.
+/// All links of this mixer, bounded by the descriptors reserved for them.
 #[derive(Default)]
-pub struct Pool {
+pub struct LinkPool {
     pub links: BTreeMap<LinkId, Link>,
-    /// Let go, and not over yet: they hold a descriptor until they are.
+    /// Links being closed; they hold a descriptor until they are.
     pub closing: BTreeSet<LinkId>,
     pub attempts: ConnectionAttempts,
-    /// Calls that a link carries at once, and parts that a call holds.
-    pub per_link: usize,
-    pub per_call: usize,
-    pub most: usize,
-    count: u64,
+    /// Calls that a link carries at once, and parts that a call carries.
+    pub max_calls_per_link: usize,
+    pub max_parts_per_call: usize,
+    /// Limit on links and hedged connection attempts.
+    pub max_links: usize,
+    last_id: u64,
 }
 
-impl Pool {
-    pub fn number(&mut self) -> u64 {
-        self.count += 1;
-        self.count
+impl LinkPool {
+    /// A new id for a link or a call.
+    pub fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    /// The link that has room for one more call: one that is up before one that is not, and of these the one
-    /// that has served longest, so that the others can fall idle.
-    pub fn with_room(&self, to: Searcher, address: SocketAddr) -> Option<LinkId> {
-        let most = |link: &Link| match link.tongue {
-            Tongue::Frames => self.per_link,
-            // Answers come in the order of questions: one at a time, or a slow one would hold up the next.
-            Tongue::Dialect => 1,
+    /// A link with room for one more call. Prefers connected links, and among these the oldest, so that the
+    /// others can become idle.
+    pub fn find_available(&self, to: Searcher, address: SocketAddr) -> Option<LinkId> {
+        let max_calls = |link: &Link| match link.protocol {
+            SearcherProtocol::Frames => self.max_calls_per_link,
+            // Responses arrive in the order of the requests, so a slow one would block the next.
+            SearcherProtocol::QueryApi => 1,
         };
-        let fits = |link: &Link| {
-            link.calls.len() < most(link) && link.amid.is_none() && link.half_written.is_none() && !link.mute
+        let has_capacity = |link: &Link| {
+            link.calls.len() < max_calls(link)
+                && link.partial_read_since.is_none()
+                && link.partial_write_since.is_none()
+                && !link.unresponsive
         };
-        self.of(to, address).filter(|(_, link)| fits(link)).min_by_key(|(_, link)| !link.up).map(|(id, _)| id)
+        self.links_to(to, address)
+            .filter(|(_, link)| has_capacity(link))
+            .min_by_key(|(_, link)| !link.connected)
+            .map(|(id, _)| id)
     }
 
-    pub fn any(&self, to: Searcher, address: SocketAddr) -> Option<LinkId> {
-        self.of(to, address).filter(|(_, link)| !link.mute).map(|(id, _)| id).next()
+    /// Any link to a searcher that isn't known to be unresponsive.
+    pub fn find_responsive(&self, to: Searcher, address: SocketAddr) -> Option<LinkId> {
+        self.links_to(to, address).filter(|(_, link)| !link.unresponsive).map(|(id, _)| id).next()
     }
 
-    /// Takes out a searcher's links that owe the answer to a check and nothing else.
-    pub fn drop_mute(&mut self, of: Searcher) -> Vec<LinkId> {
-        let owes = |link: &mut Link| link.to == of && std::mem::take(&mut link.checking);
-        let mute = self.links.extract_if(.., |_, link| owes(link) && link.is_idle());
-        let mute: Vec<LinkId> = mute.map(|(id, _)| id).collect();
-        self.closing.extend(&mute);
-        mute
+    /// Removes a searcher's links that have only an unanswered health probe outstanding.
+    pub fn remove_unanswered_probes(&mut self, searcher: Searcher) -> Vec<LinkId> {
+        let owes_probe = |link: &mut Link| link.to == searcher && std::mem::take(&mut link.probing);
+        let unresponsive = self.links.extract_if(.., |_, link| owes_probe(link) && link.is_idle());
+        let unresponsive: Vec<LinkId> = unresponsive.map(|(id, _)| id).collect();
+        self.closing.extend(&unresponsive);
+        unresponsive
     }
 
-    /// The links to a searcher at its present address.
-    fn of(&self, to: Searcher, address: SocketAddr) -> impl Iterator<Item = (LinkId, &Link)> {
-        let here = move |link: &Link| link.to == to && link.address == address;
-        self.links.iter().filter(move |(_, link)| here(link)).map(|(id, link)| (*id, link))
+    /// The links to a searcher at its current address.
+    fn links_to(&self, to: Searcher, address: SocketAddr) -> impl Iterator<Item = (LinkId, &Link)> {
+        let matches = move |link: &Link| link.to == to && link.address == address;
+        self.links.iter().filter(move |(_, link)| matches(link)).map(|(id, link)| (*id, link))
     }
 
-    /// Descriptors held by links, those that close and further attempts included.
-    pub fn held(&self) -> usize {
-        self.links.len() + self.closing.len() + self.attempts.beside()
+    /// Descriptors in use by links, including closing ones, and by hedged connection attempts.
+    pub fn descriptors_in_use(&self) -> usize {
+        self.links.len() + self.closing.len() + self.attempts.hedges_in_flight()
     }
 
+    /// Whether the limit on links is reached.
     pub fn is_full(&self) -> bool {
-        self.links.len() + self.attempts.beside() >= self.most
+        self.links.len() + self.attempts.hedges_in_flight() >= self.max_links
     }
 
-    /// A further link, where descriptors are left for one.
-    pub fn open(&mut self, to: Searcher, address: SocketAddr, tongue: Tongue) -> Option<LinkId> {
+    /// Opens another link if the limit allows it.
+    pub fn open(&mut self, to: Searcher, address: SocketAddr, protocol: SearcherProtocol) -> Option<LinkId> {
         if self.is_full() {
             return None;
         }
-        let id = LinkId(self.number());
+        let id = LinkId(self.next_id());
         let link = Link {
             to,
             address,
-            tongue,
-            up: false,
+            protocol,
+            connected: false,
             calls: BTreeMap::new(),
-            checking: false,
-            heard: Moment::default(),
-            amid: None,
-            half_written: None,
-            mute: false,
-            used: None,
-            reused: DecayingCount::default(),
-            given_up: VecDeque::new(),
+            probing: false,
+            last_heard: Moment::default(),
+            partial_read_since: None,
+            partial_write_since: None,
+            unresponsive: false,
+            last_used: None,
+            reuse_count: DecayingCount::default(),
+            cancelled: VecDeque::new(),
         };
         self.links.insert(id, link);
         Some(id)
     }
 
-    /// Takes out the idle links that are worth least, up to a part of what the pool may hold; none where it is not
-    /// full. First go those that have not been used for long, then any that were never used again, then those used
-    /// again least. Guards against a mixer that needs more searchers than it may hold links to: were all idle links
-    /// let go of, or the longest idle first, searchers that are needed by turns would each lose their link before
-    /// their next turn, and every call would be dialled for. Those never used again go by lot, as nobody knows which
-    /// of them will be: in any fixed order links that nobody needs any more would keep out those that are needed.
-    /// Hurts a searcher that has just begun to be needed, by a few dials.
-    pub fn make_room(&mut self, now: Moment) -> Vec<LinkId> {
+    /// Evicts the least valuable idle links, up to a fraction of the capacity, if the pool is full. Links
+    /// unused for long go first, then links used only once, then the least reused ones. This serves a mixer
+    /// that calls more searchers than it can hold links to: evicting all idle links, or the least recently
+    /// used first, would drop the link of each searcher called in turn just before its next turn, and every
+    /// call would need a new connection. Links used only once are evicted in random order, because nobody
+    /// knows which will be used again; in any fixed order links no longer needed would keep out those that
+    /// are. The cost is a few extra dials to a searcher that has only just come into use.
+    pub fn evict_idle(&mut self, now: Moment) -> Vec<LinkId> {
         if !self.is_full() {
             return Vec::new();
         }
         let idle = self.links.iter().filter(|(_, link)| link.is_idle());
-        let mut idle: Vec<(Worth, LinkId)> = idle.map(|(id, link)| (link.worth(*id, now), *id)).collect();
+        let mut idle: Vec<(RetentionValue, LinkId)> =
+            idle.map(|(id, link)| (link.retention_value(*id, now), *id)).collect();
         idle.sort_by(|a, b| a.0.compare(&b.0));
-        idle.truncate(self.most.div_ceil(CLEARED_PART));
-        let cleared: Vec<LinkId> = idle.into_iter().map(|(_, id)| id).collect();
-        cleared.iter().for_each(|id| drop(self.links.remove(id)));
-        self.closing.extend(&cleared);
-        cleared
+        idle.truncate(self.max_links.div_ceil(EVICTION_DIVISOR));
+        let evicted: Vec<LinkId> = idle.into_iter().map(|(_, id)| id).collect();
+        evicted.iter().for_each(|id| drop(self.links.remove(id)));
+        self.closing.extend(&evicted);
+        evicted
     }
 
-    /// Takes out the links on which nothing is going on.
-    pub fn drop_idle(&mut self, of: impl Fn(&Link) -> bool) -> Vec<LinkId> {
-        let idle = self.links.extract_if(.., |_, link| link.is_idle() && of(link));
+    /// Removes matching links on which nothing is outstanding.
+    pub fn remove_idle(&mut self, matches: impl Fn(&Link) -> bool) -> Vec<LinkId> {
+        let idle = self.links.extract_if(.., |_, link| link.is_idle() && matches(link));
         let idle: Vec<LinkId> = idle.map(|(id, _)| id).collect();
         self.closing.extend(&idle);
         idle
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -1,12 +1,12 @@
-//! The one place where state changes.
-
-use super::alarms::Alarm;
-use super::clients::{Clients, Doing, HALF_ASKED};
-use super::desk::{Desk, Open};
-use super::pool::Stand;
-use super::query::{self, Batch, Held, Indices};
-use super::sums::{Left, Sums};
-use super::{ClientId, Effect, Ending, Event, Figures, LinkId, Reply, Tongue};
+//! The state of the mixer, and [`reduce`], the only function that changes it.
+
+use super::clients::{ClientActivity, Clients, REQUEST_TIMEOUT};
+use super::host::{MixerHost, OpenScan};
+use super::pool::CallState;
+use super::query::{self, Indices, MultiSearch, QueryContext};
+use super::scan_counters::{ScanCounters, ScanOutcome};
+use super::timers::Timer;
+use super::{ClientId, CloseReason, Effect, Event, LinkId, Metrics, Reply, SearcherProtocol};
 use crate::protocol::discovery::ListUpdate;
 use crate::protocol::frames::PartOutcome;
 use crate::protocol::scans::{RequestError, ScanRequest, PART_OVERHEAD_BYTES};
@@ -22,42 +22,49 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// After a stop is asked for, clients go on coming for 0.4 s at most (PROTOCOL.md); what comes later than
-/// 0.7 s is nobody's.
-const DOOR_OPEN: Span = Span::of_millis(600);
-/// Who stood outside when the door was shut has so long to ask.
-const LAST_CALL: Span = Span::of_millis(50);
+/// How long clients are still accepted after a shutdown request. New clients may arrive for up to 0.4 s
+/// (PROTOCOL.md); clients that arrive after 0.7 s need not be served.
+const ACCEPT_GRACE: Span = Span::of_millis(600);
+/// How long clients from the listen backlog have to send a request once the listener is closed.
+const BACKLOG_GRACE: Span = Span::of_millis(50);
 
-/// An attempt may begin 0.1 s after its client has gone, and tell 0.15 s more than is left (the operators' terms).
-const HALF_WRITTEN: Span = Span::of_millis(100);
+/// How long a frame may stay partially written. The operators' terms let an attempt start at most 0.1 s after
+/// its client has gone, and claim at most 0.15 s more than the time left.
+const PARTIAL_WRITE_TIMEOUT: Span = Span::of_millis(100);
 
-/// Who has just come is about to ask.
-const SETTLING: Span = Span::of_millis(100);
+/// How long a newly admitted client counts as about to send a request.
+const NEW_CLIENT_GRACE: Span = Span::of_millis(100);
 
+/// The complete state of one mixer.
 pub struct State {
     mixer: Mixer,
-    desk: Desk,
+    host: MixerHost,
     types: Vec<(String, TrafficType)>,
     customers: Vec<String>,
     shards: u32,
     indices: Indices,
     name: String,
-    /// Scans and parts that may be open at once.
-    most_held: usize,
-    /// No client comes any more, none that is idle stays, and what is asked now finds nobody who will be here to
-    /// answer it: whoever stops us waits for what came before (PROTOCOL.md).
-    last_call: bool,
-    /// How often the watch broke since discovery last answered.
-    broke: u32,
+    /// Maximum number of scans and parts open at once.
+    max_open_items: usize,
+    /// Set once the backlog grace is over: no client arrives any more, idle clients are closed, and new scans
+    /// are rejected because the process may be gone before they are answered. The supervisor waits only for
+    /// requests that came before (PROTOCOL.md).
+    draining: bool,
+    /// Failed discovery requests since discovery last answered.
+    watch_failures: u32,
     descriptors: DescriptorBudget,
-    /// When the door is next to be looked after.
-    door_due: Option<Moment>,
-    /// When those who are turned away at the door are to come back, where the platform lets us say so.
-    come_back: Span,
+    /// When admission control next has something to do.
+    admission_due: Option<Moment>,
+    /// The retry time sent to refused clients; zero where the platform doesn't allow sending one.
+    refusal_retry_after: Span,
 }
 
-/// What this mixer does as one of its fleet, as far as the operator wants it.
-fn as_one(readings: &Settings, seed: u64, operator: &OperatorConfig) -> Result<FleetPolicy, SettingsError> {
+/// The policies that act on the load of the whole fleet of mixers, as far as the operator enables them.
+fn fleet_policies(
+    readings: &Settings,
+    seed: u64,
+    operator: &OperatorConfig,
+) -> Result<FleetPolicy, SettingsError> {
     let fleet = readings.number("fleet_size", 1.0)?.max(1.0);
     Ok(FleetPolicy {
         load_shedder: operator.sheds_fleet_wide().then(LoadShedder::default),
@@ -66,18 +73,20 @@
     })
 }
 
-/// What no deployment leaves out, and without which each scan would fail for no reason that anybody sees.
-fn has_what_it_needs(readings: &Settings) -> Result<(), SettingsError> {
-    let fixed =
+/// Checks the settings that every deployment must state; without them each scan would fail for no visible
+/// reason.
+fn require_settings(readings: &Settings) -> Result<(), SettingsError> {
+    let global =
         ["tick", "limits.dial_timeout", "family_info.cells", "family_info.width", "family_info.slabs"];
-    fixed.into_iter().chain(["services.count"]).try_for_each(|path| readings.require_positive(path))?;
-    let of = |at: usize| ["aim", "give_up"].map(|name| format!("services.{at}.{name}"));
+    global.into_iter().chain(["services.count"]).try_for_each(|path| readings.require_positive(path))?;
+    let of_service = |at: usize| ["aim", "give_up"].map(|name| format!("services.{at}.{name}"));
     (0..readings.object_names("services")?.len())
-        .flat_map(of)
+        .flat_map(of_service)
         .try_for_each(|path| readings.require_positive(&path))
 }
 
 impl State {
+    /// Builds the state from the settings and the operator's file.
     pub fn new(
         readings: &Settings,
         seed: u64,
@@ -85,162 +94,170 @@
         operator: &OperatorConfig,
         name: &str,
     ) -> Result<Self, SettingsError> {
-        has_what_it_needs(readings)?;
+        require_settings(readings)?;
         let types: Vec<_> =
             readings.object_names("services")?.into_iter().zip(readings.traffic_types()?).collect();
         if let Some((name, _)) = types.iter().find(|(_, kind)| kind.second_step) {
-            return Err(SettingsError(format!("settings: {name}: a second step is not spoken on sockets")));
-        }
-        let mut desk = Desk::default();
-        desk.clients = Clients::new(operator.admission_rules(), descriptors.client_connections);
-        desk.roll.dialect = operator.dialect().clone();
-        desk.may_call_off = readings.is_true("limits.cancel");
-        desk.dial_within = readings.span("limits.dial_timeout")?;
-        desk.pool.most = descriptors.searcher_connections.max(1);
-        desk.pool.per_link = readings.number("limits.multiplex", 1.0)?.max(1.0) as usize;
-        desk.pool.per_call = readings.number("family_info.per_call", 1.0)?.max(1.0) as usize;
+            return Err(SettingsError(format!(
+                "settings: {name}: a second step is not supported over sockets"
+            )));
+        }
+        let mut host = MixerHost::default();
+        host.clients = Clients::new(operator.admission_rules(), descriptors.client_connections);
+        host.registry.query_api = operator.dialect().clone();
+        host.may_cancel = readings.is_true("limits.cancel");
+        host.dial_timeout = readings.span("limits.dial_timeout")?;
+        host.pool.max_links = descriptors.searcher_connections.max(1);
+        host.pool.max_calls_per_link = readings.number("limits.multiplex", 1.0)?.max(1.0) as usize;
+        host.pool.max_parts_per_call = readings.number("family_info.per_call", 1.0)?.max(1.0) as usize;
         let areas = readings.string_list("areas");
-        desk.roll.dear_outside =
+        host.registry.costly_outside_zone =
             readings.home_zone()?.map(|zone| areas.get(usize::from(zone)).cloned().unwrap_or_default());
-        let says = readings.is_true("limits.retry_after");
-        let come_back = if says { readings.span("limits.max_retry_after")? } else { Span::ZERO };
+        let may_tell = readings.is_true("limits.retry_after");
+        let refusal_retry_after =
+            if may_tell { readings.span("limits.max_retry_after")? } else { Span::ZERO };
         let (customers, shards) =
             (readings.object_names("customers")?, readings.number("family_info.slabs", 0.0)? as u32);
         let indices =
             Indices::new(operator.dialect(), &types, &customers, shards, seed).map_err(SettingsError)?;
         if operator.exposes_metrics() {
-            desk.sums = Sums::of(types.len());
+            host.counters = ScanCounters::for_traffic_types(types.len());
         }
         let mut mixer = readings.build_mixer(seed)?;
         mixer.beside_queue = operator.probes_bypass_queue();
-        mixer.join(Box::new(as_one(readings, seed, operator)?));
+        mixer.join(Box::new(fleet_policies(readings, seed, operator)?));
         Ok(Self {
             mixer,
-            desk,
+            host,
             types,
             customers,
             shards,
             indices,
             name: name.into(),
-            most_held: readings.number("limits.max_open", 20_000.0)? as usize,
-            last_call: false,
-            broke: 0,
+            max_open_items: readings.number("limits.max_open", 20_000.0)? as usize,
+            draining: false,
+            watch_failures: 0,
             descriptors,
-            door_due: None,
-            come_back,
+            admission_due: None,
+            refusal_retry_after,
         })
     }
 
     fn is_ready(&self) -> bool {
-        self.desk.roll.any_ready() && !self.desk.stopping && self.mixer.takes_scans(self.desk.now)
+        self.host.registry.any_ready() && !self.host.shutting_down && self.mixer.takes_scans(self.host.now)
     }
 
-    /// What it tells of itself, but for what only the program knows.
-    fn figures(&self) -> Figures {
+    /// The metrics known here; the program adds those of the process.
+    fn metrics(&self) -> Metrics {
         let names = self.types.iter().map(|(name, _)| name.clone());
-        Figures {
+        Metrics {
             ready: self.is_ready(),
-            listed: self.desk.roll.ready_and_listed().0 as u64,
-            relays: self.desk.sums.relays,
-            types: names.zip(self.desk.sums.lines().iter().cloned()).collect(),
+            searchers_listed: self.host.registry.ready_and_total().0 as u64,
+            relays: self.host.counters.relays,
+            traffic_types: names.zip(self.host.counters.by_traffic_type().iter().cloned()).collect(),
         }
     }
 
-    /// The list as it was last had, and the first watch.
+    /// Starts from the list of searchers known from an earlier run, and issues the first discovery request.
     pub fn begin(&mut self, known: &ListUpdate, discovery: SocketAddr, now: Moment) -> Vec<Effect> {
-        self.desk.now = now;
-        let listings = self.desk.roll.take(known);
-        self.mixer.remembered(&mut self.desk, &listings);
-        self.desk.keep_drains();
-        self.desk.roll.move_to(discovery);
-        self.mixer.watch(&mut self.desk, 0);
-        self.settle()
+        self.host.now = now;
+        let listings = self.host.registry.apply(known);
+        self.mixer.remembered(&mut self.host, &listings);
+        self.host.release_unready_links();
+        self.host.registry.move_to(discovery);
+        self.mixer.watch(&mut self.host, 0);
+        self.process_pending()
     }
 
+    /// The host, for inspection by tests.
     #[cfg(test)]
-    pub fn desk(&self) -> &Desk {
-        &self.desk
+    pub fn host(&self) -> &MixerHost {
+        &self.host
     }
 
-    /// Lets what has landed be heard, until nothing is left to say, and gives what is to be done.
-    fn settle(&mut self) -> Vec<Effect> {
+    /// Passes finished relays and probes to the routing logic until nothing is pending, and returns the
+    /// effects.
+    fn process_pending(&mut self) -> Vec<Effect> {
         loop {
-            if let Some((ticket, how, took)) = self.desk.landed.pop_front() {
-                self.mixer.landed(&mut self.desk, ticket, how, took);
-            } else if let Some((searcher, there)) = self.desk.checked.pop_front() {
-                self.mixer.checked(&mut self.desk, searcher, there);
-            } else if let Some(client) = self.desk.going_on.pop_front() {
-                self.go_on(client);
-            } else if !self.desk.place_all() {
+            if let Some((ticket, landing, took)) = self.host.landed.pop_front() {
+                self.mixer.landed(&mut self.host, ticket, landing, took);
+            } else if let Some((searcher, healthy)) = self.host.probe_results.pop_front() {
+                self.mixer.checked(&mut self.host, searcher, healthy);
+            } else if let Some(client) = self.host.resumable.pop_front() {
+                self.resume_multi_search(client);
+            } else if !self.host.assign_relays() {
                 break;
             }
         }
-        self.mind_door();
-        let desk = &mut self.desk;
-        desk.effects.extend(desk.alarms.changed().map(Effect::Alarm));
-        std::mem::take(&mut desk.effects)
+        self.update_admission();
+        let host = &mut self.host;
+        host.effects.extend(host.timers.changed_deadline().map(Effect::SetTimer));
+        std::mem::take(&mut host.effects)
     }
 
-    /// Carries out what the house asks for, until it asks for nothing more.
-    fn mind_door(&mut self) {
-        let now = self.desk.now;
-        let places = self.descriptors.client_limit(self.desk.pool.held());
-        self.desk.clients.set_most(places, now);
-        for act in self.desk.clients.acts() {
+    /// Carries out the actions that admission control has requested since it was last asked.
+    fn update_admission(&mut self) {
+        let now = self.host.now;
+        let places = self.descriptors.client_limit(self.host.pool.descriptors_in_use());
+        self.host.clients.set_max_clients(places, now);
+        for act in self.host.clients.take_actions() {
             match act {
-                AdmissionAction::Admit(ClientConnectionId(id)) => self.enter(ClientId(id)),
+                AdmissionAction::Admit(ClientConnectionId(id)) => self.admit(ClientId(id)),
                 AdmissionAction::Reject(ClientConnectionId(id), _) => {
-                    let pause = self.desk.clients.come_back().unwrap_or(self.come_back);
-                    self.desk.effects.push(Effect::TurnAway(ClientId(id), pause));
+                    let retry_after =
+                        self.host.clients.refusal_retry_after().unwrap_or(self.refusal_retry_after);
+                    self.host.effects.push(Effect::RefuseClient(ClientId(id), retry_after));
                 }
                 AdmissionAction::Evict(ClientConnectionId(id)) => {
-                    self.desk.effects.push(Effect::Dismiss(ClientId(id)))
+                    self.host.effects.push(Effect::CloseClient(ClientId(id)))
                 }
-                AdmissionAction::SetAccepting(open) => self.desk.effects.push(Effect::Door(open)),
+                AdmissionAction::SetAccepting(open) => self.host.effects.push(Effect::SetAccepting(open)),
             }
         }
-        let due = self.desk.clients.due(now);
-        if let Some(at) = due.filter(|at| self.door_due.is_none_or(|set| *at < set || set <= now)) {
-            self.door_due = Some(at);
-            self.desk.alarms.set(at, Alarm::Door(at));
+        let due = self.host.clients.due(now);
+        if let Some(at) = due.filter(|at| self.admission_due.is_none_or(|set| *at < set || set <= now)) {
+            self.admission_due = Some(at);
+            self.host.timers.set(at, Timer::AdmissionDue(at));
         }
     }
 
-    fn enter(&mut self, client: ClientId) {
-        let now = self.desk.now;
-        self.desk.clients.came(client, now);
-        self.desk.effects.push(Effect::LetIn(client));
-        self.await_whole(client, now);
+    fn admit(&mut self, client: ClientId) {
+        let now = self.host.now;
+        self.host.clients.admitted(client, now);
+        self.host.effects.push(Effect::AdmitClient(client));
+        self.start_request_timeout(client, now);
     }
 
-    fn hear(&mut self, news: &ListUpdate) {
-        let listings = self.desk.roll.take(news);
-        self.mixer.listed(&mut self.desk, news.is_full, &listings);
-        self.desk.keep_drains();
+    fn apply_discovery(&mut self, news: &ListUpdate) {
+        let listings = self.host.registry.apply(news);
+        self.mixer.listed(&mut self.host, news.is_full, &listings);
+        self.host.release_unready_links();
     }
 
-    fn asked(&mut self, client: ClientId, ask: ScanRequest) {
-        let Some(began) = self.desk.clients.asking_since(client, self.desk.now) else { return };
-        self.open(client, ask, began, None);
+    fn scan_requested(&mut self, client: ClientId, ask: ScanRequest) {
+        let Some(request_start) = self.host.clients.request_start(client, self.host.now) else { return };
+        self.open_scan(client, ask, request_start, None);
     }
 
-    /// The same in the query dialect: it becomes the same scan.
-    fn queried(&mut self, client: ClientId, request: Request) {
-        let Some(began) = self.desk.clients.asking_since(client, self.desk.now) else { return };
+    /// Handles a request of the query API; searches and edits become the same kind of scan.
+    fn query_requested(&mut self, client: ClientId, request: Request) {
+        let Some(request_start) = self.host.clients.request_start(client, self.host.now) else { return };
         let opaque = request.opaque.clone();
-        let told = match request.what {
+        let result = match request.what {
             What::Many { index, lines } => {
-                self.desk.batches.insert(client, Batch::new(index, lines, opaque, began));
-                return self.go_on(client);
+                self.host
+                    .multi_searches
+                    .insert(client, MultiSearch::new(index, lines, opaque, request_start));
+                return self.resume_multi_search(client);
             }
             What::Nodes { json } => {
-                let rows: Vec<_> = self.desk.roll.rows().collect();
-                return self.tell_table(client, &["name", "address", "state", "speaks"], rows, json);
+                let rows: Vec<_> = self.host.registry.rows().collect();
+                return self.reply_with_table(client, &["name", "address", "state", "speaks"], rows, json);
             }
             What::Shards { json } => {
-                let state = if self.desk.roll.any_ready() { "STARTED" } else { "UNASSIGNED" };
+                let state = if self.host.registry.any_ready() { "STARTED" } else { "UNASSIGNED" };
                 let row = |shard: u32| vec![shard.to_string(), state.to_string()];
-                return self.tell_table(
+                return self.reply_with_table(
                     client,
                     &["shard", "state"],
                     (0..self.shards).map(row).collect(),
@@ -248,71 +265,90 @@
                 );
             }
             What::Root => Ok(root(&self.name)),
-            What::Health => Ok(health(self.desk.roll.ready_and_listed(), self.shards)),
-            _ => match self.indices.ask(request, &self.types, began) {
-                Ok((ask, held)) => return self.open(client, ask, began, Some(held)),
+            What::Health => Ok(health(self.host.registry.ready_and_total(), self.shards)),
+            _ => match self.indices.build_scan(request, &self.types, request_start) {
+                Ok((ask, context)) => return self.open_scan(client, ask, request_start, Some(context)),
                 Err(fault) => Err(fault),
             },
         };
-        self.desk.reply(client, query::reply(told, Span::ZERO, opaque), false);
+        self.host.reply(client, query::reply(result, Span::ZERO, opaque), false);
     }
 
-    fn tell_table(&mut self, client: ClientId, names: &[&str], rows: Vec<Vec<String>>, json: bool) {
+    fn reply_with_table(&mut self, client: ClientId, names: &[&str], rows: Vec<Vec<String>>, json: bool) {
         let body = table(names, &rows, json);
-        let reply = Reply::Dialect { status: 200, body, pause: Span::ZERO, opaque: None };
-        self.desk.reply(client, reply, false);
+        let reply = Reply::QueryApi { status: 200, body, retry_after: Span::ZERO, opaque_id: None };
+        self.host.reply(client, reply, false);
     }
 
-    /// The next scan of a request that holds several, or their answer once all have ended.
-    fn go_on(&mut self, client: ClientId) {
-        let now = self.desk.now;
-        let Some(batch) = self.desk.batches.get_mut(&client) else { return };
-        let Some(request) = batch.next() else {
-            let reply = self.desk.batches.remove(&client).map(|batch| batch.reply(now));
-            return reply.into_iter().for_each(|reply| self.desk.reply(client, reply, false));
+    /// Opens the next scan of a multi-search request, or answers it once all of its scans have ended.
+    fn resume_multi_search(&mut self, client: ClientId) {
+        let now = self.host.now;
+        let Some(multi_search) = self.host.multi_searches.get_mut(&client) else { return };
+        let Some(request) = multi_search.next() else {
+            let reply = self.host.multi_searches.remove(&client).map(|multi_search| multi_search.reply(now));
+            return reply.into_iter().for_each(|reply| self.host.reply(client, reply, false));
         };
-        match self.indices.ask(request, &self.types, now) {
-            Ok((ask, held)) => self.open(client, ask, now, Some(held)),
-            Err(fault) => self.desk.reply(client, query::reply(Err(fault), Span::ZERO, None), false),
+        match self.indices.build_scan(request, &self.types, now) {
+            Ok((ask, context)) => self.open_scan(client, ask, now, Some(context)),
+            Err(fault) => self.host.reply(client, query::reply(Err(fault), Span::ZERO, None), false),
         }
     }
 
-    fn open(&mut self, client: ClientId, mut ask: ScanRequest, began: Moment, query: Option<Held>) {
-        // A name of ours that somebody's request has taken by chance or malice gives way.
-        while query.is_some() && self.desk.names.contains(&ask.request_id) {
+    fn open_scan(
+        &mut self,
+        client: ClientId,
+        mut ask: ScanRequest,
+        request_start: Moment,
+        query: Option<QueryContext>,
+    ) {
+        // Choose another name if a client's scan already uses the generated one, by chance or on purpose.
+        while query.is_some() && self.host.open_names.contains(&ask.request_id) {
             ask.request_id.push('x');
         }
-        let scan = match self.taken(&ask, began) {
+        let scan = match self.validate(&ask, request_start) {
             Ok(scan) => scan,
             Err(blame) => {
                 let reply = match query {
-                    Some(held) => query::reply(Err(query::fault_of(blame)), Span::ZERO, held.opaque()),
-                    None => Reply::Refusal(blame),
+                    Some(context) => {
+                        query::reply(Err(query::fault_from_blame(blame)), Span::ZERO, context.opaque_id())
+                    }
+                    None => Reply::InvalidRequest(blame),
                 };
-                return self.desk.reply(client, reply, false);
+                return self.host.reply(client, reply, false);
             }
         };
         let parts: Vec<_> = ask.parts.iter().map(|part| (part.shard, None)).collect();
-        self.desk.held += 1 + parts.len();
-        let (name, lost) = (ask.request_id.clone(), vec![None; parts.len()]);
-        let asked = query.as_ref().and_then(|held| held.asked(&ask.text)).map(Rc::new);
+        self.host.open_items += 1 + parts.len();
+        let (name, last_failures) = (ask.request_id.clone(), vec![None; parts.len()]);
+        let node_request = query.as_ref().and_then(|context| context.node_request(&ask.text)).map(Rc::new);
         let (label, text) = (ask.idempotency_key, ask.text.into());
-        let (traffic_type, since) = (scan.traffic_type, began);
-        let open =
-            Open { client, name, label, text, traffic_type, since, parts, lost, size: 0, query, asked };
-        self.desk.sums.taken(traffic_type);
-        let id = self.desk.scans.insert(open);
-        self.desk.names.insert(ask.request_id);
-        self.desk.clients.set(client, Doing::Waiting(id), self.desk.now);
-        // The bench turns such scans away before they reach a mixer; here they come this far.
-        if self.desk.held > self.most_held || self.last_call {
-            return self.mixer.turn_away(&mut self.desk, id);
-        }
-        self.mixer.taken(&mut self.desk, id, scan);
-    }
-
-    /// The scan in the module's terms, if it makes sense here.
-    fn taken(&self, ask: &ScanRequest, began: Moment) -> Result<ScanTaken, RequestError> {
+        let (traffic_type, started_at) = (scan.traffic_type, request_start);
+        let open = OpenScan {
+            client,
+            name,
+            label,
+            text,
+            traffic_type,
+            started_at,
+            parts,
+            last_failures,
+            answer_bytes: 0,
+            query,
+            node_request,
+        };
+        self.host.counters.scan_accepted(traffic_type);
+        let id = self.host.scans.insert(open);
+        self.host.open_names.insert(ask.request_id);
+        self.host.clients.set_activity(client, ClientActivity::AwaitingAnswer(id), self.host.now);
+        // The benchmark harness rejects such scans before they reach a mixer; real clients are rejected here.
+        if self.host.open_items > self.max_open_items || self.draining {
+            return self.mixer.turn_away(&mut self.host, id);
+        }
+        self.mixer.taken(&mut self.host, id, scan);
+    }
+
+    /// Validates a scan and translates it for the routing logic.
+    fn validate(&self, ask: &ScanRequest, request_start: Moment) -> Result<ScanTaken, RequestError> {
         let wrong = |what: String| Err(RequestError::Invalid(what));
         let Some(traffic_type) = self.types.iter().position(|(name, _)| *name == ask.traffic_type) else {
             return Err(RequestError::Path);
@@ -325,7 +361,7 @@
         {
             return wrong("no Idempotency-Key".into());
         }
-        if self.desk.names.contains(&ask.request_id) {
+        if self.host.open_names.contains(&ask.request_id) {
             return Err(RequestError::Conflict);
         }
         if let Some(part) = ask.parts.iter().find(|part| part.shard >= self.shards) {
@@ -335,7 +371,7 @@
         if shards.len() < ask.parts.len() {
             return wrong("a range stands twice".into());
         }
-        // Portions are written with so many digits only; what is meant is all of the answer.
+        // Weights are written with limited precision, so their sum is only close to 1; normalize it.
         let sum: f64 = ask.parts.iter().map(|part| part.weight).sum();
         if (sum - 1.0).abs() > 0.01 {
             return wrong("the portions are not a whole".into());
@@ -344,29 +380,32 @@
         Ok(ScanTaken {
             traffic_type,
             customer: customer.unwrap_or(0),
-            left: ask.time_left.less(self.desk.now.since(began)),
+            left: ask.time_left.less(self.host.now.since(request_start)),
             work: ask.parts.iter().filter_map(|part| part.work).reduce(|a, b| a + b),
             repeat: ask.is_retry,
             parts,
         })
     }
 
-    fn client_gone(&mut self, client: ClientId) {
-        self.desk.batches.remove(&client);
-        if let Some(Doing::Waiting(id)) = self.desk.clients.gone(client, self.desk.now) {
-            self.desk.close(id, Left::Failed);
-            self.mixer.client_left(&mut self.desk, id);
+    fn client_disconnected(&mut self, client: ClientId) {
+        self.host.multi_searches.remove(&client);
+        if let Some(ClientActivity::AwaitingAnswer(id)) =
+            self.host.clients.disconnected(client, self.host.now)
+        {
+            self.host.close_scan(id, ScanOutcome::Failed);
+            self.mixer.client_left(&mut self.host, id);
         }
     }
 
-    fn part_back(&mut self, link_id: LinkId, id: &str, end: PartOutcome, value: String) {
-        let found = self.desk.find(link_id, id);
-        let Some(link) = self.desk.pool.links.get_mut(&link_id) else { return };
-        link.heard(self.desk.now);
+    fn part_answered(&mut self, link_id: LinkId, id: &str, end: PartOutcome, value: String) {
+        let found = self.host.find_relay(link_id, id);
+        let Some(link) = self.host.pool.links.get_mut(&link_id) else { return };
+        link.note_received(self.host.now);
         let Some((call_id, ticket)) = found else {
-            // Late, and passed over; or of nobody, and whose answer it spoilt can't be told.
-            if !link.gave_up(id) {
-                self.end_garbled(link_id);
+            // Either a late answer to a cancelled part, which is dropped; or the answer to an unknown part,
+            // in which case it can't be told whose answer it corrupted.
+            if !link.take_cancelled(id) {
+                self.abort_on_protocol_error(link_id);
             }
             return;
         };
@@ -376,224 +415,238 @@
                 link.calls.remove(&call_id);
             }
         }
-        let how = match end {
-            PartOutcome::Succeeded => self.keep_value(ticket, value),
+        let landing = match end {
+            PartOutcome::Succeeded => self.store_value(ticket, value),
             PartOutcome::Failed => Landing::Erred,
             PartOutcome::Rejected => Landing::TurnedAway,
         };
-        self.desk.land(ticket, how);
+        self.host.land_relay(ticket, landing);
     }
 
-    /// A value that leaves no room for it in an answer is as good as none.
-    fn keep_value(&mut self, ticket: Ticket, value: String) -> Landing {
-        let Some(relay) = self.desk.relays.get(&ticket) else { return Landing::Erred };
-        let Some(open) = self.desk.scans.get_mut(relay.scan) else { return Landing::Honoured };
-        // Each byte may take six where it is escaped; plain ones are the rule.
+    /// Stores the value of a part. A value that doesn't fit into the answer fails its part.
+    fn store_value(&mut self, ticket: Ticket, value: String) -> Landing {
+        let Some(relay) = self.host.relays.get(&ticket) else { return Landing::Erred };
+        let Some(open) = self.host.scans.get_mut(relay.scan) else { return Landing::Honoured };
+        // An escaped byte may take up to six bytes; most values need no escaping.
         let escaped = value.bytes().filter(|b| *b < b' ' || matches!(b, b'"' | b'\\')).count();
-        let size = open.size + value.len() + 5 * escaped + PART_OVERHEAD_BYTES;
+        let size = open.answer_bytes + value.len() + 5 * escaped + PART_OVERHEAD_BYTES;
         if size > MAX_BODY_BYTES - PART_OVERHEAD_BYTES {
             return Landing::Erred;
         }
-        let of_node = self.desk.roll.tongue(relay.to) == Tongue::Dialect;
-        let takes = |held: &Held| if of_node { held.takes_from_node(&value) } else { held.takes(&value) };
-        if open.query.as_ref().is_some_and(|held| !takes(held)) {
+        let from_query_node = self.host.registry.protocol(relay.to) == SearcherProtocol::QueryApi;
+        let accepts = |context: &QueryContext| {
+            if from_query_node {
+                context.accepts_from_node(&value)
+            } else {
+                context.accepts(&value)
+            }
+        };
+        if open.query.as_ref().is_some_and(|context| !accepts(context)) {
             return Landing::Erred;
         }
-        open.size = size;
+        open.answer_bytes = size;
         open.parts[relay.part].1 = Some(value);
         Landing::Honoured
     }
 
-    fn speaks(&mut self, link_id: LinkId, version: String) {
-        let Some(link) = self.desk.pool.links.get_mut(&link_id) else { return };
-        link.heard(self.desk.now);
+    fn node_version_received(&mut self, link_id: LinkId, version: String) {
+        let Some(link) = self.host.pool.links.get_mut(&link_id) else { return };
+        link.note_received(self.host.now);
         let to = link.to;
-        if self.desk.roll.note_version(to, &version) {
-            let to = self.desk.roll.name(to).cloned().unwrap_or_default();
-            self.desk.effects.push(Effect::Spoke { to, version });
+        if self.host.registry.record_version(to, &version) {
+            let to = self.host.registry.name(to).cloned().unwrap_or_default();
+            self.host.effects.push(Effect::LogNodeVersion { to, version });
         }
     }
 
-    fn check_back(&mut self, link_id: LinkId, there: bool) {
-        if let Some(link) = self.desk.pool.links.get_mut(&link_id) {
-            link.heard(self.desk.now);
-            if std::mem::take(&mut link.checking) {
-                self.desk.checked.push_back((link.to, there));
+    fn health_probe_answered(&mut self, link_id: LinkId, healthy: bool) {
+        if let Some(link) = self.host.pool.links.get_mut(&link_id) {
+            link.note_received(self.host.now);
+            if std::mem::take(&mut link.probing) {
+                self.host.probe_results.push_back((link.to, healthy));
             }
         }
     }
 
-    /// A frame is half said, or whole after all. Searchers write theirs in one piece: what takes longer than a
-    /// link may take to come up is not coming, and what follows it can't be told apart from it.
-    fn amid(&mut self, id: LinkId, amid: bool) {
-        let (now, within) = (self.desk.now, self.desk.dial_within);
-        let Some(link) = self.desk.pool.links.get_mut(&id) else { return };
-        link.amid = amid.then_some(now);
-        if amid {
-            self.desk.alarms.set(now + within, Alarm::HalfSaid(id, now));
+    /// Records that an incoming frame is incomplete, or complete after all. Searchers write a frame in one
+    /// piece, so one that takes longer than the dial timeout won't be completed, and later frames couldn't be
+    /// told apart from it.
+    fn frame_partially_read(&mut self, id: LinkId, partial: bool) {
+        let (now, timeout) = (self.host.now, self.host.dial_timeout);
+        let Some(link) = self.host.pool.links.get_mut(&id) else { return };
+        link.partial_read_since = partial.then_some(now);
+        if partial {
+            self.host.timers.set(now + timeout, Timer::PartialReadTimeout(id, now));
         }
     }
 
-    fn half_said(&mut self, id: LinkId, since: Moment) {
-        if self.desk.pool.links.get(&id).is_some_and(|link| link.amid == Some(since)) {
-            self.end_garbled(id);
+    fn partial_read_timed_out(&mut self, id: LinkId, since: Moment) {
+        if self.host.pool.links.get(&id).is_some_and(|link| link.partial_read_since == Some(since)) {
+            self.abort_on_protocol_error(id);
         }
     }
 
-    /// A frame of ours is half written, or whole after all. Nothing of it can be taken back: its searcher would have it
-    /// later than its client's end, its window or the time that it tells allow.
-    fn half_written(&mut self, id: LinkId, half: bool) {
-        let now = self.desk.now;
-        let Some(link) = self.desk.pool.links.get_mut(&id) else { return };
-        link.half_written = half.then_some(now);
-        if half {
-            self.desk.alarms.set(now + HALF_WRITTEN, Alarm::HalfWritten(id, now));
+    /// Records that an outgoing frame is partially written, or completely after all. A partially written
+    /// frame can't be withdrawn: the searcher might receive it after the client has gone, after its repeat
+    /// window, or with less time left than the frame states.
+    fn frame_partially_written(&mut self, id: LinkId, partial: bool) {
+        let now = self.host.now;
+        let Some(link) = self.host.pool.links.get_mut(&id) else { return };
+        link.partial_write_since = partial.then_some(now);
+        if partial {
+            self.host.timers.set(now + PARTIAL_WRITE_TIMEOUT, Timer::PartialWriteTimeout(id, now));
         }
     }
 
-    /// A searcher that reads no more: what is half written there never runs, and what is out there is as after a reset.
-    fn still_half_written(&mut self, id: LinkId, since: Moment) {
-        if self.desk.pool.links.get(&id).is_some_and(|link| link.half_written == Some(since)) {
-            self.cut(id, Ending::Broke);
+    /// The searcher has stopped reading. The partially written call never runs; parts already written are
+    /// treated as after a connection reset.
+    fn partial_write_timed_out(&mut self, id: LinkId, since: Moment) {
+        if self.host.pool.links.get(&id).is_some_and(|link| link.partial_write_since == Some(since)) {
+            self.abort_link(id, CloseReason::ConnectionBroken);
         }
     }
 
-    fn end_garbled(&mut self, id: LinkId) {
-        self.cut(id, Ending::Garbled);
+    fn abort_on_protocol_error(&mut self, id: LinkId) {
+        self.abort_link(id, CloseReason::ProtocolError);
     }
 
-    fn cut(&mut self, id: LinkId, ending: Ending) {
-        self.link_ended(id, ending);
-        self.desk.pool.closing.insert(id);
-        self.desk.effects.push(Effect::Cut(id));
+    fn abort_link(&mut self, id: LinkId, reason: CloseReason) {
+        self.link_closed(id, reason);
+        self.host.pool.closing.insert(id);
+        self.host.effects.push(Effect::AbortLink(id));
     }
 
-    fn link_ended(&mut self, id: LinkId, ending: Ending) {
-        self.desk.pool.closing.remove(&id);
-        self.desk.pool.attempts.ended(id);
-        let Some(link) = self.desk.pool.links.remove(&id) else { return };
-        let idle = ending == Ending::Ended && link.is_idle();
-        let ending = if idle { Ending::ClosedIdle } else { ending };
-        let to = self.desk.roll.name(link.to).cloned().unwrap_or_else(|| link.address.to_string());
-        self.desk.effects.push(Effect::Note { to, ending });
+    fn link_closed(&mut self, id: LinkId, reason: CloseReason) {
+        self.host.pool.closing.remove(&id);
+        self.host.pool.attempts.failed(id);
+        let Some(link) = self.host.pool.links.remove(&id) else { return };
+        let idle = reason == CloseReason::ClosedByPeer && link.is_idle();
+        let reason = if idle { CloseReason::ClosedIdle } else { reason };
+        let to = self.host.registry.name(link.to).cloned().unwrap_or_else(|| link.address.to_string());
+        self.host.effects.push(Effect::LogLinkClosed { to, reason });
         for call in link.calls.into_values() {
-            let how = ending.landing(call.stand == Stand::Out);
+            let landing = reason.landing(call.state == CallState::Written);
             for ticket in call.parts {
-                if !(link.up && how == Landing::Unreached && self.desk.goes_on(ticket)) {
-                    self.desk.land(ticket, how);
+                if !(link.connected
+                    && landing == Landing::Unreached
+                    && self.host.reassign_after_break(ticket))
+                {
+                    self.host.land_relay(ticket, landing);
                 }
             }
         }
-        if link.checking {
-            self.desk.checked.push_back((link.to, false));
+        if link.probing {
+            self.host.probe_results.push_back((link.to, false));
         }
     }
 
-    /// What has come from a client, since then, is to be whole in time.
-    fn await_whole(&mut self, client: ClientId, since: Moment) {
-        self.desk.alarms.set(since + HALF_ASKED, Alarm::HalfAsked(client, since));
+    /// Limits the time a client has from `since` to complete its request.
+    fn start_request_timeout(&mut self, client: ClientId, since: Moment) {
+        self.host.timers.set(since + REQUEST_TIMEOUT, Timer::RequestTimeout(client, since));
     }
 
-    fn time_came(&mut self) {
-        self.desk.alarms.rang();
-        while let Some(alarm) = self.desk.alarms.next(self.desk.now) {
-            match alarm {
-                Alarm::Wake(ticket) => self.mixer.woken(&mut self.desk, ticket),
-                Alarm::Overdue(ticket, due) => self.desk.overdue(ticket, due),
-                Alarm::BeginBy(ticket, left) => self.desk.too_late_to_begin(ticket, left),
-                Alarm::HalfAsked(client, since) => {
-                    if self.desk.clients.is_half_asked(client, since) {
-                        self.desk.clients.set(client, Doing::Leaving, self.desk.now);
-                        self.desk.effects.push(Effect::Dismiss(client));
+    fn timer_fired(&mut self) {
+        self.host.timers.fired();
+        while let Some(timer) = self.host.timers.next(self.host.now) {
+            match timer {
+                Timer::Wake(ticket) => self.mixer.woken(&mut self.host, ticket),
+                Timer::RelayDeadline(ticket, deadline) => self.host.relay_deadline_passed(ticket, deadline),
+                Timer::SendDeadline(ticket, started_at) => self.host.send_deadline_passed(ticket, started_at),
+                Timer::RequestTimeout(client, since) => {
+                    if self.host.clients.is_request_incomplete(client, since) {
+                        self.host.clients.set_activity(client, ClientActivity::Closing, self.host.now);
+                        self.host.effects.push(Effect::CloseClient(client));
                     }
                 }
-                Alarm::Door(due) => {
-                    if self.door_due == Some(due) {
-                        self.door_due = None;
-                        self.desk.clients.tick(self.desk.now);
+                Timer::AdmissionDue(due) => {
+                    if self.admission_due == Some(due) {
+                        self.admission_due = None;
+                        self.host.clients.tick(self.host.now);
                     }
                 }
-                Alarm::HalfSaid(link, since) => self.half_said(link, since),
-                Alarm::HalfWritten(link, since) => self.still_half_written(link, since),
-                Alarm::DialLate(link) => self.desk.dial_late(link),
-                Alarm::ShutDoor => self.desk.effects.push(Effect::ShutDoor),
-                Alarm::LastCall => {
-                    self.last_call = true;
-                    self.desk.clients.close(self.desk.now);
-                    self.send_off_idle(self.desk.now);
+                Timer::PartialReadTimeout(link, since) => self.partial_read_timed_out(link, since),
+                Timer::PartialWriteTimeout(link, since) => self.partial_write_timed_out(link, since),
+                Timer::HedgeDialDue(link) => self.host.hedge_dial(link),
+                Timer::CloseListener => self.host.effects.push(Effect::CloseListener),
+                Timer::BacklogGraceOver => {
+                    self.draining = true;
+                    self.host.clients.stop_admitting(self.host.now);
+                    self.close_idle_clients(self.host.now);
                 }
             }
         }
     }
 
-    fn send_off_idle(&mut self, by: Moment) {
-        let idle = self.desk.clients.send_off_idle(by, self.desk.now);
-        self.desk.effects.extend(idle.into_iter().map(Effect::Dismiss));
+    fn close_idle_clients(&mut self, by: Moment) {
+        let idle = self.host.clients.close_idle(by, self.host.now);
+        self.host.effects.extend(idle.into_iter().map(Effect::CloseClient));
     }
 
-    fn stop(&mut self) {
-        if !self.desk.stopping {
-            self.desk.stopping = true;
-            // Who has just come is about to ask.
-            self.send_off_idle(self.desk.now.less(SETTLING));
-            self.desk.alarms.set(self.desk.now + DOOR_OPEN, Alarm::ShutDoor);
+    fn shut_down(&mut self) {
+        if !self.host.shutting_down {
+            self.host.shutting_down = true;
+            // Clients that have just connected are about to send a request.
+            self.close_idle_clients(self.host.now.less(NEW_CLIENT_GRACE));
+            self.host.timers.set(self.host.now + ACCEPT_GRACE, Timer::CloseListener);
         }
     }
 }
 
-/// Takes an event in, at its time, and gives what is to be done.
+/// Applies an event at the given time and returns the effects to carry out.
 pub fn reduce(state: &mut State, event: Event, now: Moment) -> Vec<Effect> {
-    state.desk.now = now;
+    state.host.now = now;
     match event {
-        Event::Knocked(client, from) => state.desk.clients.knocked(client, from, now),
-        Event::Stirred(client, stood) => {
-            state.desk.clients.stirred(client, now.less(stood), now);
-            state.await_whole(client, now);
-        }
-        Event::Asked(client, ask) => state.asked(client, ask),
-        Event::Queried(client, request) => state.queried(client, *request),
-        Event::FiguresAsked(client) => {
-            let figures = state.figures();
-            state.desk.reply(client, Reply::Figures(Box::new(figures)), false);
-        }
-        Event::HealthAsked(client) => {
+        Event::ClientAccepted(client, from) => state.host.clients.accepted(client, from, now),
+        Event::RequestStarted(client, unread_for) => {
+            state.host.clients.request_started(client, now.less(unread_for), now);
+            state.start_request_timeout(client, now);
+        }
+        Event::ScanRequested(client, ask) => state.scan_requested(client, ask),
+        Event::QueryRequested(client, request) => state.query_requested(client, *request),
+        Event::MetricsRequested(client) => {
+            let metrics = state.metrics();
+            state.host.reply(client, Reply::Metrics(Box::new(metrics)), false);
+        }
+        Event::HealthRequested(client) => {
             let ready = state.is_ready();
-            state.desk.reply(client, Reply::Health(ready), false);
-        }
-        Event::Misasked(client, blame, lost) => state.desk.reply(client, Reply::Refusal(blame), lost),
-        Event::ClientGone(client) => state.client_gone(client),
-        Event::LinkUp(link) => state.desk.link_up(link),
-        Event::Speaks(link, version) => state.speaks(link, version),
-        Event::CallOut(link, call) => state.desk.call_out(link, call),
-        Event::Withdrawn(link, call) => state.desk.withdrawn(link, call),
-        Event::PartBack { link, id, end, value } => state.part_back(link, &id, end, value),
-        Event::CheckBack(link, there) => state.check_back(link, there),
-        Event::Amid(link, amid) => state.amid(link, amid),
-        Event::HalfWritten(link, half) => state.half_written(link, half),
-        Event::LinkEnded(link, ending) => state.link_ended(link, ending),
-        Event::Told(news) => {
-            state.hear(&news);
-            state.broke = 0;
-            state.desk.watch_list();
-        }
-        Event::Moved(discovery) => {
-            state.desk.roll.move_to(discovery);
-            state.desk.watch_list();
-        }
-        Event::WatchBroke => {
-            state.desk.roll.broke();
-            state.broke = state.broke.saturating_add(1);
-            state.mixer.watch(&mut state.desk, state.broke);
-        }
-        Event::TimeCame => state.time_came(),
-        Event::StopAsked => state.stop(),
-        Event::Short => state.desk.clients.ran_short(now),
-        Event::Ruled(rules) => state.desk.clients.set_rules(rules, now),
-        Event::DoorShut => state.desk.alarms.set(now + LAST_CALL, Alarm::LastCall),
-    }
-    let mut effects = state.settle();
-    if state.last_call && state.desk.clients.is_empty() {
-        effects.push(Effect::Leave);
+            state.host.reply(client, Reply::Health(ready), false);
+        }
+        Event::InvalidRequest(client, blame, closes) => {
+            state.host.reply(client, Reply::InvalidRequest(blame), closes)
+        }
+        Event::ClientDisconnected(client) => state.client_disconnected(client),
+        Event::LinkConnected(link) => state.host.link_connected(link),
+        Event::NodeVersionReceived(link, version) => state.node_version_received(link, version),
+        Event::CallWritten(link, call) => state.host.call_written(link, call),
+        Event::CallWithdrawn(link, call) => state.host.call_withdrawn(link, call),
+        Event::PartAnswered { link, id, end, value } => state.part_answered(link, &id, end, value),
+        Event::HealthProbeAnswered(link, healthy) => state.health_probe_answered(link, healthy),
+        Event::FramePartiallyRead(link, partial) => state.frame_partially_read(link, partial),
+        Event::FramePartiallyWritten(link, partial) => state.frame_partially_written(link, partial),
+        Event::LinkClosed(link, reason) => state.link_closed(link, reason),
+        Event::DiscoveryUpdated(news) => {
+            state.apply_discovery(&news);
+            state.watch_failures = 0;
+            state.host.watch_list();
+        }
+        Event::DiscoveryMoved(discovery) => {
+            state.host.registry.move_to(discovery);
+            state.host.watch_list();
+        }
+        Event::DiscoveryWatchFailed => {
+            state.host.registry.watch_failed();
+            state.watch_failures = state.watch_failures.saturating_add(1);
+            state.mixer.watch(&mut state.host, state.watch_failures);
+        }
+        Event::TimerFired => state.timer_fired(),
+        Event::ShutdownRequested => state.shut_down(),
+        Event::OutOfResources => state.host.clients.out_of_resources(now),
+        Event::AdmissionRulesChanged(rules) => state.host.clients.set_rules(rules, now),
+        Event::ListenerClosed => state.host.timers.set(now + BACKLOG_GRACE, Timer::BacklogGraceOver),
+    }
+    let mut effects = state.process_pending();
+    if state.draining && state.host.clients.is_empty() {
+        effects.push(Effect::Exit);
     }
     effects
 }
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -3,7 +3,7 @@
 use crate::wire::{Fields, Reply, WireError};
 use fernglade::choice::Mixer;
 use fernglade::{Host, Landing, Listing, Moment, PartTaken, ScanId, ScanTaken, Searcher, Span, Ticket};
-use fernglade_fronts::{SearcherRegistry, Settings, SlotMap};
+use fernglade_fronts::{SearcherIds, Settings, SlotMap};
 use std::collections::{BTreeSet, HashMap};
 
 /// An entry of a numbered searcher list, as received.
@@ -42,7 +42,7 @@
     jobs: HashMap<u32, ScanId>,
     relays: HashMap<(u64, u16), Ticket>,
     tickets: HashMap<Ticket, (u64, u16)>,
-    searchers: SearcherRegistry<u32>,
+    searchers: SearcherIds<u32>,
 }
 
 impl IdTables {
@@ -172,8 +172,11 @@
         let length = fields.u32()? as usize;
         let readings = Settings::parse(fields.bytes(length)?)?;
         let mixer = readings.build_mixer(seed)?;
-        let ids =
-            IdTables { instance: number, can_cancel: readings.is_true("limits.cancel"), ..IdTables::default() };
+        let ids = IdTables {
+            instance: number,
+            can_cancel: readings.is_true("limits.cancel"),
+            ..IdTables::default()
+        };
         let mut instance = Self { mixer, ids, partial: None, home_zone: readings.home_zone()? };
         if readings.equals("discovery", "on_request") {
             instance.call_mixer(now, reply, |mixer, host| mixer.watch(host, 0));
