--- a/crates/mixer/src/program/links.rs
+++ b/crates/mixer/src/program/links.rs
@@ -297,8 +297,8 @@
             }
         };
         match frame {
-            Frame::Part { id, outcome: end, value } => {
-                handle.feed(Event::PartAnswered { link, id, end, value })
+            Frame::Part { id, outcome, value } => {
+                handle.feed(Event::PartAnswered { link, id, outcome, value })
             }
             Frame::ProbeResult(there) => handle.feed(Event::HealthProbeAnswered(link, there)),
             Frame::LoadReport => {}
@@ -338,8 +338,8 @@
     let question = near.asked.borrow_mut().pop_front();
     match question {
         Some(Question::Part(id)) => {
-            let (end, value) = nodes::part_outcome(message);
-            handle.feed(Event::PartAnswered { link, id, end, value });
+            let (outcome, value) = nodes::part_outcome(message);
+            handle.feed(Event::PartAnswered { link, id, outcome, value });
         }
         Some(Question::Check) => {
             handle.feed(Event::HealthProbeAnswered(link, message.start_line[1] == "200"))
--- a/crates/mixer/src/routing/any_order.rs
+++ b/crates/mixer/src/routing/any_order.rs
@@ -281,7 +281,7 @@
         self.feed(Event::CallWritten(link, call));
     }
 
-    fn answer_part(&mut self, link: LinkId, which: usize, end: PartOutcome, duplicate: bool) {
+    fn answer_part(&mut self, link: LinkId, which: usize, outcome: PartOutcome, duplicate: bool) {
         let link_model = self.links.get_mut(&link).unwrap();
         if link_model.outstanding.is_empty() || link_model.closing {
             return;
@@ -295,10 +295,10 @@
         self.part(&id, |part| {
             part.outstanding = false;
             // This attempt did not run, and earlier ones were reported on their own.
-            part.may_have_run &= end != PartOutcome::Rejected;
+            part.may_have_run &= outcome != PartOutcome::Rejected;
         });
         let value = format!("of {id}");
-        self.feed(Event::PartAnswered { link, id, end, value });
+        self.feed(Event::PartAnswered { link, id, outcome, value });
     }
 
     fn close_link(&mut self, link: LinkId, reason: CloseReason) {
@@ -437,13 +437,13 @@
             9 | 10 => self.begin_write(link),
             11 => self.finish_write(link),
             12 | 13 => {
-                let part_ends = [
+                let outcomes = [
                     PartOutcome::Succeeded,
                     PartOutcome::Succeeded,
                     PartOutcome::Failed,
                     PartOutcome::Rejected,
                 ];
-                self.answer_part(link, usize::from(how), part_ends[usize::from(how % 4)], false);
+                self.answer_part(link, usize::from(how), outcomes[usize::from(how % 4)], false);
             }
             // An invalid answer: a duplicate, or one to an unknown part.
             14 if how.is_multiple_of(4) => {
--- a/crates/mixer/src/routing/api_equivalence.rs
+++ b/crates/mixer/src/routing/api_equivalence.rs
@@ -361,14 +361,14 @@
                 ScheduledEvent::PartOutcome(link, _, SimulatedOutcome::LinkBroken(_)) => {
                     self.feed(Event::LinkClosed(link, CloseReason::ConnectionBroken))
                 }
-                ScheduledEvent::PartOutcome(link, part_request, outcome) => {
-                    let end = match outcome {
+                ScheduledEvent::PartOutcome(link, part_request, simulated) => {
+                    let outcome = match simulated {
                         SimulatedOutcome::Answered(_) => PartOutcome::Succeeded,
                         SimulatedOutcome::TurnedAway(_) => PartOutcome::Rejected,
                         _ => PartOutcome::Failed,
                     };
                     let value = self.value(&part_request);
-                    self.feed(Event::PartAnswered { link, id: part_request.id, end, value });
+                    self.feed(Event::PartAnswered { link, id: part_request.id, outcome, value });
                 }
             }
         }
--- a/crates/mixer/src/routing/event.rs
+++ b/crates/mixer/src/routing/event.rs
@@ -60,7 +60,7 @@
     /// A call was withdrawn before any of it was written.
     CallWithdrawn(LinkId, CallId),
     /// A searcher answered a part.
-    PartAnswered { link: LinkId, id: String, end: PartOutcome, value: String },
+    PartAnswered { link: LinkId, id: String, outcome: PartOutcome, value: String },
     /// A health probe was answered; the flag tells whether the searcher is healthy.
     HealthProbeAnswered(LinkId, bool),
     /// `true`: an incoming frame has been read in part. `false`: its remainder has arrived.
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -397,7 +397,7 @@
         }
     }
 
-    fn part_answered(&mut self, link_id: LinkId, id: &str, end: PartOutcome, value: String) {
+    fn part_answered(&mut self, link_id: LinkId, id: &str, outcome: PartOutcome, value: String) {
         let found = self.host.find_relay(link_id, id);
         let Some(link) = self.host.pool.links.get_mut(&link_id) else { return };
         link.note_received(self.host.now);
@@ -415,7 +415,7 @@
                 link.calls.remove(&call_id);
             }
         }
-        let landing = match end {
+        let landing = match outcome {
             PartOutcome::Succeeded => self.store_value(ticket, value),
             PartOutcome::Failed => Landing::Erred,
             PartOutcome::Rejected => Landing::TurnedAway,
@@ -619,7 +619,7 @@
         Event::NodeVersionReceived(link, version) => state.node_version_received(link, version),
         Event::CallWritten(link, call) => state.host.call_written(link, call),
         Event::CallWithdrawn(link, call) => state.host.call_withdrawn(link, call),
-        Event::PartAnswered { link, id, end, value } => state.part_answered(link, &id, end, value),
+        Event::PartAnswered { link, id, outcome, value } => state.part_answered(link, &id, outcome, value),
         Event::HealthProbeAnswered(link, healthy) => state.health_probe_answered(link, healthy),
         Event::FramePartiallyRead(link, partial) => state.frame_partially_read(link, partial),
         Event::FramePartiallyWritten(link, partial) => state.frame_partially_written(link, partial),
--- a/crates/mixer/src/routing/tests.rs
+++ b/crates/mixer/src/routing/tests.rs
@@ -179,8 +179,8 @@
         calls
     }
 
-    fn answer_part(&mut self, link: LinkId, id: &str, end: PartOutcome, value: &str) {
-        self.feed(Event::PartAnswered { link, id: id.into(), end, value: value.into() });
+    fn answer_part(&mut self, link: LinkId, id: &str, outcome: PartOutcome, value: &str) {
+        self.feed(Event::PartAnswered { link, id: id.into(), outcome, value: value.into() });
     }
 
     fn take_replies(&mut self) -> Vec<(ClientId, Reply, bool)> {
