--- a/crates/fronts/src/ids.rs
+++ b/crates/fronts/src/ids.rs
@@ -57,43 +57,43 @@
     }
 }
 
-/// Numbers of the known searchers by name. A number is never reused.
+/// Numeric ids of the known searchers by name. An id is never reused.
 pub struct SearcherIds<K> {
-    numbers: BTreeMap<K, Searcher>,
+    ids: BTreeMap<K, Searcher>,
     names: BTreeMap<Searcher, K>,
-    /// How many numbers have been assigned.
+    /// How many ids have been assigned.
     assigned: u32,
 }
 
 impl<K> Default for SearcherIds<K> {
     fn default() -> Self {
-        Self { numbers: BTreeMap::new(), names: BTreeMap::new(), assigned: 0 }
+        Self { ids: BTreeMap::new(), names: BTreeMap::new(), assigned: 0 }
     }
 }
 
 impl<K: Ord + Clone> SearcherIds<K> {
-    /// Removes a searcher and returns its number. The name gets a new number if it comes back.
+    /// Removes a searcher and returns its id. The name gets a new id if it comes back.
     pub fn remove(&mut self, name: &K) -> Option<Searcher> {
-        let number = self.numbers.remove(name)?;
-        self.names.remove(&number);
-        Some(number)
+        let id = self.ids.remove(name)?;
+        self.names.remove(&id);
+        Some(id)
     }
 
-    /// The searcher's number; a new name is assigned the next one.
+    /// The searcher's id; a new name is assigned the next one.
     pub fn get_or_assign(&mut self, name: &K) -> Searcher {
-        if let Some(number) = self.numbers.get(name) {
-            return *number;
+        if let Some(id) = self.ids.get(name) {
+            return *id;
         }
         let new = Searcher(self.assigned);
         self.assigned += 1;
         self.names.insert(new, name.clone());
-        self.numbers.insert(name.clone(), new);
+        self.ids.insert(name.clone(), new);
         new
     }
 
-    /// The searcher's number, if it is known.
+    /// The searcher's id, if it is known.
     pub fn get(&self, name: &K) -> Option<Searcher> {
-        self.numbers.get(name).copied()
+        self.ids.get(name).copied()
     }
 
     /// The name of a known searcher.
@@ -101,9 +101,9 @@
         self.names.get(&searcher)
     }
 
-    /// Removes all searchers but those for which `keep` is true; one that comes back gets a new number.
+    /// Removes all searchers but those for which `keep` is true; one that comes back gets a new id.
     pub fn retain(&mut self, keep: impl Fn(&K) -> bool) {
-        self.numbers.retain(|name, _| keep(name));
+        self.ids.retain(|name, _| keep(name));
         self.names.retain(|_, name| keep(name));
     }
 }
@@ -123,7 +123,7 @@
     }
 
     #[test]
-    fn numbers_are_assigned_in_order_and_never_reused() {
+    fn ids_are_assigned_in_order_and_never_reused() {
         let mut searchers = SearcherIds::default();
         assert_eq!(
             (searchers.get_or_assign(&"x"), searchers.get_or_assign(&"y"), searchers.get_or_assign(&"x")),
