--- a/crates/mixer/src/routing/any_order.rs
+++ b/crates/mixer/src/routing/any_order.rs
@@ -87,7 +87,7 @@
     exited: bool,
 }
 
-fn row(number: u16, ready: bool) -> SearcherEntry {
+fn searcher_entry(number: u16, ready: bool) -> SearcherEntry {
     let address = ([127, 0, 0, 1], 9000 + number).into();
     SearcherEntry {
         name: format!("s{number}"),
@@ -107,10 +107,10 @@
 
 impl World {
     fn new(cancel: bool, batch: usize) -> Self {
-        let readings = Settings::parse(settings(cancel, batch).as_bytes()).unwrap();
+        let parsed_settings = Settings::parse(settings(cancel, batch).as_bytes()).unwrap();
         let descriptors =
             DescriptorBudget { reserved: 0, rejections: 2, searcher_connections: 4, client_connections: 7 };
-        let state = State::new(&readings, 7, descriptors, &OperatorConfig::default(), "n0").unwrap();
+        let state = State::new(&parsed_settings, 7, descriptors, &OperatorConfig::default(), "n0").unwrap();
         let mut world = Self {
             state,
             now: Moment::at_micros(1_764_000_000_000_000),
@@ -125,8 +125,8 @@
             count: 0,
             exited: false,
         };
-        let rows = (0..SEARCHERS).map(|number| row(number, true)).collect();
-        let known = ListUpdate { version: 5, is_full: true, entries: rows };
+        let entries = (0..SEARCHERS).map(|number| searcher_entry(number, true)).collect();
+        let known = ListUpdate { version: 5, is_full: true, entries };
         let effects = world.state.begin(&known, DISCOVERY, world.now);
         world.apply(effects);
         world
@@ -346,7 +346,7 @@
             Scan { client, kind, parts: shards.clone().map(|shard| (shard, Part::default())).collect() };
         self.scans.insert(name.clone(), scan);
         let weight = 1.0 / f64::from(parts);
-        let ask = ScanRequest {
+        let scan_request = ScanRequest {
             request_id: name,
             traffic_type: TYPES[kind].into(),
             customer: "any".into(),
@@ -359,8 +359,8 @@
         if announces {
             self.feed(Event::RequestStarted(client, Span::ZERO));
         }
-        self.clients.get_mut(&client).unwrap().awaited_scan = Some(ask.request_id.clone());
-        self.feed(Event::ScanRequested(client, ask));
+        self.clients.get_mut(&client).unwrap().awaited_scan = Some(scan_request.request_id.clone());
+        self.feed(Event::ScanRequested(client, scan_request));
     }
 
     fn disconnect_client(&mut self, client: ClientId) {
@@ -372,23 +372,20 @@
 
     fn update_discovery(&mut self, which: u16, how: u8) {
         self.version += 1;
-        let whole = how == 0;
+        let is_full = how == 0;
         let which = which % SEARCHERS;
         self.ready[usize::from(which)] ^= true;
-        let all = (0..SEARCHERS).map(|number| row(number, self.ready[usize::from(number)]));
-        let rows = if whole { all.collect() } else { vec![row(which, self.ready[usize::from(which)])] };
-        self.feed(Event::DiscoveryUpdated(ListUpdate {
-            version: self.version,
-            is_full: whole,
-            entries: rows,
-        }));
+        let all = (0..SEARCHERS).map(|number| searcher_entry(number, self.ready[usize::from(number)]));
+        let entries =
+            if is_full { all.collect() } else { vec![searcher_entry(which, self.ready[usize::from(which)])] };
+        self.feed(Event::DiscoveryUpdated(ListUpdate { version: self.version, is_full, entries }));
         if how == 2 {
             // Changes older than the current list must have no effect.
-            let rows = (0..SEARCHERS).map(|number| row(number, true)).collect();
+            let entries = (0..SEARCHERS).map(|number| searcher_entry(number, true)).collect();
             self.feed(Event::DiscoveryUpdated(ListUpdate {
                 version: self.version - 1,
                 is_full: false,
-                entries: rows,
+                entries,
             }));
         }
     }
--- a/crates/mixer/src/routing/api_equivalence.rs
+++ b/crates/mixer/src/routing/api_equivalence.rs
@@ -186,7 +186,7 @@
 
 impl Replay {
     fn new(api: ClientApi, seed: u64) -> Self {
-        let readings = Settings::parse(SETTINGS.as_bytes()).unwrap();
+        let settings = Settings::parse(SETTINGS.as_bytes()).unwrap();
         let descriptors = DescriptorBudget {
             reserved: 0,
             rejections: 8,
@@ -194,9 +194,9 @@
             client_connections: 700,
         };
         let operator = OperatorConfig::parse(INDICES).unwrap();
-        let mut state = State::new(&readings, 7, descriptors, &operator, "n0").unwrap();
+        let mut state = State::new(&settings, 7, descriptors, &operator, "n0").unwrap();
         let now = Moment::at_micros(1_764_000_000_000_000);
-        let row = |number: u16| {
+        let searcher_entry = |number: u16| {
             let address: SocketAddr = ([127, 0, 0, 1], 9000 + number).into();
             SearcherEntry {
                 name: format!("s{number}"),
@@ -208,7 +208,7 @@
                 started_at: None,
             }
         };
-        let known = ListUpdate { version: 5, is_full: true, entries: (0..5).map(row).collect() };
+        let known = ListUpdate { version: 5, is_full: true, entries: (0..5).map(searcher_entry).collect() };
         let first = state.begin(&known, ([127, 0, 0, 1], 8500).into(), now);
         let scans = if seed == 1 { recorded_scans() } else { generate_scans(seed) };
         let mut replay = Self {
@@ -388,7 +388,7 @@
 
 fn platform_request(number: usize, line: &ScanLine) -> ScanRequest {
     let weight = 1.0 / line.shards.len() as f64;
-    let (traffic_type, left) = match line.kind {
+    let (traffic_type, time_left_ms) = match line.kind {
         Kind::Window => ("window", 4_000),
         Kind::Library => ("library", 5_000),
         Kind::Fix => ("fix", 5_000),
@@ -397,7 +397,7 @@
         request_id: format!("r{number}"),
         traffic_type: traffic_type.into(),
         customer: "acme".into(),
-        time_left: Span::of_millis(left),
+        time_left: Span::of_millis(time_left_ms),
         is_retry: false,
         idempotency_key: (line.kind == Kind::Fix).then(|| format!("k{number}")),
         text: "c41e".into(),
--- a/crates/mixer/src/routing/clients.rs
+++ b/crates/mixer/src/routing/clients.rs
@@ -50,11 +50,11 @@
 }
 
 impl Clients {
-    /// Creates an empty set with the operator's admission rules.
-    pub fn new(rules: AdmissionPolicy, max_clients: usize) -> Self {
+    /// Creates an empty set with the operator's admission policy.
+    pub fn new(policy: AdmissionPolicy, max_clients: usize) -> Self {
         Self {
             connected: BTreeMap::new(),
-            admission: AdmissionController::new(rules, max_clients),
+            admission: AdmissionController::new(policy, max_clients),
             actions: Vec::new(),
         }
     }
@@ -85,13 +85,17 @@
     }
 
     fn report_activity(&mut self, client: ClientId, activity: ClientActivity, now: Moment) {
-        let standing = match activity {
+        let admission_activity = match activity {
             ClientActivity::Idle => Activity::Idle,
             ClientActivity::SendingRequest(_) => Activity::ReceivingRequest,
             ClientActivity::AwaitingAnswer(_) => Activity::ScanOpen,
             ClientActivity::Closing => Activity::Closing,
         };
-        self.actions.extend(self.admission.activity_changed(now, ClientConnectionId(client.0), standing));
+        self.actions.extend(self.admission.activity_changed(
+            now,
+            ClientConnectionId(client.0),
+            admission_activity,
+        ));
     }
 
     /// When [`Self::tick`] is next to be called.
@@ -114,9 +118,9 @@
         self.actions.extend(self.admission.set_capacity(now, max_clients));
     }
 
-    /// Applies changed admission rules of the operator.
-    pub fn set_rules(&mut self, rules: AdmissionPolicy, now: Moment) {
-        self.actions.extend(self.admission.set_policy(now, rules));
+    /// Applies a changed admission policy of the operator.
+    pub fn set_policy(&mut self, policy: AdmissionPolicy, now: Moment) {
+        self.actions.extend(self.admission.set_policy(now, policy));
     }
 
     /// Stops admitting clients for good.
--- a/crates/mixer/src/routing/host.rs
+++ b/crates/mixer/src/routing/host.rs
@@ -19,7 +19,7 @@
 pub struct OpenScan {
     pub client: ClientId,
     pub name: String,
-    pub label: Option<String>,
+    pub idempotency_key: Option<String>,
     pub text: Rc<str>,
     /// Its traffic type, for the counters, and when its request began to arrive.
     pub traffic_type: usize,
@@ -220,8 +220,8 @@
         call.state = CallState::Submitted;
         let part_request = |ticket: &Ticket| {
             let relay = self.relays.get(ticket)?;
-            let waits_ms = (relay.deadline.since(self.now).micros() / 1000).max(1);
-            Some(PartRequest { timeout_ms: waits_ms, ..relay.part_request.clone() })
+            let timeout_ms = (relay.deadline.since(self.now).micros() / 1000).max(1);
+            Some(PartRequest { timeout_ms, ..relay.part_request.clone() })
         };
         let part_requests = call.parts.iter().filter_map(part_request).collect();
         self.effects.push(Effect::Call { link: link_id, call: call_id, part_requests });
@@ -422,12 +422,13 @@
             return;
         };
         let shard = open.parts[part].0;
-        let (id, label, text) = (format!("{}.{shard}", open.name), open.label.clone(), open.text.clone());
+        let (id, idempotency_key, text) =
+            (format!("{}.{shard}", open.name), open.idempotency_key.clone(), open.text.clone());
         let part_request = PartRequest {
             id,
             shard,
             timeout_ms: 0,
-            idempotency_key: label,
+            idempotency_key,
             text,
             node_request: open.node_request.clone(),
         };
--- a/crates/mixer/src/routing/query.rs
+++ b/crates/mixer/src/routing/query.rs
@@ -154,7 +154,7 @@
         let index = self.all.get(name).ok_or_else(|| no_index(name))?;
         let edits =
             || index.edits.as_ref().ok_or_else(|| Fault::argument(format!("[{name}] takes no edits")));
-        let (traffic_type, shards, text, label) = match &request.what {
+        let (traffic_type, shards, text, idempotency_key) = match &request.what {
             What::Edit { edit, .. } => {
                 (edits()?, vec![edit.shard(self.shards)], edit.text.clone(), edit.label.clone())
             }
@@ -167,7 +167,7 @@
         let Some((_, kind)) = types.iter().find(|(known, _)| known == traffic_type) else {
             return Err(no_index(name));
         };
-        if matches!(kind.effect, Redoing::Labelled(_)) && label.is_none() {
+        if matches!(kind.effect, Redoing::Labelled(_)) && idempotency_key.is_none() {
             return Err(Fault::argument("an edit of this index needs an Idempotency-Key"));
         }
         if shards.is_empty() {
@@ -175,20 +175,20 @@
         }
         self.count += 1;
         let weight = 1.0 / shards.len() as f64;
-        let ask = ScanRequest {
+        let scan_request = ScanRequest {
             request_id: format!("q{:x}-{}", self.nonce, self.count),
             traffic_type: traffic_type.clone(),
             customer: index.customer.clone(),
             time_left: request.timeout.map_or(kind.abandon, |timeout| timeout.min(kind.abandon)),
             is_retry: false,
-            idempotency_key: label,
+            idempotency_key,
             text,
             parts: shards.into_iter().map(|shard| ScanPart { shard, weight, work: None }).collect(),
         };
         // Both the index and the request have to allow it.
         let allow_partial = index.partial && request.partial != Some(false);
         Ok((
-            ask,
+            scan_request,
             QueryContext {
                 allow_partial,
                 not_repeatable: kind.effect != Redoing::Redoable,
@@ -206,8 +206,8 @@
 }
 
 /// Translates a request error of the platform into one of the query API.
-pub fn fault_from_blame(blame: RequestError) -> Fault {
-    match blame {
+pub fn fault_from_request_error(error: RequestError) -> Fault {
+    match error {
         RequestError::Dialect(fault) => fault,
         RequestError::Invalid(what) => Fault::argument(what),
         other => Fault::argument(format!("{other:?}")),
--- a/crates/mixer/src/routing/searcher_registry.rs
+++ b/crates/mixer/src/routing/searcher_registry.rs
@@ -1,4 +1,4 @@
-//! The searchers listed by discovery: their numbers, addresses, and the list version to watch from.
+//! The searchers listed by discovery: their ids, addresses, and the list version to watch from.
 
 use super::{Effect, SearcherProtocol};
 use crate::protocol::discovery::{ListUpdate, SearcherEntry};
@@ -11,7 +11,7 @@
 /// The searchers on the current list.
 #[derive(Default)]
 pub struct SearcherRegistry {
-    numbers: SearcherIds<String>,
+    ids: SearcherIds<String>,
     searchers: BTreeMap<Searcher, RegisteredSearcher>,
     /// The address of discovery, once known.
     discovery: Option<SocketAddr>,
@@ -55,44 +55,44 @@
     /// Applies a discovery update, and returns the listings for the routing logic. Changes older than the
     /// current version are ignored and the whole list is requested, because they could mark a draining
     /// searcher as ready again.
-    pub fn apply(&mut self, news: &ListUpdate) -> Vec<Listing> {
-        let older = !news.is_full && self.version.is_some_and(|version| news.version < version);
-        (self.version, self.stale) = ((!older).then_some(news.version), false);
+    pub fn apply(&mut self, update: &ListUpdate) -> Vec<Listing> {
+        let older = !update.is_full && self.version.is_some_and(|version| update.version < version);
+        (self.version, self.stale) = ((!older).then_some(update.version), false);
         if older {
             return Vec::new();
         }
-        let named: BTreeSet<&String> = news.entries.iter().map(|row| &row.name).collect();
-        if news.is_full {
+        let named: BTreeSet<&String> = update.entries.iter().map(|entry| &entry.name).collect();
+        if update.is_full {
             self.retain(|name| named.contains(name));
         }
-        let listings = news.entries.iter().map(|row| self.upsert(row)).collect();
-        for removed in news.entries.iter().filter(|row| row.removed) {
-            let searcher = self.numbers.remove(&removed.name);
+        let listings = update.entries.iter().map(|entry| self.upsert(entry)).collect();
+        for removed in update.entries.iter().filter(|entry| entry.removed) {
+            let searcher = self.ids.remove(&removed.name);
             searcher.iter().for_each(|searcher| drop(self.searchers.remove(searcher)));
         }
         listings
     }
 
     fn retain(&mut self, keep: impl Fn(&String) -> bool) {
-        self.numbers.retain(keep);
-        self.searchers.retain(|searcher, _| self.numbers.name(*searcher).is_some());
+        self.ids.retain(keep);
+        self.searchers.retain(|searcher, _| self.ids.name(*searcher).is_some());
     }
 
-    fn upsert(&mut self, row: &SearcherEntry) -> Listing {
-        let searcher = self.numbers.get_or_assign(&row.name);
-        let protocol = if self.query_api.is_node(&row.name) {
+    fn upsert(&mut self, entry: &SearcherEntry) -> Listing {
+        let searcher = self.ids.get_or_assign(&entry.name);
+        let protocol = if self.query_api.is_node(&entry.name) {
             SearcherProtocol::QueryApi
         } else {
             SearcherProtocol::Frames
         };
-        let known = self.searchers.get(&searcher).filter(|entry| entry.address == row.address);
-        let version = known.and_then(|entry| entry.version.clone());
+        let known = self.searchers.get(&searcher).filter(|registered| registered.address == entry.address);
+        let version = known.and_then(|registered| registered.version.clone());
         self.searchers.insert(
             searcher,
-            RegisteredSearcher { protocol, version, address: row.address, ready: row.ready },
+            RegisteredSearcher { protocol, version, address: entry.address, ready: entry.ready },
         );
-        let dear = self.costly_outside_zone.as_ref().is_some_and(|home| *home != row.zone);
-        Listing { searcher, cell: row.cell, ready: row.ready, started: row.started_at, dear }
+        let dear = self.costly_outside_zone.as_ref().is_some_and(|home| *home != entry.zone);
+        Listing { searcher, cell: entry.cell, ready: entry.ready, started: entry.started_at, dear }
     }
 
     /// The address of a listed searcher.
@@ -123,13 +123,13 @@
 
     /// The name of a listed searcher.
     pub fn name(&self, searcher: Searcher) -> Option<&String> {
-        self.numbers.name(searcher)
+        self.ids.name(searcher)
     }
 
     /// A table row for each listed searcher: name, address, state and protocol.
     pub fn rows(&self) -> impl Iterator<Item = Vec<String>> + '_ {
         self.searchers.iter().map(|(searcher, entry)| {
-            let name = self.numbers.name(*searcher).cloned().unwrap_or_default();
+            let name = self.ids.name(*searcher).cloned().unwrap_or_default();
             let ready = if entry.ready { "ready" } else { "draining" };
             let version = entry.version.as_deref().unwrap_or("unknown");
             let protocol = match entry.protocol {
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -61,11 +61,11 @@
 
 /// The policies that act on the load of the whole fleet of mixers, as far as the operator enables them.
 fn fleet_policies(
-    readings: &Settings,
+    settings: &Settings,
     seed: u64,
     operator: &OperatorConfig,
 ) -> Result<FleetPolicy, SettingsError> {
-    let fleet = readings.number("fleet_size", 1.0)?.max(1.0);
+    let fleet = settings.number("fleet_size", 1.0)?.max(1.0);
     Ok(FleetPolicy {
         load_shedder: operator.sheds_fleet_wide().then(LoadShedder::default),
         retry_budget: operator.limits_retries_fleet_wide().then(|| FleetRetryBudget::new(fleet, seed)),
@@ -75,28 +75,28 @@
 
 /// Checks the settings that every deployment must state; without them each scan would fail for no visible
 /// reason.
-fn require_settings(readings: &Settings) -> Result<(), SettingsError> {
+fn require_settings(settings: &Settings) -> Result<(), SettingsError> {
     let global =
         ["tick", "limits.dial_timeout", "family_info.cells", "family_info.width", "family_info.slabs"];
-    global.into_iter().chain(["services.count"]).try_for_each(|path| readings.require_positive(path))?;
+    global.into_iter().chain(["services.count"]).try_for_each(|path| settings.require_positive(path))?;
     let of_service = |at: usize| ["aim", "give_up"].map(|name| format!("services.{at}.{name}"));
-    (0..readings.object_names("services")?.len())
+    (0..settings.object_names("services")?.len())
         .flat_map(of_service)
-        .try_for_each(|path| readings.require_positive(&path))
+        .try_for_each(|path| settings.require_positive(&path))
 }
 
 impl State {
     /// Builds the state from the settings and the operator's file.
     pub fn new(
-        readings: &Settings,
+        settings: &Settings,
         seed: u64,
         descriptors: DescriptorBudget,
         operator: &OperatorConfig,
         name: &str,
     ) -> Result<Self, SettingsError> {
-        require_settings(readings)?;
+        require_settings(settings)?;
         let types: Vec<_> =
-            readings.object_names("services")?.into_iter().zip(readings.traffic_types()?).collect();
+            settings.object_names("services")?.into_iter().zip(settings.traffic_types()?).collect();
         if let Some((name, _)) = types.iter().find(|(_, kind)| kind.second_step) {
             return Err(SettingsError(format!(
                 "settings: {name}: a second step is not supported over sockets"
@@ -105,27 +105,27 @@
         let mut host = MixerHost::default();
         host.clients = Clients::new(operator.admission_rules(), descriptors.client_connections);
         host.registry.query_api = operator.dialect().clone();
-        host.may_cancel = readings.is_true("limits.cancel");
-        host.dial_timeout = readings.span("limits.dial_timeout")?;
+        host.may_cancel = settings.is_true("limits.cancel");
+        host.dial_timeout = settings.span("limits.dial_timeout")?;
         host.pool.max_links = descriptors.searcher_connections.max(1);
-        host.pool.max_calls_per_link = readings.number("limits.multiplex", 1.0)?.max(1.0) as usize;
-        host.pool.max_parts_per_call = readings.number("family_info.per_call", 1.0)?.max(1.0) as usize;
-        let areas = readings.string_list("areas");
+        host.pool.max_calls_per_link = settings.number("limits.multiplex", 1.0)?.max(1.0) as usize;
+        host.pool.max_parts_per_call = settings.number("family_info.per_call", 1.0)?.max(1.0) as usize;
+        let areas = settings.string_list("areas");
         host.registry.costly_outside_zone =
-            readings.home_zone()?.map(|zone| areas.get(usize::from(zone)).cloned().unwrap_or_default());
-        let may_tell = readings.is_true("limits.retry_after");
+            settings.home_zone()?.map(|zone| areas.get(usize::from(zone)).cloned().unwrap_or_default());
+        let may_tell = settings.is_true("limits.retry_after");
         let refusal_retry_after =
-            if may_tell { readings.span("limits.max_retry_after")? } else { Span::ZERO };
+            if may_tell { settings.span("limits.max_retry_after")? } else { Span::ZERO };
         let (customers, shards) =
-            (readings.object_names("customers")?, readings.number("family_info.slabs", 0.0)? as u32);
+            (settings.object_names("customers")?, settings.number("family_info.slabs", 0.0)? as u32);
         let indices =
             Indices::new(operator.dialect(), &types, &customers, shards, seed).map_err(SettingsError)?;
         if operator.exposes_metrics() {
             host.counters = ScanCounters::for_traffic_types(types.len());
         }
-        let mut mixer = readings.build_mixer(seed)?;
+        let mut mixer = settings.build_mixer(seed)?;
         mixer.beside_queue = operator.probes_bypass_queue();
-        mixer.join(Box::new(fleet_policies(readings, seed, operator)?));
+        mixer.join(Box::new(fleet_policies(settings, seed, operator)?));
         Ok(Self {
             mixer,
             host,
@@ -134,7 +134,7 @@
             shards,
             indices,
             name: name.into(),
-            max_open_items: readings.number("limits.max_open", 20_000.0)? as usize,
+            max_open_items: settings.number("limits.max_open", 20_000.0)? as usize,
             draining: false,
             watch_failures: 0,
             descriptors,
@@ -198,10 +198,10 @@
     /// Carries out the actions that admission control has requested since it was last asked.
     fn update_admission(&mut self) {
         let now = self.host.now;
-        let places = self.descriptors.client_limit(self.host.pool.descriptors_in_use());
-        self.host.clients.set_max_clients(places, now);
-        for act in self.host.clients.take_actions() {
-            match act {
+        let client_limit = self.descriptors.client_limit(self.host.pool.descriptors_in_use());
+        self.host.clients.set_max_clients(client_limit, now);
+        for action in self.host.clients.take_actions() {
+            match action {
                 AdmissionAction::Admit(ClientConnectionId(id)) => self.admit(ClientId(id)),
                 AdmissionAction::Reject(ClientConnectionId(id), _) => {
                     let retry_after =
@@ -228,15 +228,15 @@
         self.start_request_timeout(client, now);
     }
 
-    fn apply_discovery(&mut self, news: &ListUpdate) {
-        let listings = self.host.registry.apply(news);
-        self.mixer.listed(&mut self.host, news.is_full, &listings);
+    fn apply_discovery(&mut self, update: &ListUpdate) {
+        let listings = self.host.registry.apply(update);
+        self.mixer.listed(&mut self.host, update.is_full, &listings);
         self.host.release_unready_links();
     }
 
-    fn scan_requested(&mut self, client: ClientId, ask: ScanRequest) {
+    fn scan_requested(&mut self, client: ClientId, scan_request: ScanRequest) {
         let Some(request_start) = self.host.clients.request_start(client, self.host.now) else { return };
-        self.open_scan(client, ask, request_start, None);
+        self.open_scan(client, scan_request, request_start, None);
     }
 
     /// Handles a request of the query API; searches and edits become the same kind of scan.
@@ -267,7 +267,9 @@
             What::Root => Ok(root(&self.name)),
             What::Health => Ok(health(self.host.registry.ready_and_total(), self.shards)),
             _ => match self.indices.build_scan(request, &self.types, request_start) {
-                Ok((ask, context)) => return self.open_scan(client, ask, request_start, Some(context)),
+                Ok((scan_request, context)) => {
+                    return self.open_scan(client, scan_request, request_start, Some(context))
+                }
                 Err(fault) => Err(fault),
             },
         };
@@ -289,7 +291,7 @@
             return reply.into_iter().for_each(|reply| self.host.reply(client, reply, false));
         };
         match self.indices.build_scan(request, &self.types, now) {
-            Ok((ask, context)) => self.open_scan(client, ask, now, Some(context)),
+            Ok((scan_request, context)) => self.open_scan(client, scan_request, now, Some(context)),
             Err(fault) => self.host.reply(client, query::reply(Err(fault), Span::ZERO, None), false),
         }
     }
@@ -297,36 +299,39 @@
     fn open_scan(
         &mut self,
         client: ClientId,
-        mut ask: ScanRequest,
+        mut scan_request: ScanRequest,
         request_start: Moment,
         query: Option<QueryContext>,
     ) {
         // Choose another name if a client's scan already uses the generated one, by chance or on purpose.
-        while query.is_some() && self.host.open_names.contains(&ask.request_id) {
-            ask.request_id.push('x');
+        while query.is_some() && self.host.open_names.contains(&scan_request.request_id) {
+            scan_request.request_id.push('x');
         }
-        let scan = match self.validate(&ask, request_start) {
+        let scan = match self.validate(&scan_request, request_start) {
             Ok(scan) => scan,
-            Err(blame) => {
+            Err(error) => {
                 let reply = match query {
-                    Some(context) => {
-                        query::reply(Err(query::fault_from_blame(blame)), Span::ZERO, context.opaque_id())
-                    }
-                    None => Reply::InvalidRequest(blame),
+                    Some(context) => query::reply(
+                        Err(query::fault_from_request_error(error)),
+                        Span::ZERO,
+                        context.opaque_id(),
+                    ),
+                    None => Reply::InvalidRequest(error),
                 };
                 return self.host.reply(client, reply, false);
             }
         };
-        let parts: Vec<_> = ask.parts.iter().map(|part| (part.shard, None)).collect();
+        let parts: Vec<_> = scan_request.parts.iter().map(|part| (part.shard, None)).collect();
         self.host.open_items += 1 + parts.len();
-        let (name, last_failures) = (ask.request_id.clone(), vec![None; parts.len()]);
-        let node_request = query.as_ref().and_then(|context| context.node_request(&ask.text)).map(Rc::new);
-        let (label, text) = (ask.idempotency_key, ask.text.into());
+        let (name, last_failures) = (scan_request.request_id.clone(), vec![None; parts.len()]);
+        let node_request =
+            query.as_ref().and_then(|context| context.node_request(&scan_request.text)).map(Rc::new);
+        let (idempotency_key, text) = (scan_request.idempotency_key, scan_request.text.into());
         let (traffic_type, started_at) = (scan.traffic_type, request_start);
         let open = OpenScan {
             client,
             name,
-            label,
+            idempotency_key,
             text,
             traffic_type,
             started_at,
@@ -338,7 +343,7 @@
         };
         self.host.counters.scan_accepted(traffic_type);
         let id = self.host.scans.insert(open);
-        self.host.open_names.insert(ask.request_id);
+        self.host.open_names.insert(scan_request.request_id);
         self.host.clients.set_activity(client, ClientActivity::AwaitingAnswer(id), self.host.now);
         // The benchmark harness rejects such scans before they reach a mixer; real clients are rejected here.
         if self.host.open_items > self.max_open_items || self.draining {
@@ -348,41 +353,44 @@
     }
 
     /// Validates a scan and translates it for the routing logic.
-    fn validate(&self, ask: &ScanRequest, request_start: Moment) -> Result<ScanTaken, RequestError> {
-        let wrong = |what: String| Err(RequestError::Invalid(what));
-        let Some(traffic_type) = self.types.iter().position(|(name, _)| *name == ask.traffic_type) else {
+    fn validate(&self, scan_request: &ScanRequest, request_start: Moment) -> Result<ScanTaken, RequestError> {
+        let invalid = |what: String| Err(RequestError::Invalid(what));
+        let Some(traffic_type) = self.types.iter().position(|(name, _)| *name == scan_request.traffic_type)
+        else {
             return Err(RequestError::Path);
         };
-        let customer = self.customers.iter().position(|name| *name == ask.customer);
+        let customer = self.customers.iter().position(|name| *name == scan_request.customer);
         if customer.is_none() && !self.customers.is_empty() {
-            return wrong("an unknown X-Tenant-Id".into());
+            return invalid("an unknown X-Tenant-Id".into());
         }
-        if matches!(self.types[traffic_type].1.effect, Redoing::Labelled(_)) && ask.idempotency_key.is_none()
+        if matches!(self.types[traffic_type].1.effect, Redoing::Labelled(_))
+            && scan_request.idempotency_key.is_none()
         {
-            return wrong("no Idempotency-Key".into());
+            return invalid("no Idempotency-Key".into());
         }
-        if self.host.open_names.contains(&ask.request_id) {
+        if self.host.open_names.contains(&scan_request.request_id) {
             return Err(RequestError::Conflict);
         }
-        if let Some(part) = ask.parts.iter().find(|part| part.shard >= self.shards) {
-            return wrong(format!("no range {}", part.shard));
+        if let Some(part) = scan_request.parts.iter().find(|part| part.shard >= self.shards) {
+            return invalid(format!("no range {}", part.shard));
         }
-        let shards: BTreeSet<u32> = ask.parts.iter().map(|part| part.shard).collect();
-        if shards.len() < ask.parts.len() {
-            return wrong("a range stands twice".into());
+        let shards: BTreeSet<u32> = scan_request.parts.iter().map(|part| part.shard).collect();
+        if shards.len() < scan_request.parts.len() {
+            return invalid("a range stands twice".into());
         }
         // Weights are written with limited precision, so their sum is only close to 1; normalize it.
-        let sum: f64 = ask.parts.iter().map(|part| part.weight).sum();
+        let sum: f64 = scan_request.parts.iter().map(|part| part.weight).sum();
         if (sum - 1.0).abs() > 0.01 {
-            return wrong("the portions are not a whole".into());
+            return invalid("the portions are not a whole".into());
         }
-        let parts = ask.parts.iter().map(|p| PartTaken { shard: p.shard, weight: p.weight / sum }).collect();
+        let parts =
+            scan_request.parts.iter().map(|p| PartTaken { shard: p.shard, weight: p.weight / sum }).collect();
         Ok(ScanTaken {
             traffic_type,
             customer: customer.unwrap_or(0),
-            left: ask.time_left.less(self.host.now.since(request_start)),
-            work: ask.parts.iter().filter_map(|part| part.work).reduce(|a, b| a + b),
-            repeat: ask.is_retry,
+            left: scan_request.time_left.less(self.host.now.since(request_start)),
+            work: scan_request.parts.iter().filter_map(|part| part.work).reduce(|a, b| a + b),
+            repeat: scan_request.is_retry,
             parts,
         })
     }
@@ -601,7 +609,7 @@
             state.host.clients.request_started(client, now.less(unread_for), now);
             state.start_request_timeout(client, now);
         }
-        Event::ScanRequested(client, ask) => state.scan_requested(client, ask),
+        Event::ScanRequested(client, scan_request) => state.scan_requested(client, scan_request),
         Event::QueryRequested(client, request) => state.query_requested(client, *request),
         Event::MetricsRequested(client) => {
             let metrics = state.metrics();
@@ -611,8 +619,8 @@
             let ready = state.is_ready();
             state.host.reply(client, Reply::Health(ready), false);
         }
-        Event::InvalidRequest(client, blame, closes) => {
-            state.host.reply(client, Reply::InvalidRequest(blame), closes)
+        Event::InvalidRequest(client, error, closes) => {
+            state.host.reply(client, Reply::InvalidRequest(error), closes)
         }
         Event::ClientDisconnected(client) => state.client_disconnected(client),
         Event::LinkConnected(link) => state.host.link_connected(link),
@@ -624,8 +632,8 @@
         Event::FramePartiallyRead(link, partial) => state.frame_partially_read(link, partial),
         Event::FramePartiallyWritten(link, partial) => state.frame_partially_written(link, partial),
         Event::LinkClosed(link, reason) => state.link_closed(link, reason),
-        Event::DiscoveryUpdated(news) => {
-            state.apply_discovery(&news);
+        Event::DiscoveryUpdated(update) => {
+            state.apply_discovery(&update);
             state.watch_failures = 0;
             state.host.watch_list();
         }
@@ -641,7 +649,7 @@
         Event::TimerFired => state.timer_fired(),
         Event::ShutdownRequested => state.shut_down(),
         Event::OutOfResources => state.host.clients.out_of_resources(now),
-        Event::AdmissionRulesChanged(rules) => state.host.clients.set_rules(rules, now),
+        Event::AdmissionRulesChanged(policy) => state.host.clients.set_policy(policy, now),
         Event::ListenerClosed => state.host.timers.set(now + BACKLOG_GRACE, Timer::BacklogGraceOver),
     }
     let mut effects = state.process_pending();
--- a/crates/mixer/src/routing/tests.rs
+++ b/crates/mixer/src/routing/tests.rs
@@ -46,7 +46,7 @@
     part_requests: Vec<PartRequest>,
 }
 
-fn row(number: u16, ready: bool) -> SearcherEntry {
+fn searcher_entry(number: u16, ready: bool) -> SearcherEntry {
     let address = ([127, 0, 0, 1], 9000 + number).into();
     SearcherEntry {
         name: format!("s{number}"),
@@ -59,8 +59,8 @@
     }
 }
 
-fn news(version: u64, whole: bool, rows: Vec<SearcherEntry>) -> ListUpdate {
-    ListUpdate { version, is_full: whole, entries: rows }
+fn list_update(version: u64, is_full: bool, entries: Vec<SearcherEntry>) -> ListUpdate {
+    ListUpdate { version, is_full, entries }
 }
 
 /// Descriptors for that many admitted clients and links. Clients waiting for admission take another eighth,
@@ -77,11 +77,11 @@
 /// A mixer in front of that many searchers, each of which holds every shard. `more` overrides settings of the
 /// same name.
 fn test_mixer_with(searchers: u16, more: &str, descriptors: DescriptorBudget) -> TestMixer {
-    let readings = Settings::parse(format!("{SETTINGS}{more}").as_bytes()).unwrap();
-    let state = State::new(&readings, 7, descriptors, &OperatorConfig::default(), "n0").unwrap();
+    let settings = Settings::parse(format!("{SETTINGS}{more}").as_bytes()).unwrap();
+    let state = State::new(&settings, 7, descriptors, &OperatorConfig::default(), "n0").unwrap();
     let now = Moment::at_micros(1_764_000_000_000_000);
     let mut mixer = TestMixer { state, now, timer: None, effects: Vec::new(), clients: 0 };
-    let known = news(5, true, (0..searchers).map(|number| row(number, true)).collect());
+    let known = list_update(5, true, (0..searchers).map(|number| searcher_entry(number, true)).collect());
     let effects = mixer.state.begin(&known, DISCOVERY, now);
     mixer.apply(effects);
     mixer
@@ -136,10 +136,10 @@
         client
     }
 
-    fn send_scan(&mut self, ask: ScanRequest) -> ClientId {
+    fn send_scan(&mut self, request: ScanRequest) -> ClientId {
         let client = self.connect_client();
         self.feed(Event::RequestStarted(client, Span::ZERO));
-        self.feed(Event::ScanRequested(client, ask));
+        self.feed(Event::ScanRequested(client, request));
         client
     }
 
@@ -481,7 +481,11 @@
     let client = mixer.send_scan(scan_request("a", "look", &[0, 1]));
     let calls = mixer.connect_links();
     assert_eq!((calls.len(), calls[0].part_requests.len()), (1, 2), "both share a call");
-    mixer.feed(Event::DiscoveryUpdated(news(6, false, vec![row(0, false), row(1, true)])));
+    mixer.feed(Event::DiscoveryUpdated(list_update(
+        6,
+        false,
+        vec![searcher_entry(0, false), searcher_entry(1, true)],
+    )));
     let SubmittedCall { link, call, .. } = calls[0].clone();
     assert!(mixer.take_effect(&Effect::WithdrawCall(link, call)), "a drain takes effect at once");
     mixer.feed(Event::CallWithdrawn(link, call));
@@ -498,7 +502,7 @@
     let mut mixer = test_mixer(2);
     mixer.send_scan(scan_request("a", "look", &[0, 1]));
     let calls = mixer.send_calls();
-    mixer.feed(Event::DiscoveryUpdated(news(6, false, vec![row(0, false)])));
+    mixer.feed(Event::DiscoveryUpdated(list_update(6, false, vec![searcher_entry(0, false)])));
     mixer.send_scan(scan_request("b", "look", &[0, 1, 2]));
     let mut new = mixer.take_calls();
     let drained = calls
@@ -511,7 +515,7 @@
         mixer.answer_part(*link, &part_requests[0].id, PartOutcome::Succeeded, "v");
     }
     assert_eq!(mixer.take_replies().len(), 2);
-    mixer.feed(Event::DiscoveryUpdated(news(7, false, vec![])));
+    mixer.feed(Event::DiscoveryUpdated(list_update(7, false, vec![])));
     assert!(mixer.take_effect(&Effect::CloseLink(drained.link)), "its idle link is closed");
 }
 
@@ -555,8 +559,8 @@
     mixer.send_scan(scan_request("a", "look", &[0]));
     let link = mixer.send_calls()[0].link;
     mixer.answer_part(link, "a.0", PartOutcome::Succeeded, "v");
-    let moved = SearcherEntry { address: ([127, 0, 0, 1], 9500).into(), ..row(0, true) };
-    mixer.feed(Event::DiscoveryUpdated(news(6, false, vec![moved])));
+    let moved = SearcherEntry { address: ([127, 0, 0, 1], 9500).into(), ..searcher_entry(0, true) };
+    mixer.feed(Event::DiscoveryUpdated(list_update(6, false, vec![moved])));
     assert!(mixer.take_effect(&Effect::CloseLink(link)));
     mixer.send_scan(scan_request("b", "look", &[0]));
     assert_eq!(mixer.take_dials()[0].1, 500);
@@ -567,11 +571,11 @@
     let mut mixer = test_mixer(1);
     mixer.advance(0);
     assert!(mixer.take_effect(&immediate_poll(None)), "the known list may be outdated");
-    mixer.feed(Event::DiscoveryUpdated(news(6, true, vec![row(0, true)])));
+    mixer.feed(Event::DiscoveryUpdated(list_update(6, true, vec![searcher_entry(0, true)])));
     assert!(mixer.take_effect(&long_poll(Some(6))));
-    mixer.feed(Event::DiscoveryUpdated(news(4, false, vec![])));
+    mixer.feed(Event::DiscoveryUpdated(list_update(4, false, vec![])));
     assert!(mixer.take_effect(&long_poll(None)));
-    mixer.feed(Event::DiscoveryUpdated(news(4, true, vec![row(0, true)])));
+    mixer.feed(Event::DiscoveryUpdated(list_update(4, true, vec![searcher_entry(0, true)])));
     assert!(mixer.take_effect(&long_poll(Some(4))));
     mixer.feed(Event::DiscoveryWatchFailed);
     mixer.advance(400);
@@ -589,7 +593,7 @@
 fn a_failed_watch_is_reopened_within_the_drain_grace_period() {
     let mut mixer =
         test_mixer_with(1, "discovery=pushed\ninvariants.drain_grace=250000\n", descriptors_for(10, 10));
-    mixer.feed(Event::DiscoveryUpdated(news(6, true, vec![row(0, true)])));
+    mixer.feed(Event::DiscoveryUpdated(list_update(6, true, vec![searcher_entry(0, true)])));
     mixer.effects.clear();
     mixer.feed(Event::DiscoveryWatchFailed);
     mixer.advance(0);
@@ -604,7 +608,7 @@
         mixer.advance(63);
         assert!(mixer.take_effect(&immediate_poll(Some(6))));
     }
-    mixer.feed(Event::DiscoveryUpdated(news(6, false, vec![])));
+    mixer.feed(Event::DiscoveryUpdated(list_update(6, false, vec![])));
     assert!(mixer.take_effect(&long_poll(Some(6))), "discovery answers again");
     mixer.feed(Event::DiscoveryWatchFailed);
     mixer.advance(0);
@@ -615,11 +619,11 @@
 #[test]
 fn changes_older_than_the_current_list_are_ignored() {
     let mut mixer = test_mixer(2);
-    mixer.feed(Event::DiscoveryUpdated(news(8, false, vec![row(0, false)])));
-    mixer.feed(Event::DiscoveryUpdated(news(
+    mixer.feed(Event::DiscoveryUpdated(list_update(8, false, vec![searcher_entry(0, false)])));
+    mixer.feed(Event::DiscoveryUpdated(list_update(
         7,
         false,
-        vec![row(0, true), SearcherEntry { removed: true, ..row(1, false) }],
+        vec![searcher_entry(0, true), SearcherEntry { removed: true, ..searcher_entry(1, false) }],
     )));
     assert!(
         mixer.take_effect(&immediate_poll(None)) || mixer.take_effect(&long_poll(None)),
@@ -662,8 +666,8 @@
     let mut mixer = test_mixer(1);
     mixer.send_scan(scan_request("a", "look", &[0]));
     let (old, _) = mixer.take_dials()[0];
-    let moved = SearcherEntry { address: ([127, 0, 0, 1], 9500).into(), ..row(0, true) };
-    mixer.feed(Event::DiscoveryUpdated(news(6, false, vec![moved])));
+    let moved = SearcherEntry { address: ([127, 0, 0, 1], 9500).into(), ..searcher_entry(0, true) };
+    mixer.feed(Event::DiscoveryUpdated(list_update(6, false, vec![moved])));
     assert_eq!(mixer.take_dials()[0].1, 500);
     mixer.feed(Event::LinkConnected(old));
     assert!(mixer.take_calls().is_empty());
@@ -708,12 +712,12 @@
 #[test]
 fn a_moved_discovery_is_asked_for_the_whole_list_at_once() {
     let mut mixer = test_mixer(1);
-    mixer.feed(Event::DiscoveryUpdated(news(6, true, vec![row(0, true)])));
+    mixer.feed(Event::DiscoveryUpdated(list_update(6, true, vec![searcher_entry(0, true)])));
     mixer.effects.clear();
     let at = ([127, 0, 0, 2], 8500).into();
     mixer.feed(Event::DiscoveryMoved(at));
     assert_eq!(mixer.effects, [Effect::WatchDiscovery { at, after: None, long_poll: false }]);
-    mixer.feed(Event::DiscoveryUpdated(news(2, true, vec![row(0, true)])));
+    mixer.feed(Event::DiscoveryUpdated(list_update(2, true, vec![searcher_entry(0, true)])));
     assert!(
         mixer.take_effect(&Effect::WatchDiscovery { at, after: Some(2), long_poll: true }),
         "and watched from its version"
@@ -725,11 +729,11 @@
     let mut mixer = test_mixer(1);
     let mut most_timers = 0;
     for number in 1..200 {
-        let gone = SearcherEntry { removed: true, ..row(number - 1, false) };
+        let removed = SearcherEntry { removed: true, ..searcher_entry(number - 1, false) };
         let changes = if number % 10 == 0 {
-            news(5 + u64::from(number), true, vec![row(number, true)])
+            list_update(5 + u64::from(number), true, vec![searcher_entry(number, true)])
         } else {
-            news(5 + u64::from(number), false, vec![row(number, true), gone])
+            list_update(5 + u64::from(number), false, vec![searcher_entry(number, true), removed])
         };
         mixer.feed(Event::DiscoveryUpdated(changes));
         let client = mixer.send_scan(scan_request(&format!("r{number}"), "look", &[0]));
@@ -751,16 +755,16 @@
 
 #[test_case(scan_request("a", "nothing", &[0]), RequestError::Path; "unknown traffic type")]
 #[test_case(ScanRequest { customer: "b".into(), ..scan_request("a", "look", &[0]) }, invalid_request("an unknown X-Tenant-Id"); "customer")]
-#[test_case(ScanRequest { idempotency_key: None, ..scan_request("a", "fix", &[0]) }, invalid_request("no Idempotency-Key"); "no label")]
+#[test_case(ScanRequest { idempotency_key: None, ..scan_request("a", "fix", &[0]) }, invalid_request("no Idempotency-Key"); "no idempotency key")]
 #[test_case(scan_request("a", "look", &[8]), invalid_request("no range 8"); "unknown shard")]
 #[test_case(scan_request("a", "look", &[1, 1]), invalid_request("a range stands twice"); "duplicate part")]
 #[test_case(scan_request("a", "look", &[]), invalid_request("the portions are not a whole"); "no parts")]
 #[test_case(scan_request("open", "look", &[0]), RequestError::Conflict; "name of an open scan")]
-fn an_invalid_scan_is_refused_at_once(asked: ScanRequest, blame: RequestError) {
+fn an_invalid_scan_is_refused_at_once(request: ScanRequest, error: RequestError) {
     let mut mixer = test_mixer(1);
     mixer.send_scan(scan_request("open", "look", &[0]));
-    let client = mixer.send_scan(asked);
-    assert_eq!(mixer.take_replies(), [(client, Reply::InvalidRequest(blame), false)]);
+    let client = mixer.send_scan(request);
+    assert_eq!(mixer.take_replies(), [(client, Reply::InvalidRequest(error), false)]);
 }
 
 #[test]
@@ -993,14 +997,14 @@
 
 /// A mixer in front of that many searchers, with the index `cues` of the query API.
 fn query_api_mixer(searchers: u16) -> TestMixer {
-    let readings = Settings::parse(SETTINGS.as_bytes()).unwrap();
+    let settings = Settings::parse(SETTINGS.as_bytes()).unwrap();
     let operator =
         OperatorConfig::parse("{ dialect: { indices: { cues: { searches: 'look', customer: 'acme' } } } }")
             .unwrap();
-    let state = State::new(&readings, 7, descriptors_for(10, 10), &operator, "n0").unwrap();
+    let state = State::new(&settings, 7, descriptors_for(10, 10), &operator, "n0").unwrap();
     let now = Moment::at_micros(1_764_000_000_000_000);
     let mut mixer = TestMixer { state, now, timer: None, effects: Vec::new(), clients: 0 };
-    let known = news(5, true, (0..searchers).map(|number| row(number, true)).collect());
+    let known = list_update(5, true, (0..searchers).map(|number| searcher_entry(number, true)).collect());
     let effects = mixer.state.begin(&known, DISCOVERY, now);
     mixer.apply(effects);
     mixer
@@ -1021,7 +1025,7 @@
     let sent = mixer.take_calls()[0].clone();
     mixer.feed(Event::CallWritten(link, sent.call));
     let other = 1 - first;
-    mixer.feed(Event::DiscoveryUpdated(news(6, false, vec![row(other, false)])));
+    mixer.feed(Event::DiscoveryUpdated(list_update(6, false, vec![searcher_entry(other, false)])));
     mixer.answer_part(link, &sent.part_requests[0].id, PartOutcome::Succeeded, "not a valid response");
     assert!(mixer.take_dials().is_empty() && mixer.take_calls().is_empty(), "the other searcher drains");
     let ends = mixer.take_replies();
