--- a/crates/dialect/src/reply.rs
+++ b/crates/dialect/src/reply.rs
@@ -5,7 +5,7 @@
 use crate::merge::{Hit, ShardFound};
 use crate::search::{By, Search};
 use crate::Node;
-use fernglade::Landing;
+use fernglade::RelayOutcome;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
@@ -18,11 +18,11 @@
 
 impl Reply {
     /// What the decision module hears.
-    pub fn landing(&self) -> Landing {
+    pub fn landing(&self) -> RelayOutcome {
         match self {
-            Self::Found(_) => Landing::Honoured,
-            Self::TurnedAway => Landing::TurnedAway,
-            Self::Spoilt(_) => Landing::Erred,
+            Self::Found(_) => RelayOutcome::Succeeded,
+            Self::TurnedAway => RelayOutcome::Rejected,
+            Self::Spoilt(_) => RelayOutcome::Failed,
         }
     }
 
--- a/crates/fronts/src/readings.rs
+++ b/crates/fronts/src/readings.rs
@@ -5,7 +5,7 @@
 use fernglade::replicas::ReplicaTable;
 use fernglade::retry_budget::RetryBudget;
 use fernglade::slow_start::SlowStart;
-use fernglade::{Effect, Span, TrafficType};
+use fernglade::{Idempotency, Span, TrafficType};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -101,9 +101,9 @@
             let whole_from = wholes.get(i).copied().unwrap_or(1.0);
             let word = self.0.get(&at("repeat")).map(String::as_str);
             let effect = match word {
-                Some("pure") => Effect::Redoable,
-                Some("token") => Effect::Labelled(self.span(&at("window"))?),
-                Some("side_effect") | None => Effect::Irreversible,
+                Some("pure") => Idempotency::Idempotent,
+                Some("token") => Idempotency::ByKey(self.span(&at("window"))?),
+                Some("side_effect") | None => Idempotency::NonIdempotent,
                 Some(other) => {
                     return Err(Misread(format!("settings: {}: unknown word {other:.40}", at("repeat"))))
                 }
--- a/crates/fronts/tests/passed_on.rs
+++ b/crates/fronts/tests/passed_on.rs
@@ -2,7 +2,9 @@
 //! by what the mixer does.
 
 use fernglade::choice::Mixer;
-use fernglade::{Host, Landing, Listing, Moment, PartTaken, ScanId, ScanTaken, Searcher, Span, Ticket};
+use fernglade::{
+    Host, Moment, PartRequest, RelayOutcome, ScanId, ScanRequest, Searcher, SearcherEntry, Span, Ticket,
+};
 use fernglade_fronts::Readings;
 use std::collections::VecDeque;
 use test_case::test_case;
@@ -60,21 +62,22 @@
         let readings = Readings::parse(format!("{PLAIN}\n{settings}").as_bytes()).unwrap();
         let mut mixer = readings.mixer(7).unwrap();
         let mut scene = Scene { now: Moment::at_micros(100_000_000), ..Scene::default() };
-        let of = |number| Listing { searcher: Searcher(number), ready: true, ..Listing::default() };
+        let of =
+            |number| SearcherEntry { searcher: Searcher(number), ready: true, ..SearcherEntry::default() };
         mixer.listed(&mut scene, true, &[of(0), of(1), of(2)]);
         Self { mixer, scene, scans: 0 }
     }
 
     fn scan(&mut self, parts: usize) {
         self.scans += 1;
-        let part = PartTaken { shard: 0, weight: 1.0 / parts as f64 };
+        let part = PartRequest { shard: 0, weight: 1.0 / parts as f64 };
         let (left, parts) = (Span::of_millis(4_000), vec![part; parts]);
-        let scan = ScanTaken { traffic_type: 0, customer: 0, left, work: None, repeat: false, parts };
+        let scan = ScanRequest { traffic_type: 0, customer: 0, left, work: None, repeat: false, parts };
         self.mixer.taken(&mut self.scene, ScanId { slot: self.scans, turn: 1 }, scan);
     }
 
     /// What is out ends in this way, twenty milliseconds after it went; and so does what goes out for it.
-    fn land(&mut self, how: Landing) {
+    fn land(&mut self, how: RelayOutcome) {
         while let Some(ticket) = self.scene.out.pop_front() {
             self.scene.now = self.scene.now + Span::of_millis(20);
             self.mixer.landed(&mut self.scene, ticket, how, Span::of_millis(20));
@@ -94,13 +97,13 @@
 }
 
 /// A scan of so many parts, of which the last is honoured, if it has another; all else ends so. Then six seconds pass.
-fn played(settings: &str, parts: usize, how: Landing) -> Vec<String> {
+fn played(settings: &str, parts: usize, how: RelayOutcome) -> Vec<String> {
     let mut play = Play::by(settings);
     play.scan(parts);
     let sound = if parts > 1 { play.scene.out.pop_back() } else { None };
     play.land(how);
     play.scene.out.extend(sound);
-    play.land(Landing::Honoured);
+    play.land(RelayOutcome::Succeeded);
     play.pass(Span::of_millis(6_000));
     play.scene.did
 }
@@ -117,20 +120,20 @@
 #[test_case("services.0.repeat=token\nservices.0.window=10000", 1; "a label's window is over")]
 #[test_case("services.0.repeat=token\nservices.0.window=2000000", 3; "a label's window holds")]
 fn a_failed_part_goes_out_as_often_as_settings_let_it(settings: &str, times: usize) {
-    let did = played(settings, 2, Landing::Erred);
+    let did = played(settings, 2, RelayOutcome::Failed);
     assert_eq!(relays(&did), times, "{did:?}");
 }
 
-#[test_case("", Landing::Erred, "bounces, come back after 0 ms"; "no pause is asked for")]
-#[test_case("limits.retry_after=true\nlimits.max_retry_after=1500000", Landing::Erred, "bounces, come back after 1500 ms"; "the longest pause")]
-#[test_case("services.0.repeat=side_effect", Landing::Erred, "writes off"; "what may have run is not asked for again")]
-#[test_case("services.0.repeat=side_effect", Landing::TurnedAway, "bounces, come back after 0 ms"; "what never ran may be")]
-#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.9", Landing::Erred, "answers, whole false, last true"; "half is more than the floor")]
-#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.5", Landing::Erred, "answers, whole true, last true"; "half is whole")]
-#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.5\nfamily_info.fetch_parts=3", Landing::Erred, "answers, whole true, last false"; "a step that fetches follows")]
-fn a_scan_ends_as_its_traffic_type_says(settings: &str, how: Landing, says: &str) {
+#[test_case("", RelayOutcome::Failed, "bounces, come back after 0 ms"; "no pause is asked for")]
+#[test_case("limits.retry_after=true\nlimits.max_retry_after=1500000", RelayOutcome::Failed, "bounces, come back after 1500 ms"; "the longest pause")]
+#[test_case("services.0.repeat=side_effect", RelayOutcome::Failed, "writes off"; "what may have run is not asked for again")]
+#[test_case("services.0.repeat=side_effect", RelayOutcome::Rejected, "bounces, come back after 0 ms"; "what never ran may be")]
+#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.9", RelayOutcome::Failed, "answers, whole false, last true"; "half is more than the floor")]
+#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.5", RelayOutcome::Failed, "answers, whole true, last true"; "half is whole")]
+#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.5\nfamily_info.fetch_parts=3", RelayOutcome::Failed, "answers, whole true, last false"; "a step that fetches follows")]
+fn a_scan_ends_as_its_traffic_type_says(settings: &str, how: RelayOutcome, says: &str) {
     // Where nothing ran, nothing of a second part has run either.
-    let parts = if how == Landing::TurnedAway { 1 } else { 2 };
+    let parts = if how == RelayOutcome::Rejected { 1 } else { 2 };
     let did = played(&format!("{settings}\nlimits.attempts_cap=1"), parts, how);
     assert!(did.iter().any(|what| what == says), "{did:?}");
 }
@@ -138,7 +141,7 @@
 #[test_case("limits.may_probe=true", true; "by a probe")]
 #[test_case("", false; "by no probe where none is allowed")]
 fn who_could_not_be_reached_is_checked(settings: &str, checks: bool) {
-    let did = played(settings, 2, Landing::Unreached);
+    let did = played(settings, 2, RelayOutcome::Unreachable);
     assert_eq!(did.iter().any(|what| what.starts_with("checks")), checks, "{did:?}");
 }
 
@@ -149,15 +152,20 @@
     let mut play = Play::by(settings);
     for _ in 0..30 {
         play.scan(1);
-        play.land(Landing::Honoured);
+        play.land(RelayOutcome::Succeeded);
     }
     let started = Some(play.scene.now);
-    let of = |number| Listing { searcher: Searcher(number), ready: true, started, ..Listing::default() };
+    let of = |number| SearcherEntry {
+        searcher: Searcher(number),
+        ready: true,
+        started,
+        ..SearcherEntry::default()
+    };
     play.mixer.listed(&mut play.scene, true, &[of(3), of(4)]);
     play.scene.did.clear();
     for _ in 0..40 {
         play.scan(1);
-        play.land(Landing::Honoured);
+        play.land(RelayOutcome::Succeeded);
         play.pass(Span::of_millis(80));
     }
     let sent = relays(&play.scene.did);
--- a/crates/mixer/src/routing/desk.rs
+++ b/crates/mixer/src/routing/desk.rs
@@ -9,7 +9,7 @@
 use super::sums::{Left, Sums};
 use super::{CallId, ClientId, Effect, LinkId, Reply, Tongue};
 use crate::protocol::frames::{Asked, Errand};
-use fernglade::{Host, Landing, Moment, ScanId, Searcher, Span, Ticket};
+use fernglade::{Host, Moment, RelayOutcome, ScanId, Searcher, Span, Ticket};
 use fernglade_fronts::Slots;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -26,7 +26,7 @@
     /// Each part's shard, and its value once it is in.
     pub parts: Vec<(u32, Option<String>)>,
     /// How each part landed last, where it brought no value.
-    pub lost: Vec<Option<Landing>>,
+    pub lost: Vec<Option<RelayOutcome>>,
     /// How many bytes of an answer its values take so far.
     pub size: usize,
     /// What was asked in the query dialect, if it was, and how its nodes are asked it.
@@ -63,7 +63,7 @@
     /// Relays of this event, not yet on a link.
     unplaced: Vec<Ticket>,
     /// Relays that landed while the module was busy, or now.
-    pub landed: VecDeque<(Ticket, Landing, Span)>,
+    pub landed: VecDeque<(Ticket, RelayOutcome, Span)>,
     /// Checks that ended while the module was busy.
     pub checked: VecDeque<(Searcher, bool)>,
     /// Clients that asked for several scans in one request; each goes with its answer, or its client.
@@ -80,17 +80,17 @@
 }
 
 impl Desk {
-    pub fn land(&mut self, ticket: Ticket, how: Landing) -> Option<Relay> {
+    pub fn land(&mut self, ticket: Ticket, how: RelayOutcome) -> Option<Relay> {
         let relay = self.relays.remove(&ticket)?;
         if let Some(lost) = self.scans.get_mut(relay.scan).and_then(|open| open.lost.get_mut(relay.part)) {
-            *lost = Some(how).filter(|how| *how != Landing::Honoured);
+            *lost = Some(how).filter(|how| *how != RelayOutcome::Succeeded);
         }
         self.landed.push_back((ticket, how, self.now.since(relay.left)));
         Some(relay)
     }
 
     /// Ends our wait for a relay. What has not been written of it never is.
-    pub fn give_up(&mut self, ticket: Ticket, how: Landing) {
+    pub fn give_up(&mut self, ticket: Ticket, how: RelayOutcome) {
         let Some(relay) = self.land(ticket, how) else { return };
         let (Some((link_id, call_id)), id) = (relay.place, relay.errand.id) else { return };
         let Some(link) = self.pool.links.get_mut(&link_id) else { return };
@@ -163,7 +163,7 @@
     /// A ticket may be let again: the relay is meant whose time is over now.
     pub fn overdue(&mut self, ticket: Ticket, due: Moment) {
         if self.relays.get(&ticket).is_some_and(|relay| relay.due == due) {
-            self.give_up(ticket, Landing::Silent);
+            self.give_up(ticket, RelayOutcome::TimedOut);
         }
     }
 
@@ -176,7 +176,7 @@
         match self.stand(ticket) {
             Some(Stand::Out) => {}
             Some(Stand::Handed | Stand::Recalled) => self.take_back(ticket),
-            Some(Stand::Held) | None => self.give_up(ticket, Landing::Unsent),
+            Some(Stand::Held) | None => self.give_up(ticket, RelayOutcome::NotSent),
         }
     }
 
@@ -234,11 +234,11 @@
         let ready = self.roll.is_ready(link.to);
         for ticket in call.parts {
             if self.relays.get(&ticket).is_some_and(|relay| relay.unwanted) {
-                self.land(ticket, Landing::CalledOff);
+                self.land(ticket, RelayOutcome::Cancelled);
             } else if ready {
                 self.unplaced.push(ticket);
             } else {
-                self.land(ticket, Landing::Unsent);
+                self.land(ticket, RelayOutcome::NotSent);
             }
         }
     }
@@ -308,7 +308,7 @@
         if self.relays.get(&ticket).is_some_and(|relay| relay.errand.asked.is_some()) {
             self.place(to, &[ticket]);
         } else {
-            self.land(ticket, Landing::Unsent);
+            self.land(ticket, RelayOutcome::NotSent);
         }
     }
 
@@ -317,7 +317,7 @@
         let found =
             address.and_then(|address| self.pool.with_room(to, address).or_else(|| self.dial(to, address)));
         let Some(link_id) = found else {
-            tickets.iter().for_each(|ticket| drop(self.land(*ticket, Landing::Unsent)));
+            tickets.iter().for_each(|ticket| drop(self.land(*ticket, RelayOutcome::NotSent)));
             return;
         };
         let call_id = CallId(self.pool.number());
@@ -396,7 +396,7 @@
     fn relay(&mut self, ticket: Ticket, scan: ScanId, part: usize, to: Searcher, patience: Span) {
         let due = self.now + patience;
         let Some(open) = self.scans.get(scan) else {
-            self.landed.push_back((ticket, Landing::Unsent, Span::ZERO));
+            self.landed.push_back((ticket, RelayOutcome::NotSent, Span::ZERO));
             return;
         };
         let shard = open.parts[part].0;
@@ -422,7 +422,7 @@
         match self.stand(ticket) {
             Some(Stand::Out) if !self.may_call_off => {}
             Some(Stand::Handed | Stand::Recalled) if !self.may_call_off => self.take_back(ticket),
-            _ => self.give_up(ticket, Landing::CalledOff),
+            _ => self.give_up(ticket, RelayOutcome::Cancelled),
         }
     }
 
--- a/crates/mixer/src/routing/ending.rs
+++ b/crates/mixer/src/routing/ending.rs
@@ -1,6 +1,6 @@
 //! The ways in which a connection ends, and what each means for the parts on it.
 
-use fernglade::Landing;
+use fernglade::RelayOutcome;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
@@ -30,15 +30,15 @@
 
 impl Ending {
     /// How a part lands whose connection ended so; `out` tells whether its call's last byte was written.
-    pub fn landing(self, out: bool) -> Landing {
+    pub fn landing(self, out: bool) -> RelayOutcome {
         match (self, out) {
-            (Ending::Short, _) | (Ending::Stuck | Ending::HungUp, false) => Landing::Unsent,
-            (Ending::Refused | Ending::NeverUp | Ending::NoWay, _) | (_, false) => Landing::Unreached,
-            (Ending::HungUp, true) => Landing::CalledOff,
-            (Ending::Stuck, true) => Landing::Silent,
+            (Ending::Short, _) | (Ending::Stuck | Ending::HungUp, false) => RelayOutcome::NotSent,
+            (Ending::Refused | Ending::NeverUp | Ending::NoWay, _) | (_, false) => RelayOutcome::Unreachable,
+            (Ending::HungUp, true) => RelayOutcome::Cancelled,
+            (Ending::Stuck, true) => RelayOutcome::TimedOut,
             // It is there, and talks: a failed part that may have run, and no connection that dropped.
-            (Ending::Garbled | Ending::Objected, true) => Landing::Erred,
-            (Ending::ClosedIdle | Ending::Ended | Ending::Broke, true) => Landing::Dropped,
+            (Ending::Garbled | Ending::Objected, true) => RelayOutcome::Failed,
+            (Ending::ClosedIdle | Ending::Ended | Ending::Broke, true) => RelayOutcome::ConnectionLost,
         }
     }
 }
--- a/crates/mixer/src/routing/query.rs
+++ b/crates/mixer/src/routing/query.rs
@@ -5,7 +5,7 @@
 use super::Reply;
 use crate::protocol::frames::Asked;
 use crate::protocol::scans::{Ask, AskedPart, Blame};
-use fernglade::{Effect as Redoing, Landing, Moment, TrafficType};
+use fernglade::{Idempotency, Moment, RelayOutcome, TrafficType};
 use fernglade_dialect::answer::{bounced, counted, found, written_off, Missing, Shards};
 use fernglade_dialect::endpoint::Line;
 use fernglade_dialect::errand::errand;
@@ -108,12 +108,12 @@
             let Some(searches) = kind(&index.searches) else {
                 return wrong(format!("searches: no traffic type {}", index.searches));
             };
-            if searches.effect != Redoing::Redoable {
+            if searches.effect != Idempotency::Idempotent {
                 return wrong(format!("searches: {} may not run again, and searches may", index.searches));
             }
             match index.edits.as_ref().map(|edits| (edits, kind(edits))) {
                 Some((edits, None)) => return wrong(format!("edits: no traffic type {edits}")),
-                Some((edits, Some(kind))) if kind.effect == Redoing::Redoable => {
+                Some((edits, Some(kind))) if kind.effect == Idempotency::Idempotent => {
                     return wrong(format!("edits: {edits} may run again, and edits may not"));
                 }
                 _ => {}
@@ -152,7 +152,7 @@
         let Some((_, kind)) = types.iter().find(|(known, _)| known == traffic_type) else {
             return Err(no_index(name));
         };
-        if matches!(kind.effect, Redoing::Labelled(_)) && label.is_none() {
+        if matches!(kind.effect, Idempotency::ByKey(_)) && label.is_none() {
             return Err(Fault::argument("an edit of this index needs an Idempotency-Key"));
         }
         if shards.is_empty() {
@@ -172,7 +172,7 @@
         };
         // Both have to allow it.
         let partial = index.partial && request.partial != Some(false);
-        Ok((ask, Held { partial, once: kind.effect != Redoing::Redoable, request, began: now }))
+        Ok((ask, Held { partial, once: kind.effect != Idempotency::Idempotent, request, began: now }))
     }
 }
 
@@ -197,7 +197,7 @@
         match &self.request.what {
             What::Search { index, search } | What::Count { index, search } => {
                 let found = NodeReply::read(200, value.as_bytes(), index, &given(search));
-                found.landing() == Landing::Honoured
+                found.landing() == RelayOutcome::Succeeded
             }
             _ => true,
         }
@@ -280,11 +280,11 @@
     Search { from: 0, size: search.window(), timeout: None, ..search.clone() }
 }
 
-fn missing(lost: Option<Landing>) -> Missing {
+fn missing(lost: Option<RelayOutcome>) -> Missing {
     match lost {
-        Some(Landing::TurnedAway) => Missing::TurnedAway,
-        Some(Landing::Silent | Landing::CalledOff) => Missing::Late,
-        None | Some(Landing::Unsent) => Missing::Skipped,
+        Some(RelayOutcome::Rejected) => Missing::TurnedAway,
+        Some(RelayOutcome::TimedOut | RelayOutcome::Cancelled) => Missing::Late,
+        None | Some(RelayOutcome::NotSent) => Missing::Skipped,
         Some(_) => Missing::Failed,
     }
 }
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -12,7 +12,9 @@
 use crate::protocol::scans::{Ask, Blame, PART_FRAME};
 use crate::protocol::MOST_BODY;
 use fernglade::choice::Mixer;
-use fernglade::{Effect as Redoing, Host, Landing, Moment, PartTaken, ScanTaken, Span, Ticket, TrafficType};
+use fernglade::{
+    Host, Idempotency, Moment, PartRequest, RelayOutcome, ScanRequest, Span, Ticket, TrafficType,
+};
 use fernglade_admission::{Act, Descriptors, Guest};
 use fernglade_dialect::request::{health, root, table, Request, What};
 use fernglade_fronts::{Misread, Readings};
@@ -306,7 +308,7 @@
     }
 
     /// The scan in the module's terms, if it makes sense here.
-    fn taken(&self, ask: &Ask, began: Moment) -> Result<ScanTaken, Blame> {
+    fn taken(&self, ask: &Ask, began: Moment) -> Result<ScanRequest, Blame> {
         let wrong = |what: String| Err(Blame::Request(what));
         let Some(traffic_type) = self.types.iter().position(|(name, _)| *name == ask.traffic_type) else {
             return Err(Blame::Path);
@@ -315,7 +317,7 @@
         if customer.is_none() && !self.customers.is_empty() {
             return wrong("an unknown X-Tenant-Id".into());
         }
-        if matches!(self.types[traffic_type].1.effect, Redoing::Labelled(_)) && ask.label.is_none() {
+        if matches!(self.types[traffic_type].1.effect, Idempotency::ByKey(_)) && ask.label.is_none() {
             return wrong("no Idempotency-Key".into());
         }
         if self.desk.names.contains(&ask.name) {
@@ -333,8 +335,9 @@
         if (sum - 1.0).abs() > 0.01 {
             return wrong("the portions are not a whole".into());
         }
-        let parts = ask.parts.iter().map(|p| PartTaken { shard: p.shard, weight: p.weight / sum }).collect();
-        Ok(ScanTaken {
+        let parts =
+            ask.parts.iter().map(|p| PartRequest { shard: p.shard, weight: p.weight / sum }).collect();
+        Ok(ScanRequest {
             traffic_type,
             customer: customer.unwrap_or(0),
             left: ask.left.less(self.desk.now.since(began)),
@@ -371,30 +374,30 @@
         }
         let how = match end {
             PartEnd::Honoured => self.keep_value(ticket, value),
-            PartEnd::Erred => Landing::Erred,
-            PartEnd::TurnedAway => Landing::TurnedAway,
+            PartEnd::Erred => RelayOutcome::Failed,
+            PartEnd::TurnedAway => RelayOutcome::Rejected,
         };
         self.desk.land(ticket, how);
     }
 
     /// A value that leaves no room for it in an answer is as good as none.
-    fn keep_value(&mut self, ticket: Ticket, value: String) -> Landing {
-        let Some(relay) = self.desk.relays.get(&ticket) else { return Landing::Erred };
-        let Some(open) = self.desk.scans.get_mut(relay.scan) else { return Landing::Honoured };
+    fn keep_value(&mut self, ticket: Ticket, value: String) -> RelayOutcome {
+        let Some(relay) = self.desk.relays.get(&ticket) else { return RelayOutcome::Failed };
+        let Some(open) = self.desk.scans.get_mut(relay.scan) else { return RelayOutcome::Succeeded };
         // Each byte may take six where it is escaped; plain ones are the rule.
         let escaped = value.bytes().filter(|b| *b < b' ' || matches!(b, b'"' | b'\\')).count();
         let size = open.size + value.len() + 5 * escaped + PART_FRAME;
         if size > MOST_BODY - PART_FRAME {
-            return Landing::Erred;
+            return RelayOutcome::Failed;
         }
         let of_node = self.desk.roll.tongue(relay.to) == Tongue::Dialect;
         let takes = |held: &Held| if of_node { held.takes_from_node(&value) } else { held.takes(&value) };
         if open.query.as_ref().is_some_and(|held| !takes(held)) {
-            return Landing::Erred;
+            return RelayOutcome::Failed;
         }
         open.size = size;
         open.parts[relay.part].1 = Some(value);
-        Landing::Honoured
+        RelayOutcome::Succeeded
     }
 
     fn speaks(&mut self, link_id: LinkId, version: String) {
@@ -472,7 +475,7 @@
         for call in link.calls.into_values() {
             let how = ending.landing(call.stand == Stand::Out);
             for ticket in call.parts {
-                if !(link.up && how == Landing::Unreached && self.desk.goes_on(ticket)) {
+                if !(link.up && how == RelayOutcome::Unreachable && self.desk.goes_on(ticket)) {
                     self.desk.land(ticket, how);
                 }
             }
--- a/crates/mixer/src/routing/tests.rs
+++ b/crates/mixer/src/routing/tests.rs
@@ -4,7 +4,7 @@
 use crate::protocol::frames::{Errand, PartEnd};
 use crate::protocol::lists::{News, Row};
 use crate::protocol::scans::{Ask, AskedPart, Blame};
-use fernglade::{Landing, Moment, Span};
+use fernglade::{Moment, RelayOutcome, Span};
 use fernglade_admission::Descriptors;
 use fernglade_fronts::Readings;
 use fernglade_orders::Operator;
@@ -196,22 +196,22 @@
     assert_eq!(play.replies(), [(client, Reply::Answer { whole: true, values }, false)]);
 }
 
-#[test_case(Ending::Refused, false, Landing::Unreached)]
-#[test_case(Ending::NeverUp, false, Landing::Unreached)]
-#[test_case(Ending::NoWay, false, Landing::Unreached)]
-#[test_case(Ending::Short, false, Landing::Unsent; "a shortage of ours says nothing of the searcher")]
-#[test_case(Ending::Ended, true, Landing::Dropped)]
-#[test_case(Ending::Ended, false, Landing::Unreached; "broken before its last byte, it never ran")]
-#[test_case(Ending::ClosedIdle, true, Landing::Dropped)]
-#[test_case(Ending::Broke, true, Landing::Dropped)]
-#[test_case(Ending::Broke, false, Landing::Unreached)]
-#[test_case(Ending::Garbled, true, Landing::Erred; "it talks, so it has not died")]
-#[test_case(Ending::Objected, true, Landing::Erred)]
-#[test_case(Ending::Stuck, true, Landing::Silent)]
-#[test_case(Ending::Stuck, false, Landing::Unsent)]
-#[test_case(Ending::HungUp, true, Landing::CalledOff)]
-#[test_case(Ending::HungUp, false, Landing::Unsent)]
-fn each_ending_means_one_landing(ending: Ending, out: bool, landing: Landing) {
+#[test_case(Ending::Refused, false, RelayOutcome::Unreachable)]
+#[test_case(Ending::NeverUp, false, RelayOutcome::Unreachable)]
+#[test_case(Ending::NoWay, false, RelayOutcome::Unreachable)]
+#[test_case(Ending::Short, false, RelayOutcome::NotSent; "a shortage of ours says nothing of the searcher")]
+#[test_case(Ending::Ended, true, RelayOutcome::ConnectionLost)]
+#[test_case(Ending::Ended, false, RelayOutcome::Unreachable; "broken before its last byte, it never ran")]
+#[test_case(Ending::ClosedIdle, true, RelayOutcome::ConnectionLost)]
+#[test_case(Ending::Broke, true, RelayOutcome::ConnectionLost)]
+#[test_case(Ending::Broke, false, RelayOutcome::Unreachable)]
+#[test_case(Ending::Garbled, true, RelayOutcome::Failed; "it talks, so it has not died")]
+#[test_case(Ending::Objected, true, RelayOutcome::Failed)]
+#[test_case(Ending::Stuck, true, RelayOutcome::TimedOut)]
+#[test_case(Ending::Stuck, false, RelayOutcome::NotSent)]
+#[test_case(Ending::HungUp, true, RelayOutcome::Cancelled)]
+#[test_case(Ending::HungUp, false, RelayOutcome::NotSent)]
+fn each_ending_means_one_landing(ending: Ending, out: bool, landing: RelayOutcome) {
     assert_eq!(ending.landing(out), landing);
 }
 
--- a/crates/shedding/src/fleet.rs
+++ b/crates/shedding/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::asks::Asks;
 use crate::purse::Purse;
 use crate::shedder::Shedder;
-use fernglade::{Fleet, Heard, Knock, Moment, Span};
+use fernglade::{AdmissionRequest, FleetPolicy, Moment, PartResult, Span};
 
 /// What is left out decides nothing: the module goes on by itself there.
 #[derive(Clone, Debug, Default)]
@@ -16,12 +16,12 @@
     pub asks: Option<Asks>,
 }
 
-impl Fleet for AsOne {
-    fn lets_in(&mut self, now: Moment, knock: &Knock) -> Option<Result<f64, f64>> {
+impl FleetPolicy for AsOne {
+    fn lets_in(&mut self, now: Moment, knock: &AdmissionRequest) -> Option<Result<f64, f64>> {
         self.shedder.as_mut().map(|shedder| shedder.lets_in(now, knock))
     }
 
-    fn landed(&mut self, now: Moment, heard: &Heard) {
+    fn landed(&mut self, now: Moment, heard: &PartResult) {
         self.shedder.iter_mut().for_each(|shedder| shedder.landed(now, heard));
         self.purse.iter_mut().for_each(|purse| purse.landed(now, heard.cell, heard.how));
     }
--- a/crates/shedding/src/lib.rs
+++ b/crates/shedding/src/lib.rs
@@ -3,7 +3,7 @@
 //! Pure: no sockets, no clock; time and seeds come in as arguments. Mixers do not talk: what one sheds the others shed
 //! too because they put scans in the same order and hear the same searchers; what each may relay and ask is its part.
 //!
-//! Called by the decision module (`src/choice.rs`) by the trait [`fernglade::Fleet`]: it asks before a scan's parts
+//! Called by the decision module (`src/choice.rs`) by the trait [`fernglade::FleetPolicy`]: it asks before a scan's parts
 //! are placed, and tells of each part that lands. Switched on by the operator's file; without it nothing is shed here.
 //!
 //! - [`Order`]: where a scan stands between nothing and one; who stands low is let in first
--- a/crates/shedding/src/order.rs
+++ b/crates/shedding/src/order.rs
@@ -2,7 +2,7 @@
 //! worth less already), retries behind firsts, then a hash of what the scan is about.
 
 use crate::unit;
-use fernglade::{Knock, Moment};
+use fernglade::{AdmissionRequest, Moment};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Worth by halves, eight of them, as a credit over its customer's share is a tenth and the platform's credits lie
@@ -27,7 +27,7 @@
 impl Order {
     /// Counts a scan in, and says where it stands: from nothing, which goes last, to just under one. As bands take
     /// the share that they are of what is offered, letting in all below a share lets in that share of the work.
-    pub fn place(&mut self, now: Moment, knock: &Knock) -> f64 {
+    pub fn place(&mut self, now: Moment, knock: &AdmissionRequest) -> f64 {
         self.fade(now);
         let band = band(knock.worth, knock.repeat);
         self.offered[band] += knock.parts.len() as f64;
@@ -50,7 +50,7 @@
 }
 
 /// What it is about, as a number from nothing to one: the same at every mixer, and for a retry, while it holds.
-fn about(now: Moment, knock: &Knock) -> f64 {
+fn about(now: Moment, knock: &AdmissionRequest) -> f64 {
     let mut shards: Vec<u32> = knock.parts.iter().map(|part| part.shard).collect();
     shards.sort_unstable();
     let bytes: Vec<u8> = shards.iter().flat_map(|shard| shard.to_le_bytes()).collect();
--- a/crates/shedding/src/purse.rs
+++ b/crates/shedding/src/purse.rs
@@ -3,7 +3,7 @@
 //! of its own, drawn evenly: of many buckets that each have a tenth of a relay to give, one in ten gives one.
 
 use crate::unit;
-use fernglade::{Landing, Moment};
+use fernglade::{Moment, RelayOutcome};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -79,8 +79,8 @@
     }
 
     /// A part has ended: what is honoured earns.
-    pub fn landed(&mut self, now: Moment, cell: u32, how: Landing) {
-        self.add(now, cell, if how == Landing::Honoured { SHARE } else { 0.0 });
+    pub fn landed(&mut self, now: Moment, cell: u32, how: RelayOutcome) {
+        self.add(now, cell, if how == RelayOutcome::Succeeded { SHARE } else { 0.0 });
     }
 
     fn add(&mut self, now: Moment, cell: u32, more: f64) {
--- a/crates/shedding/src/shedder.rs
+++ b/crates/shedding/src/shedder.rs
@@ -2,13 +2,13 @@
 
 use crate::level::{Level, Loop, Strain};
 use crate::order::Order;
-use fernglade::{Heard, Knock, Landing, Moment, Span};
+use fernglade::{AdmissionRequest, Moment, PartResult, RelayOutcome, Span};
 use std::collections::BTreeMap;
 
 /// The queue that is wanted, and the width of the loop: half of what a part takes with none, which is what the limits
 /// in flight aim at (one and a half times the shortest), so that the order has turned away what they would have; and
 /// at the most a quarter of the time beside the work, where that is short.
-fn wanted(heard: &Heard) -> Span {
+fn wanted(heard: &PartResult) -> Span {
     (heard.shortest * 0.5).min(heard.quoted.less(heard.shortest) * 0.25).max(Span::of_micros(1))
 }
 
@@ -24,15 +24,15 @@
 }
 
 /// What a part's end says of the load where it was: nothing, where it says nothing of a queue.
-pub fn strain(heard: &Heard) -> Option<Strain> {
+pub fn strain(heard: &PartResult) -> Option<Strain> {
     // In widths, of which the first is wanted.
     let queue = heard.took.less(heard.shortest).as_f64() / wanted(heard).as_f64();
     let told = |queue, beyond| Some(Strain { queue, beyond });
     match heard.how {
-        Landing::TurnedAway => told(1.0, 1.0),
+        RelayOutcome::Rejected => told(1.0, 1.0),
         // From half of the way down to none at all the queue says less and less of how much more could be done.
-        Landing::Honoured => told((queue - 1.0).min(1.0), (2.0 * queue - 1.0).min(0.0)),
-        Landing::Silent | Landing::CalledOff if queue >= 2.0 => told(1.0, 0.0),
+        RelayOutcome::Succeeded => told((queue - 1.0).min(1.0), (2.0 * queue - 1.0).min(0.0)),
+        RelayOutcome::TimedOut | RelayOutcome::Cancelled if queue >= 2.0 => told(1.0, 0.0),
         _ => None,
     }
 }
@@ -52,7 +52,7 @@
     }
 
     /// Where a scan stands among those let in, or the share of the longest pause that its client is told.
-    pub fn lets_in(&mut self, now: Moment, knock: &Knock) -> Result<f64, f64> {
+    pub fn lets_in(&mut self, now: Moment, knock: &AdmissionRequest) -> Result<f64, f64> {
         let stands = self.order.place(now, knock);
         let level = self.level(now, knock.parts.iter().map(|part| part.shard % knock.cells.max(1)));
         let share = (-level).exp();
@@ -66,7 +66,7 @@
     }
 
     /// Takes in how a part ended.
-    pub fn landed(&mut self, now: Moment, heard: &Heard) {
+    pub fn landed(&mut self, now: Moment, heard: &PartResult) {
         let Some(strain) = strain(heard) else { return };
         let told = Loop { width: wanted(heard), target: heard.shortest + wanted(heard) };
         // The most hurried traffic type has the narrowest loop, and all go by that.
--- a/crates/shedding/tests/fleet.rs
+++ b/crates/shedding/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Many mixers before one queue in made-up time: each hears only of its own parts, and the sums are judged.
 
-use fernglade::{Heard, Knock, Landing, Moment, PartTaken, Span};
+use fernglade::{AdmissionRequest, Moment, PartRequest, PartResult, RelayOutcome, Span};
 use fernglade_shedding::Shedder;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
@@ -40,14 +40,14 @@
             landings.peek().copied().filter(|l| l.0 .0 <= now)
         {
             landings.pop();
-            let how = if served { Landing::Honoured } else { Landing::TurnedAway };
+            let how = if served { RelayOutcome::Succeeded } else { RelayOutcome::Rejected };
             let (took, quoted) = (Span::of_micros(took), Span::of_micros(QUOTED));
-            let heard = Heard { cell: 0, how, took, quoted, shortest: Span::of_micros(WORK) };
+            let heard = PartResult { cell: 0, how, took, quoted, shortest: Span::of_micros(WORK) };
             fleet[mixer].landed(Moment::at_micros(at), &heard);
         }
         let mixer = if chance.random_bool(first) { 0 } else { chance.random_range(0..mixers) };
-        let parts = [PartTaken { shard: chance.random_range(0..1 << 20), weight: 1.0 }];
-        let knock = Knock { worth: 1.0, repeat: false, parts: &parts, cells: 1 };
+        let parts = [PartRequest { shard: chance.random_range(0..1 << 20), weight: 1.0 }];
+        let knock = AdmissionRequest { worth: 1.0, repeat: false, parts: &parts, cells: 1 };
         let line = &mut seconds[second];
         line.offered += 1;
         if fleet[mixer].lets_in(Moment::at_micros(now), &knock).is_err() {
--- a/crates/shedding/tests/order.rs
+++ b/crates/shedding/tests/order.rs
@@ -1,23 +1,23 @@
 //! The order of shedding, and what holds of levels whatever is heard.
 
-use fernglade::{Heard, Knock, Landing, Moment, PartTaken, Span};
+use fernglade::{AdmissionRequest, Moment, PartRequest, PartResult, RelayOutcome, Span};
 use fernglade_shedding::{Level, Loop, Order, Shedder, Strain, MOST};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 const BEGAN: u64 = 100_000_000;
 
-fn parts(shards: &[u32]) -> Vec<PartTaken> {
-    shards.iter().map(|shard| PartTaken { shard: *shard, weight: 1.0 }).collect()
+fn parts(shards: &[u32]) -> Vec<PartRequest> {
+    shards.iter().map(|shard| PartRequest { shard: *shard, weight: 1.0 }).collect()
 }
 
-fn knock(worth: f64, repeat: bool, parts: &[PartTaken]) -> Knock<'_> {
-    Knock { worth, repeat, parts, cells: 4 }
+fn knock(worth: f64, repeat: bool, parts: &[PartRequest]) -> AdmissionRequest<'_> {
+    AdmissionRequest { worth, repeat, parts, cells: 4 }
 }
 
-fn heard(cell: u32, how: Landing, took: u64) -> Heard {
+fn heard(cell: u32, how: RelayOutcome, took: u64) -> PartResult {
     let (quoted, shortest) = (Span::of_millis(500), Span::of_millis(20));
-    Heard { cell, how, took: Span::of_millis(took), quoted, shortest }
+    PartResult { cell, how, took: Span::of_millis(took), quoted, shortest }
 }
 
 #[test]
@@ -56,7 +56,7 @@
     for step in 0..1_500 {
         for mixer in &mut fleet {
             for cell in 0..4 {
-                let how = if cell == 2 { Landing::TurnedAway } else { Landing::Honoured };
+                let how = if cell == 2 { RelayOutcome::Rejected } else { RelayOutcome::Succeeded };
                 mixer.landed(at(step), &heard(cell, how, 20));
             }
             let shards = parts(&[step as u32 % 50]);
@@ -78,7 +78,7 @@
 }
 
 /// Asked of a copy, so that asking changes nothing.
-fn takes(mixer: &Shedder, now: Moment, parts: &[PartTaken]) -> bool {
+fn takes(mixer: &Shedder, now: Moment, parts: &[PartRequest]) -> bool {
     mixer.clone().lets_in(now, &knock(1.0, false, parts)).is_ok()
 }
 
@@ -86,10 +86,10 @@
 fn the_lowest_is_a_trickle_and_those_turned_away_are_spread() {
     let mut mixer = Shedder::default();
     let at = |step: u64| Moment::at_micros(BEGAN + step * 5_000);
-    (0..6_000).for_each(|step| mixer.landed(at(step), &heard(0, Landing::TurnedAway, 1)));
+    (0..6_000).for_each(|step| mixer.landed(at(step), &heard(0, RelayOutcome::Rejected, 1)));
     let (mut let_in, mut pauses) = (0, Vec::new());
     for step in 6_000..16_000 {
-        mixer.landed(at(step), &heard(0, Landing::TurnedAway, 1));
+        mixer.landed(at(step), &heard(0, RelayOutcome::Rejected, 1));
         match mixer.lets_in(at(step), &knock(1.0, false, &parts(&[step as u32]))) {
             Ok(_) => let_in += 1,
             Err(pause) => pauses.push(pause),
@@ -159,8 +159,8 @@
     fn a_shedder_answers_whatever_it_hears(
         told in prop::collection::vec((0u64..5_000_000, 0u32..6, 0usize..8, 0u64..3_000), 0..200),
     ) {
-        let ends = [Landing::Honoured, Landing::Erred, Landing::TurnedAway, Landing::Unreached, Landing::Silent,
-            Landing::Dropped, Landing::CalledOff, Landing::Unsent];
+        let ends = [RelayOutcome::Succeeded, RelayOutcome::Failed, RelayOutcome::Rejected, RelayOutcome::Unreachable, RelayOutcome::TimedOut,
+            RelayOutcome::ConnectionLost, RelayOutcome::Cancelled, RelayOutcome::NotSent];
         let mut mixer = Shedder::default();
         for (at, cell, how, took) in told {
             let now = Moment::at_micros(BEGAN + at);
--- a/crates/shedding/tests/sums.rs
+++ b/crates/shedding/tests/sums.rs
@@ -1,6 +1,6 @@
 //! What many mixers relay and ask in sum, in made-up time: none knows of another, and the sums are judged.
 
-use fernglade::{Landing, Moment, Span};
+use fernglade::{Moment, RelayOutcome, Span};
 use fernglade_shedding::{Asks, Purse, A_SECOND, SHARE};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -32,11 +32,11 @@
         let counted = step >= 30 * RATE;
         if !counted || !chance.random_bool(lost) {
             sums.honoured += usize::from(counted);
-            fleet[mixer].landed(now, 3, Landing::Honoured);
+            fleet[mixer].landed(now, 3, RelayOutcome::Succeeded);
             continue;
         }
         sums.lost += 1;
-        fleet[mixer].landed(now, 3, Landing::TurnedAway);
+        fleet[mixer].landed(now, 3, RelayOutcome::Rejected);
         if fleet[mixer].may_relay(now, 3) {
             fleet[mixer].relayed(now, 3);
             sums.relayed += 1;
@@ -144,11 +144,11 @@
             now = now + Span::of_micros(gap);
             let here = cell as usize;
             if what == 0 {
-                purse.landed(now, cell, Landing::Honoured);
+                purse.landed(now, cell, RelayOutcome::Succeeded);
                 honoured[here] += 1;
                 continue;
             }
-            purse.landed(now, cell, Landing::Dropped);
+            purse.landed(now, cell, RelayOutcome::ConnectionLost);
             if purse.may_relay(now, cell) {
                 purse.relayed(now, cell);
                 relayed[here] += 1;
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -2,7 +2,9 @@
 
 use crate::wire::{Fields, Malformed, Reply};
 use fernglade::choice::Mixer;
-use fernglade::{Host, Landing, Listing, Moment, PartTaken, ScanId, ScanTaken, Searcher, Span, Ticket};
+use fernglade::{
+    Host, Moment, PartRequest, RelayOutcome, ScanId, ScanRequest, Searcher, SearcherEntry, Span, Ticket,
+};
 use fernglade_fronts::{Numbers, Readings, Slots};
 use std::collections::{BTreeSet, HashMap};
 
@@ -146,8 +148,8 @@
 struct Arriving {
     id: ScanId,
     /// None for the parts of a second step.
-    scan: Option<ScanTaken>,
-    parts: Vec<PartTaken>,
+    scan: Option<ScanRequest>,
+    parts: Vec<PartRequest>,
 }
 
 /// The status of a searcher that has left the list.
@@ -184,7 +186,7 @@
     pub fn hand_over(&mut self, now: Moment, reply: &mut Reply) {
         let Some(Arriving { id, scan, parts }) = self.arriving.take() else { return };
         self.with(now, reply, |mixer, host| match scan {
-            Some(scan) => mixer.taken(host, id, ScanTaken { parts, ..scan }),
+            Some(scan) => mixer.taken(host, id, ScanRequest { parts, ..scan }),
             None => mixer.more_parts(host, id, &parts),
         });
     }
@@ -199,7 +201,7 @@
         let work = (options & 1 != 0).then(|| Span::of_micros(hint.into()));
         if shard < 0.0 {
             self.hand_over(now, reply);
-            let scan = ScanTaken {
+            let scan = ScanRequest {
                 traffic_type: class.into(),
                 customer: team.into(),
                 left: Span::of_micros(left.into()),
@@ -216,7 +218,7 @@
             self.hand_over(now, reply);
             self.arriving = Some(Arriving { id, scan: None, parts: Vec::new() });
         }
-        let part = PartTaken { shard: shard as u32, weight: f64::from(weight) };
+        let part = PartRequest { shard: shard as u32, weight: f64::from(weight) };
         self.arriving.iter_mut().for_each(|a| a.parts.push(part));
         self.books.open.get_mut(id).into_iter().for_each(|held| held.parts.push((corr, 0)));
         Ok(())
@@ -228,14 +230,14 @@
         }
         let entries = entries.map_or(&[][..], Vec::as_slice);
         let dear_outside = self.dear_outside;
-        let listing = |entry: &Entry| Listing {
+        let listing = |entry: &Entry| SearcherEntry {
             searcher: self.books.searchers.number(&entry.wire_id),
             cell: entry.cell.into(),
             ready: entry.status == 0,
             started: (entry.started != 0).then(|| Moment::at_micros(entry.started)),
             dear: dear_outside.is_some_and(|home| entry.zone != home),
         };
-        let listings: Vec<Listing> = entries.iter().map(listing).collect();
+        let listings: Vec<SearcherEntry> = entries.iter().map(listing).collect();
         self.with(now, reply, |mixer, host| mixer.listed(host, how != 0, &listings));
         let (gone, here): (Vec<&Entry>, Vec<&Entry>) = entries.iter().partition(|entry| entry.status == GONE);
         let ids = |entries: Vec<&Entry>| entries.iter().map(|entry| entry.wire_id).collect::<BTreeSet<u32>>();
@@ -247,14 +249,14 @@
         let mut fields = Fields::new(fields, "Result");
         let (corr, number, _searcher) = (fields.u64()?, fields.u16()?, fields.u32()?);
         let how = match fields.u8()? {
-            0 => Landing::Honoured,
-            5 => Landing::Erred,
-            11 => Landing::TurnedAway,
-            104 => Landing::Dropped,
-            110 => Landing::Silent,
-            111 => Landing::Unreached,
-            114 => Landing::Unsent,
-            125 => Landing::CalledOff,
+            0 => RelayOutcome::Succeeded,
+            5 => RelayOutcome::Failed,
+            11 => RelayOutcome::Rejected,
+            104 => RelayOutcome::ConnectionLost,
+            110 => RelayOutcome::TimedOut,
+            111 => RelayOutcome::Unreachable,
+            114 => RelayOutcome::NotSent,
+            125 => RelayOutcome::Cancelled,
             other => return Err(Malformed(format!("Result: unknown disposition {other}"))),
         };
         let took = Span::of_micros(fields.u32()?.into());
--- a/crates/standins/tests/cues.rs
+++ b/crates/standins/tests/cues.rs
@@ -1,6 +1,6 @@
 //! Searches over many shards give what they give over one that has all of it.
 
-use fernglade::{Landing, Span};
+use fernglade::{RelayOutcome, Span};
 use fernglade_dialect::answer::{found, Shards};
 use fernglade_dialect::endpoint::{endpoint, preferred, Endpoint};
 use fernglade_dialect::errand::{errand, write};
@@ -114,18 +114,18 @@
     let shard = Shard::new(planted(1, 100));
     assert_eq!(
         Reply::read(200, &shard.body("cues", &search, Manner::Sound), "cues", &search).landing(),
-        Landing::Honoured
+        RelayOutcome::Succeeded
     );
     let reply = Reply::read(200, &shard.body("cues", &search, manner), "cues", &search);
-    assert_eq!(reply.landing(), Landing::Erred);
+    assert_eq!(reply.landing(), RelayOutcome::Failed);
     assert!(matches!(&reply, Reply::Spoilt(why) if why.contains(says)), "{reply:?}");
 }
 
 #[test]
 fn only_a_full_queue_says_that_nothing_ran() {
     let search = Search::default();
-    assert_eq!(Reply::read(429, b"", "cues", &search).landing(), Landing::TurnedAway);
+    assert_eq!(Reply::read(429, b"", "cues", &search).landing(), RelayOutcome::Rejected);
     for status in [500, 502, 503, 400, 404, 206, 302] {
-        assert_eq!(Reply::read(status, b"{}", "cues", &search).landing(), Landing::Erred);
+        assert_eq!(Reply::read(status, b"{}", "cues", &search).landing(), RelayOutcome::Failed);
     }
 }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -13,7 +13,7 @@
 //! 3. a fresh searcher's cap, which grows with its answers, and a count of what it is sent (`slow_start.rs`,
 //!    `ReplicaTable::closed`)
 //! 4. a limit on what is in flight at each searcher; what finds no room is turned away, least credit first,
-//!    by the fleet's one order where it is wanted (`ReplicaTable::room`, `LoadShedding`, `Mixer::send_out`, `Fleet`)
+//!    by the fleet's one order where it is wanted (`ReplicaTable::room`, `LoadShedding`, `Mixer::send_out`, `FleetPolicy`)
 //! 5. connections that lay idle too long are shut before they are used again (`ReplicaTable::note_sent`)
 //! 6. an early end for a scan that can no longer be answered (`Mixer::settle`)
 
@@ -44,7 +44,7 @@
     scans: BTreeMap<ScanId, Scan>,
     /// What to do when a relay lands or a time comes; each is taken out by its one result. A wake whose
     /// scan is over stays until its time, and then finds nobody.
-    landings: Slab<Then<(Landing, Span)>>,
+    landings: Slab<Then<(RelayOutcome, Span)>>,
     wakes: Slab<Then<()>>,
     /// Searchers answer checks at once, whatever waits there: the operator's word.
     pub beside_queue: bool,
@@ -53,7 +53,7 @@
     /// Discovery has been heard since this mixer's start.
     has_list: bool,
     /// What is done as one of a fleet, where the operator wants it: asked before the mixer's own limits.
-    fleet: Option<Box<dyn Fleet>>,
+    fleet: Option<Box<dyn FleetPolicy>>,
 }
 
 impl Mixer {
@@ -94,22 +94,23 @@
     }
 
     /// Discovery's word on searchers; with `whole` who is not in it is gone.
-    pub fn listed(&mut self, host: &mut dyn Host, whole: bool, listings: &[Listing]) {
+    pub fn listed(&mut self, host: &mut dyn Host, whole: bool, listings: &[SearcherEntry]) {
         self.apply(host, whole, listings);
         self.has_list = true;
     }
 
     /// The list as it was had before this mixer's start: how old it is nobody knows.
-    pub fn remembered(&mut self, host: &mut dyn Host, listings: &[Listing]) {
+    pub fn remembered(&mut self, host: &mut dyn Host, listings: &[SearcherEntry]) {
         self.apply(host, true, listings);
     }
 
-    fn apply(&mut self, host: &mut dyn Host, whole: bool, listings: &[Listing]) {
+    fn apply(&mut self, host: &mut dyn Host, whole: bool, listings: &[SearcherEntry]) {
         let now = host.now();
         self.roster.begun.get_or_insert(now);
         let listed: BTreeSet<Searcher> = listings.iter().map(|told| told.searcher).collect();
-        let all = self.roster.seats.values().filter(|_| whole).map(|s| Listing { ready: false, ..s.told });
-        let mut gone: Vec<Listing> = all.filter(|told| !listed.contains(&told.searcher)).collect();
+        let all =
+            self.roster.seats.values().filter(|_| whole).map(|s| SearcherEntry { ready: false, ..s.told });
+        let mut gone: Vec<SearcherEntry> = all.filter(|told| !listed.contains(&told.searcher)).collect();
         gone.sort_by_key(|told| told.searcher);
         let list = match self.has_list {
             true => StartsTold::SinceLastList,
@@ -125,7 +126,7 @@
         self.roster.replicas.settle();
     }
 
-    pub fn taken(&mut self, host: &mut dyn Host, id: ScanId, scan: ScanTaken) {
+    pub fn taken(&mut self, host: &mut dyn Host, id: ScanId, scan: ScanRequest) {
         let now = host.now();
         self.budget.note_taken(now, 1 + scan.parts.len());
         if !self.takes_scans(now) {
@@ -146,15 +147,16 @@
         let credit = kind.credit * over * if late { kind.late_credit } else { 1.0 };
         let (worth, patience) =
             (self.shedding.worth(credit, scan.parts.len()), quoted.min(scan.left).less(self.lead));
-        let knock = Knock { worth, repeat: scan.repeat, parts: &scan.parts, cells: self.roster.cells };
+        let knock =
+            AdmissionRequest { worth, repeat: scan.repeat, parts: &scan.parts, cells: self.roster.cells };
         let luck = match self.fleet.as_mut().and_then(|fleet| fleet.lets_in(now, &knock)) {
             Some(Err(share)) => return host.bounce(id, self.shedding.pause * share),
             Some(Ok(stands)) => stands,
             None => self.roster.chance.below(1 << 20) as f64 / f64::from(1 << 20),
         };
-        let (mut beside, home) = (BTreeMap::new(), |p: &PartTaken| p.shard % self.roster.cells);
+        let (mut beside, home) = (BTreeMap::new(), |p: &PartRequest| p.shard % self.roster.cells);
         scan.parts.iter().for_each(|p| *beside.entry(home(p)).or_insert(0) += 1);
-        let fits = |p: &&PartTaken| self.roster.room(now, patience, p.shard, worth, luck, beside[&home(p)]);
+        let fits = |p: &&PartRequest| self.roster.room(now, patience, p.shard, worth, luck, beside[&home(p)]);
         let room: f64 = scan.parts.iter().filter(fits).map(|p| p.weight).sum();
         if patience == Span::ZERO || (late && kind.late_credit <= 0.0) || room + SLACK < kind.floor {
             return host.bounce(id, self.shedding.pause);
@@ -176,7 +178,7 @@
         self.send_out(host, id);
     }
 
-    pub fn more_parts(&mut self, host: &mut dyn Host, id: ScanId, parts: &[PartTaken]) {
+    pub fn more_parts(&mut self, host: &mut dyn Host, id: ScanId, parts: &[PartRequest]) {
         self.budget.note_taken(host.now(), parts.len());
         let Some(scan) = self.scans.get_mut(&id) else { return };
         scan.parts.extend(parts.iter().map(|taken| Part { taken: *taken, ..Part::default() }));
@@ -185,7 +187,7 @@
         self.send_out(host, id);
     }
 
-    pub fn join(&mut self, fleet: Box<dyn Fleet>) {
+    pub fn join(&mut self, fleet: Box<dyn FleetPolicy>) {
         self.fleet = Some(fleet);
     }
 
@@ -193,7 +195,7 @@
         host.bounce(id, self.shedding.pause);
     }
 
-    pub fn landed(&mut self, host: &mut dyn Host, relay: Ticket, how: Landing, took: Span) {
+    pub fn landed(&mut self, host: &mut dyn Host, relay: Ticket, how: RelayOutcome, took: Span) {
         let then = self.landings.try_remove(relay.0 as usize).into_iter();
         then.for_each(|then| then(self, host, (how, took)));
     }
@@ -274,13 +276,13 @@
             mixer.reached_or_not(host, &leg, how);
             if let Some(fleet) = &mut mixer.fleet {
                 let shortest = Span::of_micros(mixer.roster.shortest as u64);
-                fleet.landed(host.now(), &Heard { cell, how, took, quoted: sort.1, shortest });
+                fleet.landed(host.now(), &PartResult { cell, how, took, quoted: sort.1, shortest });
             }
             let Some(scan) = mixer.scans.get_mut(&id).filter(|scan| at >= scan.first) else { return };
             scan.killed.extend(Some(to).filter(|to| died && !scan.killed.contains(to)));
             let part = &mut scan.parts[at];
-            (part.out, part.honoured) = (None, how == Landing::Honoured);
-            if matches!(how, Landing::TurnedAway | Landing::Unreached | Landing::Unsent) {
+            (part.out, part.honoured) = (None, how == RelayOutcome::Succeeded);
+            if matches!(how, RelayOutcome::Rejected | RelayOutcome::Unreachable | RelayOutcome::NotSent) {
                 part.may_have_run = ran_before;
             }
             part.lost = !part.honoured;
@@ -288,7 +290,7 @@
                 return mixer.close(host, id);
             }
             if part.lost {
-                mixer.again(host, id, at, how == Landing::TurnedAway);
+                mixer.again(host, id, at, how == RelayOutcome::Rejected);
             }
             mixer.send_rest(host, id);
             mixer.settle(host, id);
@@ -298,7 +300,8 @@
         part.may_have_run = ran_before.or(Some(now));
         host.relay(relay, id, at, to, scan.ends.since(now));
         // A repeat may wait for a connection, or behind others, until its label is forgotten.
-        if let (Effect::Labelled(window), Some(first)) = (self.types[scan.traffic_type].effect, ran_before) {
+        if let (Idempotency::ByKey(window), Some(first)) = (self.types[scan.traffic_type].effect, ran_before)
+        {
             host.begin_by(relay, (first + window).less(self.lead));
         }
         if self.roster.seats.get(&to).is_some_and(|seat| seat.down.is_some()) {
@@ -339,9 +342,9 @@
         let scan = self.scans.get(&id)?;
         let (part, kind, left) = (&scan.parts[at], &self.types[scan.traffic_type], scan.ends.since(now));
         let harmless = match (kind.effect, part.may_have_run) {
-            (Effect::Redoable, _) | (_, None) => true,
-            (Effect::Labelled(window), Some(first)) => now.since(first) + self.lead < window,
-            (Effect::Irreversible, Some(_)) => false,
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::ByKey(window), Some(first)) => now.since(first) + self.lead < window,
+            (Idempotency::NonIdempotent, Some(_)) => false,
         };
         let allowed = left > Span::ZERO && self.deaths(now, scan) < 2 && part.tried.len() < self.budget.cap;
         let room = harmless && allowed && self.roster.room(now, left, part.taken.shard, 0.0, scan.luck, 1);
@@ -416,7 +419,7 @@
                 (scan.first, scan.first_whole) = (scan.parts.len(), Some(whole));
                 self.scans.insert(id, scan);
             }
-        } else if kind.effect == Effect::Redoable && !kills || never_ran {
+        } else if kind.effect == Idempotency::Idempotent && !kills || never_ran {
             host.bounce(id, self.shedding.pause);
         } else {
             host.write_off(id);
@@ -434,11 +437,11 @@
 
     /// The design's down mark: a connection failure sets it, a check that passes or any word from it lifts
     /// it. Parts that were out when a connection broke do not: they may have run, and count as failures.
-    fn reached_or_not(&mut self, host: &mut dyn Host, leg: &Attempt, how: Landing) {
+    fn reached_or_not(&mut self, host: &mut dyn Host, leg: &Attempt, how: RelayOutcome) {
         let Some(seat) = self.roster.seats.get_mut(&leg.to) else { return };
         match how {
-            Landing::Unreached if seat.down.is_none() => self.check_later(host, leg.to, true),
-            Landing::Honoured | Landing::Erred | Landing::TurnedAway => {
+            RelayOutcome::Unreachable if seat.down.is_none() => self.check_later(host, leg.to, true),
+            RelayOutcome::Succeeded | RelayOutcome::Failed | RelayOutcome::Rejected => {
                 // What was out before the mark came back over a connection that lived on: there was no start, and
                 // the one that failed was late or lost. A slow start would hurt all that need this replica.
                 if leg.left < seat.down_since {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -96,27 +96,27 @@
 
 /// How a relay ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Landing {
-    Honoured,
+pub enum RelayOutcome {
+    Succeeded,
     /// The searcher answered with an error; the part may have run.
-    Erred,
+    Failed,
     /// Turned away unseen: it never ran.
-    TurnedAway,
+    Rejected,
     /// No connection: it never ran.
-    Unreached,
+    Unreachable,
     /// No answer in the time given; it may yet run.
-    Silent,
+    TimedOut,
     /// The connection dropped while it was out.
-    Dropped,
+    ConnectionLost,
     /// We called it off.
-    CalledOff,
+    Cancelled,
     /// It never left the mixer.
-    Unsent,
+    NotSent,
 }
 
 /// One line of the list of searchers.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Listing {
+pub struct SearcherEntry {
     pub searcher: Searcher,
     pub cell: u32,
     /// Still to be given work: neither draining nor gone.
@@ -128,14 +128,14 @@
 
 /// One part of a scan, as it was taken.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PartTaken {
+pub struct PartRequest {
     pub shard: u32,
     pub weight: f64,
 }
 
 /// A scan, as it was taken.
 #[derive(Clone, Debug)]
-pub struct ScanTaken {
+pub struct ScanRequest {
     pub traffic_type: usize,
     pub customer: usize,
     /// Until the client gives up on this try.
@@ -144,16 +144,16 @@
     pub work: Option<Span>,
     /// The client says that it has asked before.
     pub repeat: bool,
-    pub parts: Vec<PartTaken>,
+    pub parts: Vec<PartRequest>,
 }
 
 /// What may happen to a part that is sent twice.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
-    Redoable,
+pub enum Idempotency {
+    Idempotent,
     /// A repeat is known by its label for so long after the first relay that may have run.
-    Labelled(Span),
-    Irreversible,
+    ByKey(Span),
+    NonIdempotent,
 }
 
 /// One sort of scan, as the deployment states it.
@@ -165,7 +165,7 @@
     pub abandon: Span,
     pub credit: f64,
     pub late_credit: f64,
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// The least share of the parts' weight that may be answered from.
     pub floor: f64,
     /// The share that makes an answer whole.
@@ -175,19 +175,19 @@
 
 /// A scan at the door, as the order of shedding sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Knock<'a> {
+pub struct AdmissionRequest<'a> {
     /// Its credit for its work, against the best met: up to one.
     pub worth: f64,
     pub repeat: bool,
-    pub parts: &'a [PartTaken],
+    pub parts: &'a [PartRequest],
     pub cells: u32,
 }
 
 /// How a part ended, as a level of shedding hears it.
 #[derive(Clone, Copy, Debug)]
-pub struct Heard {
+pub struct PartResult {
     pub cell: u32,
-    pub how: Landing,
+    pub how: RelayOutcome,
     pub took: Span,
     /// Of its traffic type; and the shortest that parts take of late.
     pub quoted: Span,
@@ -196,11 +196,11 @@
 
 /// What a mixer does as one of a fleet, with no word among mixers; none where an operator asks for none. What its
 /// operator leaves out says `None`, or lets through.
-pub trait Fleet {
+pub trait FleetPolicy {
     /// Where the scan stands among those let in, from nothing to one, the same at every mixer and cell; or, for one
     /// that is turned away, the share of the longest pause that its client is told.
-    fn lets_in(&mut self, now: Moment, knock: &Knock) -> Option<Result<f64, f64>>;
-    fn landed(&mut self, now: Moment, heard: &Heard);
+    fn lets_in(&mut self, now: Moment, knock: &AdmissionRequest) -> Option<Result<f64, f64>>;
+    fn landed(&mut self, now: Moment, heard: &PartResult);
     /// Whether a lost part of a cell may go to another replica, for all that the fleet sends there so.
     fn may_relay(&self, now: Moment, cell: u32) -> bool;
     /// It has gone.
--- a/src/query.rs
+++ b/src/query.rs
@@ -4,7 +4,7 @@
 
 #[derive(Default)]
 pub(crate) struct Part {
-    pub(crate) taken: PartTaken,
+    pub(crate) taken: PartRequest,
     pub(crate) tried: Vec<Searcher>,
     pub(crate) out: Option<(Ticket, Moment)>,
     /// When the first relay left that is out or may have run.
--- a/src/replicas.rs
+++ b/src/replicas.rs
@@ -45,7 +45,7 @@
 
 #[derive(Default)]
 pub(crate) struct ReplicaState {
-    pub(crate) told: Listing,
+    pub(crate) told: SearcherEntry,
     /// When it started, and its answers since.
     pub(crate) fresh: Option<(Moment, usize)>,
     /// What may be sent to it while it is cold.
@@ -176,7 +176,7 @@
         self.known.1 += f64::from(latency.is_some()) - f64::from(old.is_some());
     }
 
-    pub(crate) fn set_home(&mut self, told: Listing) -> Listing {
+    pub(crate) fn set_home(&mut self, told: SearcherEntry) -> SearcherEntry {
         // A dozen for all mixers together, some for each core of a usual machine; three for each mixer.
         let limit = (12.0 / self.cold.fleet).max(3.0);
         let seat = self
@@ -422,14 +422,14 @@
     /// What a relay's end tells of its searcher, and whether that seems to have died under the part. A part
     /// in vain is a sample of its latency only where it took longer than usual, so that calling parts off
     /// early (a scan that closed without them) does not make a searcher look quick.
-    pub(crate) fn note_landed(&mut self, now: Moment, leg: &Attempt, how: Landing, took: f64) -> bool {
+    pub(crate) fn note_landed(&mut self, now: Moment, leg: &Attempt, how: RelayOutcome, took: f64) -> bool {
         let (from, pause, kind, average) = (leg.to, leg.pause, leg.sort.0, self.average());
         let Some(seat) = self.seats.get_mut(&from) else { return false };
         seat.out.iter().position(|at| *at == leg.left).map(|at| seat.out.remove(at));
-        let back = matches!(how, Landing::Honoured | Landing::Erred | Landing::TurnedAway);
+        let back = matches!(how, RelayOutcome::Succeeded | RelayOutcome::Failed | RelayOutcome::Rejected);
         let longer = took > seat.latency.unwrap_or(average);
-        let in_vain = longer && matches!(how, Landing::Silent | Landing::CalledOff);
-        let lost = in_vain || how == Landing::Dropped;
+        let in_vain = longer && matches!(how, RelayOutcome::TimedOut | RelayOutcome::Cancelled);
+        let lost = in_vain || how == RelayOutcome::ConnectionLost;
         seat.stood = if back { now } else { seat.stood };
         seat.asked = seat.asked.map(|(at, told)| (at, told || back));
         seat.passed = if back { seat.passed.max(leg.left) } else { seat.passed };
@@ -441,8 +441,8 @@
         }
         // Nobody says after what pause connections are closed. So a loss casts doubt on pauses down to a
         // quarter as long, and an answer clears all shorter ones: else each class costs a scan of its own.
-        let class = if how == Landing::Unreached { ANEW } else { pause };
-        if back || lost || how == Landing::Unreached {
+        let class = if how == RelayOutcome::Unreachable { ANEW } else { pause };
+        if back || lost || how == RelayOutcome::Unreachable {
             let shorter = if lost { class.saturating_sub(2).max(1) } else { 1 };
             let least = if class == ANEW { ANEW } else { shorter.min(class) };
             let shares = &mut self.vain[least..=class];
@@ -451,8 +451,8 @@
         // Dropped as soon as it was used again (a twentieth of the least that a part takes), it had been
         // closed before: that says nothing of the searcher. And who is not listed any more may well go down.
         let unseen = pause > 0 && !leg.stale && took * 20.0 < self.shortest;
-        let closed = how == Landing::Dropped && unseen;
-        let died = how == Landing::Dropped && !closed && seat.told.ready;
+        let closed = how == RelayOutcome::ConnectionLost && unseen;
+        let died = how == RelayOutcome::ConnectionLost && !closed && seat.told.ready;
         // It answers what was sent after the loss, and has not started since: its connection broke, no more.
         let lives = |at: &Moment| back && leg.left > *at && seat.fresh.is_none_or(|(since, _)| since < *at);
         seat.lost = if died { Some(now) } else { seat.lost.filter(|at| !lives(at)) };
@@ -462,7 +462,7 @@
         };
         match how {
             _ if closed || !seat.told.ready => {}
-            Landing::Honoured => {
+            RelayOutcome::Succeeded => {
                 seat.fresh.iter_mut().for_each(|(_, answers)| *answers += 1);
                 self.learn(now, from, kind, Some(took), false);
                 // A twentieth: the last twenty parts or so, some seconds of one mixer's scans.
@@ -470,8 +470,8 @@
                 // It may rise by half in some hundred answers, should the work itself have grown.
                 self.shortest = (self.shortest * 1.0005).min(self.typical);
             }
-            Landing::TurnedAway => self.learn(now, from, kind, Some(leg.sort.1.as_f64()), true),
-            Landing::Unreached => self.learn(now, from, kind, None, true),
+            RelayOutcome::Rejected => self.learn(now, from, kind, Some(leg.sort.1.as_f64()), true),
+            RelayOutcome::Unreachable => self.learn(now, from, kind, None, true),
             _ if lost || back => self.learn(now, from, kind, Some(took).filter(|_| in_vain && !alone), true),
             _ => {}
         }
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -6,7 +6,8 @@
 use fernglade::retry_budget::RetryBudget;
 use fernglade::slow_start::SlowStart;
 use fernglade::{
-    Effect, Host, Landing, Listing, Moment, PartTaken, ScanId, ScanTaken, Searcher, Span, Ticket, TrafficType,
+    Host, Idempotency, Moment, PartRequest, RelayOutcome, ScanId, ScanRequest, Searcher, SearcherEntry, Span,
+    Ticket, TrafficType,
 };
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -108,7 +109,7 @@
         abandon: Span::of_millis(4000),
         credit: 1.0,
         late_credit: 0.1,
-        effect: Effect::Redoable,
+        effect: Idempotency::Idempotent,
         floor: 1.0,
         whole_from: 1.0,
         second_step: false,
@@ -157,25 +158,25 @@
 impl Story {
     /// Replicas of every cell, numbered through: `fresh` of each started now.
     pub fn list_cells(&mut self, cells: u32, replicas: u32, fresh: u32) {
-        let line = |id: u32| Listing {
+        let line = |id: u32| SearcherEntry {
             searcher: Searcher(id),
             cell: id / replicas,
             ready: true,
             started: Some(self.host.now).filter(|_| id % replicas < fresh),
-            ..Listing::default()
+            ..SearcherEntry::default()
         };
-        let lines: Vec<Listing> = (0..cells * replicas).map(line).collect();
+        let lines: Vec<SearcherEntry> = (0..cells * replicas).map(line).collect();
         self.mixer.listed(&mut self.host, true, &lines);
     }
 
     pub fn list(&mut self, whole: bool, searchers: &[(u32, bool)], started: Option<Moment>) {
-        let line = |&(id, ready): &(u32, bool)| Listing {
+        let line = |&(id, ready): &(u32, bool)| SearcherEntry {
             searcher: Searcher(id),
             ready,
             started,
-            ..Listing::default()
+            ..SearcherEntry::default()
         };
-        let lines: Vec<Listing> = searchers.iter().map(line).collect();
+        let lines: Vec<SearcherEntry> = searchers.iter().map(line).collect();
         self.mixer.listed(&mut self.host, whole, &lines);
     }
 
@@ -191,10 +192,10 @@
     pub fn scan_of(&mut self, traffic_type: usize, weights: &[f64], left: u64, repeat: bool) -> ScanId {
         let id = ScanId { slot: self.scans, turn: 1 };
         self.scans += 1;
-        let taken = |(shard, weight): (usize, &f64)| PartTaken { shard: shard as u32, weight: *weight };
+        let taken = |(shard, weight): (usize, &f64)| PartRequest { shard: shard as u32, weight: *weight };
         let parts = weights.iter().enumerate().map(taken).collect();
         let left = Span::of_millis(left);
-        let scan = ScanTaken { traffic_type, customer: 0, left, work: None, repeat, parts };
+        let scan = ScanRequest { traffic_type, customer: 0, left, work: None, repeat, parts };
         self.mixer.taken(&mut self.host, id, scan);
         id
     }
@@ -204,7 +205,7 @@
         self.host.relays.iter().filter(|r| r.scan == scan && !r.landed).copied().collect()
     }
 
-    pub fn land(&mut self, relay: Relay, how: Landing) {
+    pub fn land(&mut self, relay: Relay, how: RelayOutcome) {
         self.host
             .relays
             .iter_mut()
@@ -214,7 +215,7 @@
         self.mixer.landed(&mut self.host, relay.ticket, how, took);
     }
 
-    pub fn land_all(&mut self, scan: ScanId, how: Landing) {
+    pub fn land_all(&mut self, scan: ScanId, how: RelayOutcome) {
         for relay in self.out(scan) {
             self.land(relay, how);
         }
@@ -242,7 +243,7 @@
         for _ in 0..20 {
             let id = self.scan(3);
             self.pass(millis);
-            self.land_all(id, Landing::Honoured);
+            self.land_all(id, RelayOutcome::Succeeded);
         }
     }
 }
--- a/tests/many/mod.rs
+++ b/tests/many/mod.rs
@@ -3,7 +3,7 @@
 
 use crate::host::{bare, mixer_of, whole_only, Ending, Story};
 use fernglade::retry_budget::RetryBudget;
-use fernglade::Landing;
+use fernglade::RelayOutcome;
 
 const FLEET: u32 = 300;
 /// How long any part takes, in milliseconds.
@@ -55,7 +55,7 @@
                     sent[second][relay.to as usize] += 1;
                 }
                 story.pass(cores[relay.to as usize].takes(now).min(2_000));
-                story.land(relay, Landing::Honoured);
+                story.land(relay, RelayOutcome::Succeeded);
             }
         }
     }
@@ -94,7 +94,7 @@
         for _ in 0..20 {
             let id = story.scan(20);
             story.pass(WORK);
-            story.land_all(id, Landing::Honoured);
+            story.land_all(id, RelayOutcome::Succeeded);
             match story.host.ending(id) {
                 Some(Ending::Whole) => whole += 1,
                 Some(Ending::Bounced) => bounced += 1,
--- a/tests/slow_start/mod.rs
+++ b/tests/slow_start/mod.rs
@@ -2,7 +2,7 @@
 
 use crate::host::{bare, mixer_of, whole_only, Relay, Story};
 use fernglade::retry_budget::RetryBudget;
-use fernglade::{Landing, Listing, Searcher, Span};
+use fernglade::{RelayOutcome, Searcher, SearcherEntry, Span};
 use test_case::test_case;
 
 /// The work of a part in milliseconds, on one of two cores.
@@ -89,11 +89,11 @@
                 Trouble::ClockBehind => now + Span::of_millis(3_600_000),
                 _ => now,
             };
-            let line = |id: u32| Listing {
+            let line = |id: u32| SearcherEntry {
                 searcher: Searcher(id),
                 ready: true,
                 started: Some(started).filter(|_| fresh.contains(&id)),
-                ..Listing::default()
+                ..SearcherEntry::default()
             };
             story.mixer.listed(&mut story.host, true, &[line(0), line(1), line(2)]);
         }
@@ -123,7 +123,7 @@
     fn land(&mut self, number: usize, now: u64, fails: impl Fn(u32) -> bool) {
         let story = &mut self.mixers[number];
         for (_, relay) in self.out[number].extract_if(.., |(due, _)| *due <= now) {
-            let how = if fails(relay.to) { Landing::Unreached } else { Landing::Honoured };
+            let how = if fails(relay.to) { RelayOutcome::Unreachable } else { RelayOutcome::Succeeded };
             story.land(relay, how);
         }
     }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -6,7 +6,8 @@
 
 use fernglade::retry_budget::RetryBudget;
 use fernglade::{
-    Effect, Fleet, Heard, Knock, Landing, Listing, Moment, PartTaken, ScanId, Searcher, Span, TrafficType,
+    AdmissionRequest, FleetPolicy, Idempotency, Moment, PartRequest, PartResult, RelayOutcome, ScanId,
+    Searcher, SearcherEntry, Span, TrafficType,
 };
 use host::{bare, mixer_of, story, story_of, story_with, whole_only, Ending, Story};
 use test_case::test_case;
@@ -16,11 +17,11 @@
 }
 
 fn labelled() -> TrafficType {
-    TrafficType { effect: Effect::Labelled(Span::of_millis(800)), ..whole_only() }
+    TrafficType { effect: Idempotency::ByKey(Span::of_millis(800)), ..whole_only() }
 }
 
 fn irreversible() -> TrafficType {
-    TrafficType { effect: Effect::Irreversible, ..whole_only() }
+    TrafficType { effect: Idempotency::NonIdempotent, ..whole_only() }
 }
 
 #[test]
@@ -33,7 +34,7 @@
     story.pass(100);
     for relay in story.out(id) {
         assert_eq!(story.host.ending(id), None);
-        story.land(relay, Landing::Honoured);
+        story.land(relay, RelayOutcome::Succeeded);
     }
     assert_eq!(story.host.ending(id), Some(Ending::Whole));
 }
@@ -44,9 +45,9 @@
     for _ in 0..8 {
         let id = story.scan(3);
         story.pass(100);
-        story.out(id).into_iter().filter(|r| r.to == 1).for_each(|r| story.land(r, Landing::Honoured));
+        story.out(id).into_iter().filter(|r| r.to == 1).for_each(|r| story.land(r, RelayOutcome::Succeeded));
         story.pass(400);
-        story.land_all(id, Landing::Honoured);
+        story.land_all(id, RelayOutcome::Succeeded);
     }
     let id = story.scan(1);
     assert_eq!(story.out(id)[0].to, 1);
@@ -63,26 +64,26 @@
     story.pass(200);
     for relay in story.out(id).into_iter().take(honoured) {
         assert_eq!(relay.patience, Span::of_millis(1985));
-        story.land(relay, Landing::Honoured);
+        story.land(relay, RelayOutcome::Succeeded);
     }
     story.pass(1750);
     assert_eq!(story.host.ending(id), None, "the timer is a little before the quoted time");
     story.pass(45);
     assert_eq!(story.host.ending(id), ending);
     assert_eq!(story.host.called_off.len(), 4 - honoured);
-    story.land_all(id, Landing::CalledOff);
-}
-
-#[test_case(whole_only(), Landing::Erred, 50, true; "redoable goes on after an error")]
-#[test_case(whole_only(), Landing::TurnedAway, 50, true; "redoable goes on after a full room")]
-#[test_case(whole_only(), Landing::Erred, 1985, false; "but not at the very moment of the timer")]
-#[test_case(labelled(), Landing::Dropped, 50, true; "labelled goes on inside its window")]
-#[test_case(labelled(), Landing::Erred, 790, false; "and not past it")]
-#[test_case(irreversible(), Landing::Erred, 50, false; "irreversible may have run")]
-#[test_case(irreversible(), Landing::TurnedAway, 50, true; "irreversible proved not to have run")]
-#[test_case(irreversible(), Landing::Unreached, 50, true; "irreversible without a connection")]
-fn a_failed_part_goes_to_another_replica(kind: TrafficType, how: Landing, after: u64, again: bool) {
-    let redoable = kind.effect == Effect::Redoable;
+    story.land_all(id, RelayOutcome::Cancelled);
+}
+
+#[test_case(whole_only(), RelayOutcome::Failed, 50, true; "redoable goes on after an error")]
+#[test_case(whole_only(), RelayOutcome::Rejected, 50, true; "redoable goes on after a full room")]
+#[test_case(whole_only(), RelayOutcome::Failed, 1985, false; "but not at the very moment of the timer")]
+#[test_case(labelled(), RelayOutcome::ConnectionLost, 50, true; "labelled goes on inside its window")]
+#[test_case(labelled(), RelayOutcome::Failed, 790, false; "and not past it")]
+#[test_case(irreversible(), RelayOutcome::Failed, 50, false; "irreversible may have run")]
+#[test_case(irreversible(), RelayOutcome::Rejected, 50, true; "irreversible proved not to have run")]
+#[test_case(irreversible(), RelayOutcome::Unreachable, 50, true; "irreversible without a connection")]
+fn a_failed_part_goes_to_another_replica(kind: TrafficType, how: RelayOutcome, after: u64, again: bool) {
+    let redoable = kind.effect == Idempotency::Idempotent;
     let mut story = story(kind);
     let id = story.scan(1);
     let first = story.out(id)[0];
@@ -92,16 +93,20 @@
     assert_eq!(out.len(), usize::from(again));
     if again {
         assert_ne!(out[0].to, first.to);
-        story.land(out[0], Landing::Honoured);
+        story.land(out[0], RelayOutcome::Succeeded);
     }
     let given_up = Some(if redoable { Ending::Bounced } else { Ending::WrittenOff });
     assert_eq!(story.host.ending(id), if again { Some(Ending::Whole) } else { given_up });
 }
 
-#[test_case(whole_only(), Landing::Erred, Ending::Bounced; "redoable")]
-#[test_case(irreversible(), Landing::TurnedAway, Ending::Bounced; "irreversible, proved not to have run")]
-#[test_case(labelled(), Landing::Erred, Ending::WrittenOff; "labelled, and it may have run")]
-fn a_part_has_only_so_many_relays_and_its_scan_ends_at_once(kind: TrafficType, how: Landing, ending: Ending) {
+#[test_case(whole_only(), RelayOutcome::Failed, Ending::Bounced; "redoable")]
+#[test_case(irreversible(), RelayOutcome::Rejected, Ending::Bounced; "irreversible, proved not to have run")]
+#[test_case(labelled(), RelayOutcome::Failed, Ending::WrittenOff; "labelled, and it may have run")]
+fn a_part_has_only_so_many_relays_and_its_scan_ends_at_once(
+    kind: TrafficType,
+    how: RelayOutcome,
+    ending: Ending,
+) {
     let mut story = story(kind);
     story.list(true, &[(0, true), (1, true), (2, true), (3, true)], None);
     let id = story.scan(1);
@@ -120,7 +125,7 @@
     for _ in 0..3 {
         story.pass(5);
         let failing = story.out(id).into_iter().find(|relay| relay.part == 0);
-        failing.into_iter().for_each(|relay| story.land(relay, Landing::Erred));
+        failing.into_iter().for_each(|relay| story.land(relay, RelayOutcome::Failed));
     }
     assert_eq!(story.host.ending(id), Some(Ending::Bounced));
     assert_eq!(story.host.called_off.len(), 1);
@@ -133,8 +138,8 @@
     for taken in 1..=40usize {
         let id = story.scan(1);
         story.pass(50);
-        story.out(id).into_iter().for_each(|relay| story.land(relay, Landing::Erred));
-        story.land_all(id, Landing::Honoured);
+        story.out(id).into_iter().for_each(|relay| story.land(relay, RelayOutcome::Failed));
+        story.land_all(id, RelayOutcome::Succeeded);
         let scans: std::collections::BTreeSet<_> = story.host.relays.iter().map(|r| r.scan).collect();
         let further = story.host.relays.len() - scans.len();
         assert!(further as f64 <= 1.0 + 0.25 * (2 * taken) as f64, "{further} after {taken}");
@@ -149,7 +154,7 @@
         let id = story.scan(3);
         assert!(story.out(id).iter().all(|relay| relay.to != lost.to));
         story.pass(100);
-        story.land_all(id, Landing::Honoured);
+        story.land_all(id, RelayOutcome::Succeeded);
     }
     story.pass(5000);
     assert_eq!(story.host.checks, [lost.to]);
@@ -174,9 +179,9 @@
     story.settle_in(100);
     let id = story.scan(3);
     let lost = story.out(id)[0];
-    story.land(lost, Landing::Unreached);
+    story.land(lost, RelayOutcome::Unreachable);
     story.pass(100);
-    story.land_all(id, Landing::Honoured);
+    story.land_all(id, RelayOutcome::Succeeded);
     lost
 }
 
@@ -190,7 +195,7 @@
     for _ in 0..scans {
         let id = story.scan(parts);
         story.pass(100);
-        story.land_all(id, Landing::Honoured);
+        story.land_all(id, RelayOutcome::Succeeded);
     }
     story.host.relays[before..].iter().filter(|relay| relay.to == searcher).count()
 }
@@ -213,8 +218,8 @@
     story.list(true, &[(u32::MAX, true)], None);
     story.list(false, &[(7, true)], None);
     story.pass(50);
-    story.land(late, Landing::Dropped);
-    story.land_all(id, Landing::Honoured);
+    story.land(late, RelayOutcome::ConnectionLost);
+    story.land_all(id, RelayOutcome::Succeeded);
     story.mixer.checked(&mut story.host, Searcher(0), true);
     let next = story.scan(2);
     let to: Vec<u32> = story.out(next).iter().map(|relay| relay.to).collect();
@@ -267,11 +272,11 @@
         story.pass(5);
         for relay in story.out(id) {
             if relay.to == 0 {
-                story.land(relay, Landing::Erred);
+                story.land(relay, RelayOutcome::Failed);
             }
         }
         story.pass(95);
-        story.land_all(id, Landing::Honoured);
+        story.land_all(id, RelayOutcome::Succeeded);
         assert_eq!(story.host.ending(id), Some(Ending::Whole));
     }
     assert!(story.host.relays[before..].iter().filter(|relay| relay.to == 0).count() <= 6);
@@ -314,12 +319,12 @@
     let mut story = story(TrafficType { second_step: true, ..whole_only() });
     let id = story.scan(2);
     story.pass(100);
-    story.land_all(id, Landing::Honoured);
+    story.land_all(id, RelayOutcome::Succeeded);
     assert_eq!(story.host.endings, [(id, Ending::FirstStep)]);
-    let parts = [PartTaken { shard: 0, weight: 1.0 }];
+    let parts = [PartRequest { shard: 0, weight: 1.0 }];
     story.mixer.more_parts(&mut story.host, id, &parts);
     story.pass(100);
-    story.land_all(id, Landing::Honoured);
+    story.land_all(id, RelayOutcome::Succeeded);
     assert_eq!(story.host.ending(id), Some(Ending::Whole));
 }
 
@@ -329,7 +334,7 @@
     let id = story.scan(2);
     story.mixer.client_left(&mut story.host, id);
     story.pass(3000);
-    story.land_all(id, Landing::Erred);
+    story.land_all(id, RelayOutcome::Failed);
     assert_eq!(story.host.ending(id), None);
     assert_eq!(story.host.relays.len(), 2);
 }
@@ -343,15 +348,15 @@
     let id = story.scan(3);
     let others: Vec<ScanId> = (0..12).map(|_| story.scan(3)).collect();
     let first = story.out(id)[0];
-    story.land(first, Landing::TurnedAway);
+    story.land(first, RelayOutcome::Rejected);
     assert_eq!((story.out(id).len(), story.host.ending(id)), (2, None), "nobody has room");
     story.pass(50);
-    others.into_iter().for_each(|other| story.land_all(other, Landing::Honoured));
+    others.into_iter().for_each(|other| story.land_all(other, RelayOutcome::Succeeded));
     story.pass(300);
     let again: Vec<u32> = story.out(id).iter().filter(|r| r.part == first.part).map(|r| r.to).collect();
     assert_eq!(again.len(), usize::from(waits));
     assert!(!again.contains(&first.to));
-    story.land_all(id, Landing::Honoured);
+    story.land_all(id, RelayOutcome::Succeeded);
     assert_eq!(story.host.ending(id), Some(if waits { Ending::Whole } else { Ending::Partial }));
 }
 
@@ -365,7 +370,7 @@
         story.scan(3);
     }
     let first = story.out(id)[0];
-    story.land(first, Landing::TurnedAway);
+    story.land(first, RelayOutcome::Rejected);
     assert_eq!(story.host.ending(id), Some(Ending::Bounced));
 }
 
@@ -379,7 +384,7 @@
     for _ in 0..3 {
         assert_eq!(story.host.ending(id), None);
         let relay = story.out(id).into_iter().find(|relay| relay.part == part).unwrap();
-        story.land(relay, Landing::TurnedAway);
+        story.land(relay, RelayOutcome::Rejected);
     }
     assert_eq!(story.host.ending(id), Some(Ending::Bounced));
 }
@@ -394,7 +399,7 @@
         story.scan(3);
     }
     let first = story.out(id)[0];
-    story.land(first, Landing::TurnedAway);
+    story.land(first, RelayOutcome::Rejected);
     story.pass(1_980);
     assert_eq!(story.host.ending(id), None);
     story.pass(20);
@@ -413,7 +418,7 @@
         taken += usize::from(!story.out(id).is_empty());
         story.pass(5);
         while !story.out(id).is_empty() {
-            story.land_all(id, Landing::TurnedAway);
+            story.land_all(id, RelayOutcome::Rejected);
         }
     }
     assert!(taken <= 30, "{taken}");
@@ -423,9 +428,12 @@
 }
 
 /// Something on the way closes idle connections unseen; the next part on one is dropped, or gets no answer.
-#[test_case(Landing::Dropped, 1; "by reset")]
-#[test_case(Landing::Silent, 1900; "by silence")]
-fn connections_lost_after_lying_idle_are_shut_before_they_are_used_so_late_again(how: Landing, after: u64) {
+#[test_case(RelayOutcome::ConnectionLost, 1; "by reset")]
+#[test_case(RelayOutcome::TimedOut, 1900; "by silence")]
+fn connections_lost_after_lying_idle_are_shut_before_they_are_used_so_late_again(
+    how: RelayOutcome,
+    after: u64,
+) {
     let mut story = story(whole_only());
     story.settle_in(100);
     for _ in 0..7 {
@@ -433,7 +441,7 @@
         let id = story.scan(1);
         story.pass(after);
         story.land_all(id, how);
-        story.land_all(id, Landing::Honoured);
+        story.land_all(id, RelayOutcome::Succeeded);
         story.settle_in(100);
     }
     story.pass(3000);
@@ -442,7 +450,7 @@
     assert!(story.host.hung_up.len() >= shut + 2, "all but one on trial");
     let shut = story.host.hung_up.len();
     story.pass(100);
-    story.land_all(late, Landing::Honoured);
+    story.land_all(late, RelayOutcome::Succeeded);
     story.pass(100);
     story.scan(3);
     assert_eq!(story.host.hung_up.len(), shut, "not where it lay idle for less");
@@ -456,8 +464,8 @@
         story.pass(3000);
         let id = story.scan(1);
         story.pass(1900);
-        story.land_all(id, Landing::Silent);
-        story.land_all(id, Landing::Honoured);
+        story.land_all(id, RelayOutcome::TimedOut);
+        story.land_all(id, RelayOutcome::Succeeded);
         story.settle_in(100);
     }
     story
@@ -482,9 +490,9 @@
     for _ in 0..5 {
         let id = story.scan(3);
         let lost = story.out(id)[0];
-        story.land(lost, Landing::Unreached);
+        story.land(lost, RelayOutcome::Unreachable);
         story.pass(100);
-        story.land_all(id, Landing::Honoured);
+        story.land_all(id, RelayOutcome::Succeeded);
         story.pass(5000);
         story.mixer.checked(&mut story.host, Searcher(lost.to), true);
         story.settle_in(100);
@@ -495,7 +503,7 @@
         let id = story.scan(3);
         assert_eq!(story.host.hung_up.len(), before);
         story.pass(100);
-        story.land_all(id, Landing::Honoured);
+        story.land_all(id, RelayOutcome::Succeeded);
     }
 }
 
@@ -511,9 +519,9 @@
         let id = story.scan(2);
         let again: Vec<_> = story.out(id).into_iter().filter(|relay| relay.to == lost.to).collect();
         met += again.len();
-        again.into_iter().for_each(|relay| story.land(relay, Landing::Unreached));
+        again.into_iter().for_each(|relay| story.land(relay, RelayOutcome::Unreachable));
         story.pass(150);
-        story.land_all(id, Landing::Honoured);
+        story.land_all(id, RelayOutcome::Succeeded);
     }
     assert!((1..=4).contains(&met), "{met} of 12");
 }
@@ -525,19 +533,23 @@
     story.settle_in(100);
     let id = story.scan(3);
     story.pass(20);
-    story.land_all(id, Landing::Dropped);
+    story.land_all(id, RelayOutcome::ConnectionLost);
     assert_eq!(story.host.relays.iter().filter(|relay| relay.scan == id).count(), 4, "one relay again");
     assert_eq!(story.host.ending(id), Some(Ending::WrittenOff), "to ask again is not harmless");
 }
 
-#[test_case(Landing::Dropped, 1, Some(Ending::WrittenOff); "it dies under that as well")]
-#[test_case(Landing::Honoured, 3, None; "all is well")]
-fn while_searchers_die_one_part_goes_ahead_of_its_scan(how: Landing, sent: usize, ending: Option<Ending>) {
+#[test_case(RelayOutcome::ConnectionLost, 1, Some(Ending::WrittenOff); "it dies under that as well")]
+#[test_case(RelayOutcome::Succeeded, 3, None; "all is well")]
+fn while_searchers_die_one_part_goes_ahead_of_its_scan(
+    how: RelayOutcome,
+    sent: usize,
+    ending: Option<Ending>,
+) {
     let mut story = story(whole_only());
     story.settle_in(100);
     let first = story.scan(1);
     story.pass(20);
-    story.land_all(first, Landing::Dropped);
+    story.land_all(first, RelayOutcome::ConnectionLost);
     let id = story.scan(3);
     assert_eq!(story.out(id).len(), 1);
     story.pass(20);
@@ -559,16 +571,16 @@
     let to = story.out(first)[0].to;
     let (lost, others): (Vec<_>, Vec<_>) = story.out(first).into_iter().partition(|relay| relay.to == to);
     assert!(lost.len() > 1);
-    lost.iter().for_each(|relay| story.land(*relay, Landing::Dropped));
+    lost.iter().for_each(|relay| story.land(*relay, RelayOutcome::ConnectionLost));
     assert_eq!(story.out(first).len(), 12, "one connection is one loss: all parts go on");
-    others.iter().for_each(|relay| story.land(*relay, Landing::Honoured));
+    others.iter().for_each(|relay| story.land(*relay, RelayOutcome::Succeeded));
     let held = story.scan(3);
     assert_eq!(story.out(held).len(), 1);
     for _ in 0..12 {
         story.pass(50);
         let id = story.scan(1);
         let at_it = story.out(id)[0].to == to;
-        story.land_all(id, Landing::Honoured);
+        story.land_all(id, RelayOutcome::Succeeded);
         let next = story.scan(3);
         assert_eq!(story.out(next).len(), if at_it { 3 } else { 1 });
         if at_it {
@@ -597,16 +609,16 @@
     let id = story.scan(2);
     let (late, other) = (story.out(id)[0], story.out(id)[1]);
     story.pass(usual);
-    story.land(other, Landing::Honoured);
+    story.land(other, RelayOutcome::Succeeded);
     story.pass(after - usual);
     assert_eq!(story.host.called_off.contains(&late.ticket), again);
     assert_eq!(story.host.hung_up.contains(&late.to), again, "its connection is trusted no more");
     if again {
-        story.land(late, Landing::CalledOff);
+        story.land(late, RelayOutcome::Cancelled);
         let next = story.out(id);
         assert_eq!((next.len(), next[0].part), (1, late.part));
         assert_ne!(next[0].to, late.to);
-        story.land_all(id, Landing::Honoured);
+        story.land_all(id, RelayOutcome::Succeeded);
         assert_eq!(story.host.ending(id), Some(Ending::Whole));
     }
 }
@@ -623,13 +635,13 @@
         let other = story.scan(3);
         story.pass(5);
         if passed {
-            story.land_all(other, Landing::Honoured);
+            story.land_all(other, RelayOutcome::Succeeded);
         }
         story.pass(500);
-        story.land_all(other, Landing::CalledOff);
-        story.land_all(lost, Landing::CalledOff);
+        story.land_all(other, RelayOutcome::Cancelled);
+        story.land_all(lost, RelayOutcome::Cancelled);
         if passed {
-            story.land_all(lost, Landing::Honoured);
+            story.land_all(lost, RelayOutcome::Succeeded);
         }
     }
     // Each has had its turn.
@@ -651,7 +663,7 @@
         story.pass(5);
         let answered = story.scan(3);
         story.pass(7);
-        story.land_all(answered, Landing::Honoured);
+        story.land_all(answered, RelayOutcome::Succeeded);
     }
     story.pass(100);
     let next = story.scan(3);
@@ -667,14 +679,14 @@
         let stalled = story.scan(3);
         for _ in 0..3 {
             story.pass(450);
-            story.land_all(stalled, Landing::CalledOff);
+            story.land_all(stalled, RelayOutcome::Cancelled);
         }
         story.pass(2_000);
     }
     for _ in 0..2 {
         let tried = story.scan(3);
         story.pass(5);
-        story.land_all(tried, Landing::Honoured);
+        story.land_all(tried, RelayOutcome::Succeeded);
         story.pass(20);
     }
     // Each has had its turn.
@@ -693,8 +705,8 @@
     story.settle_in(5);
     let once = story.scan(1);
     let failed = story.out(once)[0];
-    story.land(failed, Landing::Erred);
-    story.land_all(once, Landing::Honoured);
+    story.land(failed, RelayOutcome::Failed);
+    story.land_all(once, RelayOutcome::Succeeded);
     story.pass(10_000);
     let scans: Vec<ScanId> = (0..14).map(|_| story.scan(1)).collect();
     let at_once: Vec<u32> = scans.into_iter().flat_map(|id| story.out(id)).map(|relay| relay.to).collect();
@@ -712,7 +724,7 @@
     story.pass(5);
     let other = story.scan(3);
     story.pass(5);
-    story.land_all(other, Landing::Honoured);
+    story.land_all(other, RelayOutcome::Succeeded);
     story.pass(400);
     assert_eq!(story.out(stuck).len(), 3);
     let hurried = story.scan_weighing(&[1.0], 200, false);
@@ -723,7 +735,8 @@
 fn between_replicas_that_are_alike_the_part_stays_where_crossing_has_no_price() {
     let mut story = story(whole_only());
     story.settle_in(100);
-    let told = |id| Listing { searcher: Searcher(id), ready: true, dear: id != 1, ..Listing::default() };
+    let told =
+        |id| SearcherEntry { searcher: Searcher(id), ready: true, dear: id != 1, ..SearcherEntry::default() };
     story.mixer.listed(&mut story.host, true, &[told(0), told(1), told(2)]);
     assert_eq!(sent_to_of(&mut story, 1, 10, 1), 10);
     assert_eq!(sent_to_of(&mut story, 1, 10, 3), 10, "but not at twice the latency");
@@ -742,9 +755,9 @@
             story.pass(50);
             for relay in story.out(id) {
                 let fails = sort == 0 && relay.to == 0;
-                story.land(relay, if fails { Landing::Erred } else { Landing::Honoured });
+                story.land(relay, if fails { RelayOutcome::Failed } else { RelayOutcome::Succeeded });
             }
-            story.land_all(id, Landing::Honoured);
+            story.land_all(id, RelayOutcome::Succeeded);
         }
     }
     assert!(to_sick[0] * 3 < to_sick[1], "{to_sick:?}");
@@ -762,7 +775,7 @@
         let id = story.scan(1);
         taken += usize::from(round >= 40 && !story.out(id).is_empty());
         story.pass(1990);
-        story.land_all(id, Landing::CalledOff);
+        story.land_all(id, RelayOutcome::Cancelled);
     }
     assert!((1..=6).contains(&taken), "{taken}");
 }
@@ -789,10 +802,18 @@
     let id = story.scan(6);
     story.pass(20);
     let silent = story.out(id)[0];
-    story.out(id).into_iter().filter(|r| r.to != silent.to).for_each(|r| story.land(r, Landing::Honoured));
+    story
+        .out(id)
+        .into_iter()
+        .filter(|r| r.to != silent.to)
+        .for_each(|r| story.land(r, RelayOutcome::Succeeded));
     // Each searcher has two of them: the second one there is left out of this.
-    story.out(id)[1..].to_vec().into_iter().for_each(|r| story.land(r, Landing::Unsent));
-    story.out(id).into_iter().filter(|r| r.to != silent.to).for_each(|r| story.land(r, Landing::Honoured));
+    story.out(id)[1..].to_vec().into_iter().for_each(|r| story.land(r, RelayOutcome::NotSent));
+    story
+        .out(id)
+        .into_iter()
+        .filter(|r| r.to != silent.to)
+        .for_each(|r| story.land(r, RelayOutcome::Succeeded));
     assert_eq!(story.out(id).len(), 1);
     story.pass(120);
     assert_eq!(story.host.checks, [silent.to], "asked at a quarter of the time after which it is late");
@@ -803,9 +824,9 @@
     assert_eq!(story.host.called_off.contains(&silent.ticket), goes, "long before half a second");
     assert_eq!(story.host.checks.len(), 1);
     if goes {
-        story.land(silent, Landing::CalledOff);
+        story.land(silent, RelayOutcome::Cancelled);
         assert_ne!(story.out(id)[0].to, silent.to);
-        story.land_all(id, Landing::Honoured);
+        story.land_all(id, RelayOutcome::Succeeded);
         assert_eq!(story.host.ending(id), Some(Ending::Whole));
         let next = story.scan(6);
         assert!(story.out(next).iter().all(|relay| relay.to != silent.to), "it is down");
@@ -834,7 +855,7 @@
     let id = story.scan(6);
     story.pass(20);
     let silent = story.out(id)[0];
-    story.out(id)[1..].to_vec().into_iter().for_each(|r| story.land(r, Landing::Honoured));
+    story.out(id)[1..].to_vec().into_iter().for_each(|r| story.land(r, RelayOutcome::Succeeded));
     story.pass(1_000);
     assert!(!story.host.called_off.contains(&silent.ticket) && story.out(id).len() == 1);
     story.pass(2_000);
@@ -847,15 +868,15 @@
     sheds: Option<u32>,
     relays: usize,
     asks: Option<(Span, Span)>,
-    heard: std::rc::Rc<std::cell::RefCell<Vec<(u32, Landing)>>>,
+    heard: std::rc::Rc<std::cell::RefCell<Vec<(u32, RelayOutcome)>>>,
 }
 
-impl Fleet for Scripted {
-    fn lets_in(&mut self, _: Moment, knock: &Knock) -> Option<Result<f64, f64>> {
+impl FleetPolicy for Scripted {
+    fn lets_in(&mut self, _: Moment, knock: &AdmissionRequest) -> Option<Result<f64, f64>> {
         let needs = |cell: u32| knock.parts.iter().any(|part| part.shard % knock.cells == cell);
         self.sheds.map(|cell| if needs(cell) { Err(0.5) } else { Ok(0.25) })
     }
-    fn landed(&mut self, _: Moment, heard: &Heard) {
+    fn landed(&mut self, _: Moment, heard: &PartResult) {
         self.heard.borrow_mut().push((heard.cell, heard.how));
     }
     fn may_relay(&self, _: Moment, _: u32) -> bool {
@@ -879,7 +900,7 @@
     story.pass(20);
     for (at, id) in failing.iter().enumerate() {
         let first = story.out(*id)[0];
-        story.land(first, Landing::Erred);
+        story.land(first, RelayOutcome::Failed);
         assert_eq!(story.out(*id).len(), usize::from(at < 2), "scan {at}");
     }
     assert_eq!(story.host.ending(failing[2]), Some(Ending::Bounced), "at once, as nothing can come of it");
@@ -893,8 +914,8 @@
     story.mixer.join(Box::new(Scripted { relays: 1, asks, ..Scripted::default() }));
     let id = story.scan(1);
     let first = story.out(id)[0];
-    story.land(first, Landing::Unreached);
-    story.land_all(id, Landing::Honoured);
+    story.land(first, RelayOutcome::Unreachable);
+    story.land_all(id, RelayOutcome::Succeeded);
     story.pass(299);
     assert!(story.host.checks.is_empty());
     story.pass(1);
@@ -921,9 +942,9 @@
     assert_eq!(story.host.pauses, [Span::of_millis(250)], "half of the longest, as the fleet says");
     let taken = story.scan(3);
     story.pass(20);
-    story.land_all(taken, Landing::Honoured);
+    story.land_all(taken, RelayOutcome::Succeeded);
     assert_eq!(story.host.ending(taken), Some(Ending::Whole));
-    assert_eq!(*heard.borrow(), [0, 1, 2].map(|cell| (cell, Landing::Honoured)));
+    assert_eq!(*heard.borrow(), [0, 1, 2].map(|cell| (cell, RelayOutcome::Succeeded)));
 }
 
 /// What happens: one connection of a searcher comes up late, and a part that is out on another is answered. Why it went
@@ -955,14 +976,14 @@
         }
     };
     story.pass(50);
-    story.land(late, Landing::Unreached);
+    story.land(late, RelayOutcome::Unreachable);
     if lives_on {
-        story.land(out, Landing::Honoured);
+        story.land(out, RelayOutcome::Succeeded);
     } else {
-        story.land(out, Landing::Dropped);
+        story.land(out, RelayOutcome::ConnectionLost);
         story.mixer.checked(&mut story.host, Searcher(out.to), true);
     }
     let others: Vec<_> = story.host.relays.iter().filter(|relay| !relay.landed).copied().collect();
-    others.into_iter().for_each(|relay| story.land(relay, Landing::Honoured));
+    others.into_iter().for_each(|relay| story.land(relay, RelayOutcome::Succeeded));
     sent_to(&mut story, out.to, 18)
 }
