--- a/crates/admission/src/house.rs
+++ b/crates/admission/src/house.rs
@@ -24,18 +24,18 @@
 
 /// Who has just come, answered or begun to ask does not go to make room, unless others hold far fewer places:
 /// usual requests are whole within milliseconds.
-pub const SETTLING: Span = Span::of_millis(100);
+pub const SETTLING: Span = Span::from_millis(100);
 /// How long one waits on the porch. Whoever connects is owed an answer or a close within three seconds, of
 /// which two are for asking, and a half for waiting outside.
-pub const WAIT: Span = Span::of_millis(400);
+pub const WAIT: Span = Span::from_millis(400);
 /// How long the door stays shut over a full porch. A burst waits outside for that long, where waiting costs it
 /// nothing; a crowd that goes on is let in and refused, or those behind it would wait for all of it.
-pub const SHUT: Span = Span::of_millis(500);
+pub const SHUT: Span = Span::from_millis(500);
 /// A crowd is over once the porch has not been full for so long: twice what a burst may wait outside. Less,
 /// and a crowd that gets its places by turns would have the door shut over it each time.
-const OVER: Span = Span::of_millis(1_000);
+const OVER: Span = Span::from_millis(1_000);
 /// What was taken off the places when descriptors ran short comes back one by one, at this pace.
-const COMES_BACK: Span = Span::of_millis(100);
+const COMES_BACK: Span = Span::from_millis(100);
 /// The porch takes an eighth of the clients' descriptors: at a hundred milliseconds a place, what all places
 /// let in within a wait is several porches.
 const PORCH_SHARE: usize = 8;
--- a/crates/admission/src/paces.rs
+++ b/crates/admission/src/paces.rs
@@ -17,12 +17,12 @@
 }
 
 /// A second's worth may come at once: a page of a player opens half a dozen connections together.
-const BURST: Span = Span::of_millis(1_000);
+const BURST: Span = Span::from_millis(1_000);
 
 /// When a bucket that one more is taken from is full again; none where it holds none. One of less than a
 /// connection a second has room for one all the same.
 fn taken(full_at: Moment, now: Moment, pace: f64) -> Option<Moment> {
-    let each = Span::of_micros((1e6 / pace.max(1e-6)) as u64);
+    let each = Span::from_micros((1e6 / pace.max(1e-6)) as u64);
     let next = full_at.max(now) + each;
     (next.since(now) <= BURST.max(each)).then_some(next)
 }
@@ -73,7 +73,7 @@
     use fernglade::Moment;
 
     fn at(millis: u64) -> Moment {
-        Moment::at_micros(1_000_000_000 + millis * 1000)
+        Moment::from_micros(1_000_000_000 + millis * 1000)
     }
 
     #[test]
--- a/crates/admission/src/shortage.rs
+++ b/crates/admission/src/shortage.rs
@@ -19,7 +19,7 @@
 }
 
 /// The first pause; each further one is twice as long.
-const FIRST_PAUSE: Span = Span::of_millis(1);
+const FIRST_PAUSE: Span = Span::from_millis(1);
 /// After so many pauses, 31 ms together, it lasts: far less than any client's time, and longer than another process
 /// takes to give back what it has.
 const PAUSES: u32 = 5;
--- a/crates/admission/tests/house.rs
+++ b/crates/admission/tests/house.rs
@@ -38,7 +38,7 @@
 
 impl Checked {
     fn new(rules: HouseRules, most: usize) -> Self {
-        let now = Moment::at_micros(1_764_000_000_000_000);
+        let now = Moment::from_micros(1_764_000_000_000_000);
         let (porch, inside, leaving) = Default::default();
         let house = House::new(rules, most);
         Self { house, most, now, next: 0, porch, inside, leaving, open: true, refused: Vec::new() }
@@ -123,7 +123,7 @@
     }
 
     fn pass(&mut self, millis: u64) {
-        let until = self.now + Span::of_millis(millis);
+        let until = self.now + Span::from_millis(millis);
         while let Some(due) = self.house.due(self.now).filter(|due| *due <= until) {
             assert!(due > self.now, "time that has come is not due again");
             self.now = due;
@@ -368,7 +368,7 @@
     assert_eq!(house.inside.len(), 9, "it waits: there is no descriptor for it");
     house.pass(400);
     assert_eq!(house.inside.len(), 10);
-    assert_eq!(house.house.places(house.now + Span::of_millis(10_000)), 28);
+    assert_eq!(house.house.places(house.now + Span::from_millis(10_000)), 28);
 }
 
 #[test]
--- a/crates/conductor/src/conduct.rs
+++ b/crates/conductor/src/conduct.rs
@@ -99,7 +99,7 @@
 
 impl Conductor<'_> {
     fn now(&self) -> Moment {
-        Moment::at_micros(self.began.elapsed().as_micros() as u64)
+        Moment::from_micros(self.began.elapsed().as_micros() as u64)
     }
 
     async fn go_on(&mut self, stop_when_held: bool) -> Result<End, String> {
--- a/crates/dialect/src/answer.rs
+++ b/crates/dialect/src/answer.rs
@@ -136,7 +136,7 @@
         let mut merge = Merge::new(&search);
         assert!(merge.take(0, ShardFound { hits: vec![one("a", 2.0)], total: 7, ..ShardFound::default() }));
         let shards = Shards { total: 3, missing: vec![(1, Missing::Late), (2, Missing::Failed)] };
-        let answer = found("cues", &search, merge.finish(shards.all_in()), &shards, Span::of_millis(12));
+        let answer = found("cues", &search, merge.finish(shards.all_in()), &shards, Span::from_millis(12));
         assert_eq!(answer["_shards"]["successful"], 1);
         assert_eq!(answer["_shards"]["failed"], 2);
         assert_eq!(answer["_shards"]["failures"][0]["reason"]["type"], "timeout_exception");
--- a/crates/dialect/src/search.rs
+++ b/crates/dialect/src/search.rs
@@ -240,7 +240,7 @@
         || Fault::argument(format!("failed to parse setting [timeout] with value [{text}] as a time value"));
     let time = humantime::parse_duration(text).map_err(|_| wrong())?;
     let micros = u64::try_from(time.as_micros()).ok().filter(|micros| *micros > 0).ok_or_else(wrong)?;
-    Ok(Span::of_micros(micros))
+    Ok(Span::from_micros(micros))
 }
 
 fn aggregations(body: &Node) -> Result<Vec<(String, Aggregation)>, Fault> {
@@ -272,7 +272,7 @@
         let search = Search::read(body).unwrap();
         assert_eq!((search.from, search.size, search.totals), (5, 20, Totals::All));
         assert_eq!(search.order, Order { by: By::Field("at".into()), rising: false });
-        assert_eq!(search.timeout, Some(Span::of_millis(500)));
+        assert_eq!(search.timeout, Some(Span::from_millis(500)));
         let parameters = [("size".to_string(), "3".to_string()), ("sort".into(), "at:asc".into())];
         let search = search.with_parameters(&parameters).unwrap();
         assert_eq!((search.size, search.order.rising), (3, true));
--- a/crates/fronts/src/readings.rs
+++ b/crates/fronts/src/readings.rs
@@ -51,7 +51,7 @@
     }
 
     pub fn span(&self, path: &str) -> Result<Span, Misread> {
-        Ok(Span::of_micros(self.number(path, 0.0)? as u64))
+        Ok(Span::from_micros(self.number(path, 0.0)? as u64))
     }
 
     /// The own zone, where crossing to others has a price.
@@ -141,14 +141,14 @@
             cold,
         );
         let idle = self.span("limits.idle_close")?;
-        let roster = if idle > Span::ZERO { roster.closing_idle(idle) } else { roster };
+        let roster = if idle > Span::ZERO { roster.with_idle_close(idle) } else { roster };
         let share = self.number("invariants.further_ratio", -1.0)?;
         let few = self.number("invariants.free_resends", 0.0)?;
         let window = self.span("invariants.resend_span")?;
         let stated = share >= 0.0 && window > Span::ZERO;
         let cap = self.number("limits.attempts_cap", 1.0)? as usize;
         let held = self.span("limits.dial_timeout")?;
-        let budget = RetryBudget::new(cap, stated.then_some((few, share, window))).holding(held);
+        let budget = RetryBudget::new(cap, stated.then_some((few, share, window))).with_send_delay(held);
         let quota = |i| self.number(&format!("customers.{i}.quota_per_s"), f64::MAX);
         let shedding = LoadShedding::new(
             fleet as usize,
@@ -159,7 +159,7 @@
         );
         let mut mixer = Mixer::new(self.traffic_types()?, roster, budget, shedding, self.span("tick")?);
         let grace = self.span("invariants.drain_grace")?;
-        mixer.pushed = self.says("discovery", "pushed").then_some(grace);
+        mixer.pushed_drain_grace = self.says("discovery", "pushed").then_some(grace);
         Ok(mixer)
     }
 }
--- a/crates/fronts/tests/passed_on.rs
+++ b/crates/fronts/tests/passed_on.rs
@@ -30,24 +30,24 @@
         self.did.push(format!("part {part} to {}", to.0));
         self.out.push_back(ticket);
     }
-    fn call_off(&mut self, _: Ticket) {}
+    fn cancel(&mut self, _: Ticket) {}
     fn answer(&mut self, _: ScanId, whole: bool, last: bool) {
         self.did.push(format!("answers, whole {whole}, last {last}"));
     }
-    fn bounce(&mut self, _: ScanId, pause: Span) {
+    fn reject(&mut self, _: ScanId, pause: Span) {
         self.did.push(format!("bounces, come back after {} ms", pause.micros() / 1_000));
     }
-    fn write_off(&mut self, _: ScanId) {
+    fn fail(&mut self, _: ScanId) {
         self.did.push("writes off".into());
     }
-    fn wake(&mut self, ticket: Ticket, at: Moment) {
+    fn set_timer(&mut self, ticket: Ticket, at: Moment) {
         self.wakes.push((at, ticket));
     }
-    fn check(&mut self, searcher: Searcher) {
+    fn probe(&mut self, searcher: Searcher) {
         self.did.push(format!("checks {}", searcher.0));
     }
-    fn hang_up(&mut self, _: Searcher) {}
-    fn watch_list(&mut self) {}
+    fn retire_connections(&mut self, _: Searcher) {}
+    fn watch_discovery(&mut self) {}
 }
 
 /// A mixer by these settings, before three searchers.
@@ -61,26 +61,26 @@
     fn by(settings: &str) -> Self {
         let readings = Readings::parse(format!("{PLAIN}\n{settings}").as_bytes()).unwrap();
         let mut mixer = readings.mixer(7).unwrap();
-        let mut scene = Scene { now: Moment::at_micros(100_000_000), ..Scene::default() };
+        let mut scene = Scene { now: Moment::from_micros(100_000_000), ..Scene::default() };
         let of =
             |number| SearcherEntry { searcher: Searcher(number), ready: true, ..SearcherEntry::default() };
-        mixer.listed(&mut scene, true, &[of(0), of(1), of(2)]);
+        mixer.update_searchers(&mut scene, true, &[of(0), of(1), of(2)]);
         Self { mixer, scene, scans: 0 }
     }
 
     fn scan(&mut self, parts: usize) {
         self.scans += 1;
         let part = PartRequest { shard: 0, weight: 1.0 / parts as f64 };
-        let (left, parts) = (Span::of_millis(4_000), vec![part; parts]);
+        let (left, parts) = (Span::from_millis(4_000), vec![part; parts]);
         let scan = ScanRequest { traffic_type: 0, customer: 0, left, work: None, repeat: false, parts };
-        self.mixer.taken(&mut self.scene, ScanId { slot: self.scans, turn: 1 }, scan);
+        self.mixer.start_scan(&mut self.scene, ScanId { slot: self.scans, turn: 1 }, scan);
     }
 
     /// What is out ends in this way, twenty milliseconds after it went; and so does what goes out for it.
     fn land(&mut self, how: RelayOutcome) {
         while let Some(ticket) = self.scene.out.pop_front() {
-            self.scene.now = self.scene.now + Span::of_millis(20);
-            self.mixer.landed(&mut self.scene, ticket, how, Span::of_millis(20));
+            self.scene.now = self.scene.now + Span::from_millis(20);
+            self.mixer.relay_finished(&mut self.scene, ticket, how, Span::from_millis(20));
         }
     }
 
@@ -90,7 +90,7 @@
         while let Some(next) = next(&self.scene.wakes).filter(|next| self.scene.wakes[*next].0 <= end) {
             let (at, ticket) = self.scene.wakes.swap_remove(next);
             self.scene.now = at;
-            self.mixer.woken(&mut self.scene, ticket);
+            self.mixer.timer_fired(&mut self.scene, ticket);
         }
         self.scene.now = end;
     }
@@ -104,7 +104,7 @@
     play.land(how);
     play.scene.out.extend(sound);
     play.land(RelayOutcome::Succeeded);
-    play.pass(Span::of_millis(6_000));
+    play.pass(Span::from_millis(6_000));
     play.scene.did
 }
 
@@ -161,12 +161,12 @@
         started,
         ..SearcherEntry::default()
     };
-    play.mixer.listed(&mut play.scene, true, &[of(3), of(4)]);
+    play.mixer.update_searchers(&mut play.scene, true, &[of(3), of(4)]);
     play.scene.did.clear();
     for _ in 0..40 {
         play.scan(1);
         play.land(RelayOutcome::Succeeded);
-        play.pass(Span::of_millis(80));
+        play.pass(Span::from_millis(80));
     }
     let sent = relays(&play.scene.did);
     assert!((least..=most).contains(&sent), "{sent}");
@@ -176,9 +176,9 @@
 fn a_pushed_list_comes_with_the_grace_of_its_drains() {
     let of = |settings: &str| {
         let readings = Readings::parse(format!("{PLAIN}\n{settings}").as_bytes()).unwrap();
-        readings.mixer(7).unwrap().pushed
+        readings.mixer(7).unwrap().pushed_drain_grace
     };
-    assert_eq!(of("discovery=pushed\ninvariants.drain_grace=250000"), Some(Span::of_millis(250)));
+    assert_eq!(of("discovery=pushed\ninvariants.drain_grace=250000"), Some(Span::from_millis(250)));
     assert_eq!(of("discovery=on_request\ninvariants.drain_grace=250000"), None);
 }
 
--- a/crates/mixer/src/program/clock.rs
+++ b/crates/mixer/src/program/clock.rs
@@ -22,7 +22,7 @@
     }
 
     pub fn now(&self) -> Moment {
-        Moment::at_micros(self.began_at + self.began.elapsed().as_micros() as u64)
+        Moment::from_micros(self.began_at + self.began.elapsed().as_micros() as u64)
     }
 
     pub fn instant(&self, at: Moment) -> Instant {
--- a/crates/mixer/src/program/listening.rs
+++ b/crates/mixer/src/program/listening.rs
@@ -148,7 +148,7 @@
     fn tell_begun(&mut self, handle: &Handle, client: ClientId) {
         let Some(begun) = self.begun.filter(|_| !self.stirred) else { return };
         self.stirred = true;
-        handle.feed(Event::Stirred(client, Span::of_micros(begun.elapsed().as_micros() as u64)));
+        handle.feed(Event::Stirred(client, Span::from_micros(begun.elapsed().as_micros() as u64)));
     }
 
     fn may_read_figures(&self) -> bool {
--- a/crates/mixer/src/protocol/lists.rs
+++ b/crates/mixer/src/protocol/lists.rs
@@ -52,7 +52,7 @@
         // Draining, gone and whatever else: it wants nothing new.
         ready: text("lifecycle")? == "SERVING",
         gone: text("lifecycle")? == "DELETED",
-        started: started.map(|at| Moment::at_micros(at.saturating_mul(1000))),
+        started: started.map(|at| Moment::from_micros(at.saturating_mul(1000))),
     })
 }
 
@@ -88,9 +88,9 @@
             assert_eq!((row.ready, row.gone), (false, word == "DELETED"));
         }
         let started = read(&PAGE.replace("Ms\":0", "Ms\":1764598377123")).unwrap().rows[0].started;
-        assert_eq!(started, Some(Moment::at_micros(1_764_598_377_123_000)));
+        assert_eq!(started, Some(Moment::from_micros(1_764_598_377_123_000)));
         let started = read(&PAGE.replace("Ms\":0", "Ms\":1764598377123.5")).unwrap().rows[0].started;
-        assert_eq!(started, Some(Moment::at_micros(1_764_598_377_123_000)), "with decimals");
+        assert_eq!(started, Some(Moment::from_micros(1_764_598_377_123_000)), "with decimals");
     }
 
     #[test_case("\"generation\":41", "\"generation\":-1", "generation is not a whole number")]
--- a/crates/mixer/src/protocol/scans.rs
+++ b/crates/mixer/src/protocol/scans.rs
@@ -108,7 +108,7 @@
     Ok(AskedPart {
         shard: shard.ok_or_else(|| blame("a range has no number"))?,
         weight: weight.ok_or_else(|| blame("a range has no sensible portion"))?,
-        work: work.map(|price| Span::of_micros(price as u64)),
+        work: work.map(|price| Span::from_micros(price as u64)),
     })
 }
 
@@ -122,7 +122,7 @@
 fn seconds(text: &str) -> Option<Span> {
     let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     let seconds: f64 = text.parse().ok().filter(|_| digits)?;
-    (seconds > 0.0 && seconds <= 86_400.0).then(|| Span::of_micros((seconds * 1e6) as u64))
+    (seconds > 0.0 && seconds <= 86_400.0).then(|| Span::from_micros((seconds * 1e6) as u64))
 }
 
 /// What an answer takes beside its values, for each part.
@@ -209,9 +209,9 @@
     fn a_scan_is_read_with_all_that_it_says() {
         let Ok(Question::Scan(ask)) = asked("/checkout?key=7f", HEADERS, BODY) else { panic!("no scan") };
         assert_eq!((ask.name.as_str(), ask.customer.as_str(), ask.repeat), ("9b1f", "acme", true));
-        assert_eq!((ask.left, ask.label.as_deref()), (Span::of_millis(480), Some("5c0f")));
+        assert_eq!((ask.left, ask.label.as_deref()), (Span::from_millis(480), Some("5c0f")));
         assert_eq!(ask.text, "cé\n", "escapes are undone once");
-        let work = Some(Span::of_millis(9));
+        let work = Some(Span::from_millis(9));
         assert_eq!(ask.parts[0], AskedPart { shard: 3, weight: 0.5, work });
         assert_eq!(ask.parts[1], AskedPart { shard: 9, weight: 0.5, work: None });
     }
--- a/crates/mixer/src/routing/any_order.rs
+++ b/crates/mixer/src/routing/any_order.rs
@@ -103,7 +103,7 @@
         let state = State::new(&readings, 7, berths, &Operator::default(), "n0").unwrap();
         let mut world = Self {
             state,
-            now: Moment::at_micros(1_764_000_000_000_000),
+            now: Moment::from_micros(1_764_000_000_000_000),
             alarm: None,
             cancel,
             ready: [true; SEARCHERS as usize],
@@ -284,7 +284,7 @@
     }
 
     fn pass(&mut self, millis: u64) {
-        let until = self.now + Span::of_millis(millis);
+        let until = self.now + Span::from_millis(millis);
         while let Some(at) = self.alarm.take_if(|at| *at <= until) {
             self.now = at.max(self.now);
             self.feed(Event::TimeCame);
@@ -316,7 +316,7 @@
             name,
             traffic_type: TYPES[kind].into(),
             customer: "any".into(),
-            left: Span::of_millis(900),
+            left: Span::from_millis(900),
             repeat: false,
             label: Some("k".into()),
             text: "c41e".into(),
--- a/crates/mixer/src/routing/clients.rs
+++ b/crates/mixer/src/routing/clients.rs
@@ -9,7 +9,7 @@
 /// A request is to be whole so long after its first byte, and a connection's first so long after that came:
 /// clients send theirs in one piece. Whoever connects is owed an answer or a close within three seconds; one
 /// of them is for waiting on the porch.
-pub const HALF_ASKED: Span = Span::of_millis(2_000);
+pub const HALF_ASKED: Span = Span::from_millis(2_000);
 /// What a client is about.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Doing {
--- a/crates/mixer/src/routing/connection_attempts.rs
+++ b/crates/mixer/src/routing/connection_attempts.rs
@@ -101,7 +101,7 @@
             Some(median) => (median * LATE_FACTOR).clamp(part(SOONEST_PART), part(LATEST_PART)),
             None => part(UNKNOWN_PART),
         };
-        Span::of_micros(late)
+        Span::from_micros(late)
     }
 }
 
--- a/crates/mixer/src/routing/connection_attempts/tests.rs
+++ b/crates/mixer/src/routing/connection_attempts/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-const WITHIN: Span = Span::of_millis(250);
+const WITHIN: Span = Span::from_millis(250);
 
 fn at(millis: u64) -> Moment {
-    Moment::default() + Span::of_millis(millis)
+    Moment::default() + Span::from_millis(millis)
 }
 
 fn link(number: u64) -> LinkId {
@@ -72,7 +72,7 @@
         }
         attempts.begin(link(99), at(0), WITHIN).since(at(0))
     };
-    assert_eq!(late_after(10), Span::of_millis(40));
-    assert_eq!(late_after(0), Span::of_micros(250_000 / 32));
-    assert_eq!(late_after(100), Span::of_micros(250_000 / 4));
+    assert_eq!(late_after(10), Span::from_millis(40));
+    assert_eq!(late_after(0), Span::from_micros(250_000 / 32));
+    assert_eq!(late_after(100), Span::from_micros(250_000 / 4));
 }
--- a/crates/mixer/src/routing/desk.rs
+++ b/crates/mixer/src/routing/desk.rs
@@ -410,7 +410,7 @@
         self.alarms.set(due, Alarm::Overdue(ticket, due));
     }
 
-    fn begin_by(&mut self, relay: Ticket, by: Moment) {
+    fn set_send_deadline(&mut self, relay: Ticket, by: Moment) {
         if let Some(left) = self.relays.get(&relay).map(|relay| relay.left) {
             self.alarms.set(by, Alarm::BeginBy(relay, left));
         }
@@ -418,7 +418,7 @@
 
     /// What was written is called off only where the platform lets us; what was not is nobody's yet, and is taken
     /// back whatever the platform says.
-    fn call_off(&mut self, ticket: Ticket) {
+    fn cancel(&mut self, ticket: Ticket) {
         match self.stand(ticket) {
             Some(Stand::Out) if !self.may_call_off => {}
             Some(Stand::Handed | Stand::Recalled) if !self.may_call_off => self.take_back(ticket),
@@ -439,25 +439,25 @@
         self.finish(scan, Left::Served, values);
     }
 
-    fn bounce(&mut self, scan: ScanId, pause: Span) {
+    fn reject(&mut self, scan: ScanId, pause: Span) {
         self.finish(scan, Left::Refused, |open| match &open.query {
             Some(held) => query::reply(Err(held.bounce()), pause, held.opaque()),
             None => Reply::Bounce(pause),
         });
     }
 
-    fn write_off(&mut self, scan: ScanId) {
+    fn fail(&mut self, scan: ScanId) {
         self.finish(scan, Left::Failed, |open| match &open.query {
             Some(held) => query::reply(Err(held.write_off()), Span::ZERO, held.opaque()),
             None => Reply::WriteOff,
         });
     }
 
-    fn wake(&mut self, ticket: Ticket, at: Moment) {
+    fn set_timer(&mut self, ticket: Ticket, at: Moment) {
         self.alarms.set(at, Alarm::Wake(ticket));
     }
 
-    fn check(&mut self, searcher: Searcher) {
+    fn probe(&mut self, searcher: Searcher) {
         let Some(address) = self.roll.address(searcher).filter(|_| self.roll.is_ready(searcher)) else {
             return;
         };
@@ -472,12 +472,12 @@
         }
     }
 
-    fn hang_up(&mut self, searcher: Searcher) {
+    fn retire_connections(&mut self, searcher: Searcher) {
         self.let_go(|_, link| link.to == searcher);
         self.pool.links.values_mut().filter(|link| link.to == searcher).for_each(|link| link.mute = true);
     }
 
-    fn watch_list(&mut self) {
+    fn watch_discovery(&mut self) {
         self.effects.extend(self.roll.watch());
     }
 }
--- a/crates/mixer/src/routing/doors.rs
+++ b/crates/mixer/src/routing/doors.rs
@@ -191,7 +191,7 @@
         let descriptors = Descriptors { fixed: 0, told: 8, links: 40, clients: 700 };
         let operator = Operator::read(INDICES).unwrap();
         let mut state = State::new(&readings, 7, descriptors, &operator, "n0").unwrap();
-        let now = Moment::at_micros(1_764_000_000_000_000);
+        let now = Moment::from_micros(1_764_000_000_000_000);
         let row = |number: u16| {
             let address: SocketAddr = ([127, 0, 0, 1], 9000 + number).into();
             Row {
@@ -232,7 +232,7 @@
 
     fn later(&mut self, millis: u64, due: Due) {
         self.count += 1;
-        self.due.insert((self.now + Span::of_millis(millis), self.count), due);
+        self.due.insert((self.now + Span::from_millis(millis), self.count), due);
     }
 
     fn feed(&mut self, event: Event) {
@@ -381,7 +381,7 @@
         name: format!("r{number}"),
         traffic_type: traffic_type.into(),
         customer: "acme".into(),
-        left: Span::of_millis(left),
+        left: Span::from_millis(left),
         repeat: false,
         label: (line.kind == Kind::Fix).then(|| format!("k{number}")),
         text: "c41e".into(),
--- a/crates/mixer/src/routing/pool.rs
+++ b/crates/mixer/src/routing/pool.rs
@@ -55,7 +55,7 @@
 }
 
 /// A link that was not used for so long is given up first, and over so long its uses are counted.
-const USED_OVER: Span = Span::of_millis(10_000);
+const USED_OVER: Span = Span::from_millis(10_000);
 
 /// A full pool is cleared of this part of the links it may hold.
 const CLEARED_PART: usize = 3;
--- a/crates/mixer/src/routing/pool/tests.rs
+++ b/crates/mixer/src/routing/pool/tests.rs
@@ -8,7 +8,7 @@
 /// Links that a pool may hold: what 256 descriptors leave.
 const MOST: usize = 92;
 /// Searchers are called one after another, so far apart.
-const STEP: Span = Span::of_millis(2);
+const STEP: Span = Span::from_millis(2);
 
 /// Calls searchers over links of a pool, and counts those for which it had to dial.
 struct Caller {
@@ -20,7 +20,7 @@
 impl Caller {
     fn new() -> Self {
         let pool = Pool { most: MOST, per_link: 1, per_call: 1, ..Pool::default() };
-        Self { pool, now: Moment::at_micros(1), dials: 0 }
+        Self { pool, now: Moment::from_micros(1), dials: 0 }
     }
 
     /// A call that is answered at once.
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -26,15 +26,15 @@
 
 /// After a stop is asked for, clients go on coming for 0.4 s at most (PROTOCOL.md); what comes later than
 /// 0.7 s is nobody's.
-const DOOR_OPEN: Span = Span::of_millis(600);
+const DOOR_OPEN: Span = Span::from_millis(600);
 /// Who stood outside when the door was shut has so long to ask.
-const LAST_CALL: Span = Span::of_millis(50);
+const LAST_CALL: Span = Span::from_millis(50);
 
 /// An attempt may begin 0.1 s after its client has gone, and tell 0.15 s more than is left (the operators' terms).
-const HALF_WRITTEN: Span = Span::of_millis(100);
+const HALF_WRITTEN: Span = Span::from_millis(100);
 
 /// Who has just come is about to ask.
-const SETTLING: Span = Span::of_millis(100);
+const SETTLING: Span = Span::from_millis(100);
 
 pub struct State {
     mixer: Mixer,
@@ -110,8 +110,8 @@
             desk.sums = Sums::of(types.len());
         }
         let mut mixer = readings.mixer(seed)?;
-        mixer.beside_queue = operator.checks_beside_queue();
-        mixer.join(Box::new(as_one(readings, seed, operator)?));
+        mixer.probes_bypass_queue = operator.checks_beside_queue();
+        mixer.set_fleet_policy(Box::new(as_one(readings, seed, operator)?));
         Ok(Self {
             mixer,
             desk,
@@ -130,7 +130,7 @@
     }
 
     fn is_ready(&self) -> bool {
-        self.desk.roll.any_ready() && !self.desk.stopping && self.mixer.takes_scans(self.desk.now)
+        self.desk.roll.any_ready() && !self.desk.stopping && self.mixer.accepts_scans(self.desk.now)
     }
 
     /// What it tells of itself, but for what only the program knows.
@@ -148,7 +148,7 @@
     pub fn begin(&mut self, known: &News, discovery: SocketAddr, now: Moment) -> Vec<Effect> {
         self.desk.now = now;
         let listings = self.desk.roll.take(known);
-        self.mixer.remembered(&mut self.desk, &listings);
+        self.mixer.restore_searchers(&mut self.desk, &listings);
         self.desk.keep_drains();
         self.desk.roll.move_to(discovery);
         self.mixer.watch(&mut self.desk, 0);
@@ -164,9 +164,9 @@
     fn settle(&mut self) -> Vec<Effect> {
         loop {
             if let Some((ticket, how, took)) = self.desk.landed.pop_front() {
-                self.mixer.landed(&mut self.desk, ticket, how, took);
+                self.mixer.relay_finished(&mut self.desk, ticket, how, took);
             } else if let Some((searcher, there)) = self.desk.checked.pop_front() {
-                self.mixer.checked(&mut self.desk, searcher, there);
+                self.mixer.probe_finished(&mut self.desk, searcher, there);
             } else if let Some(client) = self.desk.going_on.pop_front() {
                 self.go_on(client);
             } else if !self.desk.place_all() {
@@ -211,7 +211,7 @@
 
     fn hear(&mut self, news: &News) {
         let listings = self.desk.roll.take(news);
-        self.mixer.listed(&mut self.desk, news.whole, &listings);
+        self.mixer.update_searchers(&mut self.desk, news.whole, &listings);
         self.desk.keep_drains();
     }
 
@@ -302,9 +302,9 @@
         self.desk.clients.set(client, Doing::Waiting(id), self.desk.now);
         // The bench turns such scans away before they reach a mixer; here they come this far.
         if self.desk.held > self.most_held || self.last_call {
-            return self.mixer.turn_away(&mut self.desk, id);
+            return self.mixer.reject_scan(&mut self.desk, id);
         }
-        self.mixer.taken(&mut self.desk, id, scan);
+        self.mixer.start_scan(&mut self.desk, id, scan);
     }
 
     /// The scan in the module's terms, if it makes sense here.
@@ -340,7 +340,7 @@
         Ok(ScanRequest {
             traffic_type,
             customer: customer.unwrap_or(0),
-            left: ask.left.less(self.desk.now.since(began)),
+            left: ask.left.saturating_sub(self.desk.now.since(began)),
             work: ask.parts.iter().filter_map(|part| part.work).reduce(|a, b| a + b),
             repeat: ask.repeat,
             parts,
@@ -351,7 +351,7 @@
         self.desk.batches.remove(&client);
         if let Some(Doing::Waiting(id)) = self.desk.clients.gone(client, self.desk.now) {
             self.desk.close(id, Left::Failed);
-            self.mixer.client_left(&mut self.desk, id);
+            self.mixer.client_disconnected(&mut self.desk, id);
         }
     }
 
@@ -494,7 +494,7 @@
         self.desk.alarms.rang();
         while let Some(alarm) = self.desk.alarms.next(self.desk.now) {
             match alarm {
-                Alarm::Wake(ticket) => self.mixer.woken(&mut self.desk, ticket),
+                Alarm::Wake(ticket) => self.mixer.timer_fired(&mut self.desk, ticket),
                 Alarm::Overdue(ticket, due) => self.desk.overdue(ticket, due),
                 Alarm::BeginBy(ticket, left) => self.desk.too_late_to_begin(ticket, left),
                 Alarm::HalfAsked(client, since) => {
@@ -531,7 +531,7 @@
         if !self.desk.stopping {
             self.desk.stopping = true;
             // Who has just come is about to ask.
-            self.send_off_idle(self.desk.now.less(SETTLING));
+            self.send_off_idle(self.desk.now.saturating_sub(SETTLING));
             self.desk.alarms.set(self.desk.now + DOOR_OPEN, Alarm::ShutDoor);
         }
     }
@@ -543,7 +543,7 @@
     match event {
         Event::Knocked(client, from) => state.desk.clients.knocked(client, from, now),
         Event::Stirred(client, stood) => {
-            state.desk.clients.stirred(client, now.less(stood), now);
+            state.desk.clients.stirred(client, now.saturating_sub(stood), now);
             state.await_whole(client, now);
         }
         Event::Asked(client, ask) => state.asked(client, ask),
@@ -570,11 +570,11 @@
         Event::Told(news) => {
             state.hear(&news);
             state.broke = 0;
-            state.desk.watch_list();
+            state.desk.watch_discovery();
         }
         Event::Moved(discovery) => {
             state.desk.roll.move_to(discovery);
-            state.desk.watch_list();
+            state.desk.watch_discovery();
         }
         Event::WatchBroke => {
             state.desk.roll.broke();
--- a/crates/mixer/src/routing/tests.rs
+++ b/crates/mixer/src/routing/tests.rs
@@ -63,7 +63,7 @@
 fn play_with(searchers: u16, more: &str, descriptors: Descriptors) -> Play {
     let readings = Readings::parse(format!("{SETTINGS}{more}").as_bytes()).unwrap();
     let state = State::new(&readings, 7, descriptors, &Operator::default(), "n0").unwrap();
-    let now = Moment::at_micros(1_764_000_000_000_000);
+    let now = Moment::from_micros(1_764_000_000_000_000);
     let mut play = Play { state, now, alarm: None, effects: Vec::new(), clients: 0 };
     let known = news(5, true, (0..searchers).map(|number| row(number, true)).collect());
     let effects = play.state.begin(&known, DISCOVERY, now);
@@ -81,7 +81,7 @@
         name: name.into(),
         traffic_type: traffic_type.into(),
         customer: "acme".into(),
-        left: Span::of_millis(4000),
+        left: Span::from_millis(4000),
         repeat: false,
         label: Some("k1".into()),
         text: "c41e".into(),
@@ -105,7 +105,7 @@
     }
 
     fn pass(&mut self, millis: u64) {
-        let until = self.now + Span::of_millis(millis);
+        let until = self.now + Span::from_millis(millis);
         while let Some(at) = self.alarm.take_if(|at| *at <= until) {
             self.now = at.max(self.now);
             self.feed(Event::TimeCame);
@@ -609,8 +609,8 @@
 fn the_time_for_which_a_request_stood_unread_is_taken_off_its_time() {
     let mut play = play(1);
     let client = play.come();
-    play.feed(Event::Stirred(client, Span::of_millis(300)));
-    play.feed(Event::Asked(client, Ask { left: Span::of_millis(800), ..ask("a", "look", &[0]) }));
+    play.feed(Event::Stirred(client, Span::from_millis(300)));
+    play.feed(Event::Asked(client, Ask { left: Span::from_millis(800), ..ask("a", "look", &[0]) }));
     assert_eq!(play.send()[0].errands[0].waits_ms, 800 - 300 - 15);
 }
 
@@ -914,7 +914,7 @@
     let operator =
         Operator::read("{ dialect: { indices: { cues: { searches: 'look', customer: 'acme' } } } }").unwrap();
     let state = State::new(&readings, 7, berths(10, 10), &operator, "n0").unwrap();
-    let now = Moment::at_micros(1_764_000_000_000_000);
+    let now = Moment::from_micros(1_764_000_000_000_000);
     let mut play = Play { state, now, alarm: None, effects: Vec::new(), clients: 0 };
     let known = news(5, true, (0..searchers).map(|number| row(number, true)).collect());
     let effects = play.state.begin(&known, DISCOVERY, now);
--- a/crates/orders/src/units.rs
+++ b/crates/orders/src/units.rs
@@ -10,7 +10,7 @@
     let time = humantime::parse_duration(&text);
     let time = time
         .map_err(|_| Error::invalid_value(Unexpected::Str(&text), &"a time such as \"250ms\" or \"2s\""))?;
-    Ok(Some(Span::of_micros(time.as_micros().min(u128::from(u64::MAX)) as u64)))
+    Ok(Some(Span::from_micros(time.as_micros().min(u128::from(u64::MAX)) as u64)))
 }
 
 /// From nothing to all of it.
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -33,7 +33,7 @@
 const USUAL: f64 = 0.7;
 
 /// How long scans are counted until they tell a load; what all lose is not judged before that.
-const LOAD_SEEN: Span = Span::of_millis(5_000);
+const LOAD_SEEN: Span = Span::from_millis(5_000);
 
 /// How much worse is worse, and how sure one has to be. A plan's `compare`, with these defaults.
 #[derive(Clone, Copy, Debug, serde::Deserialize)]
@@ -55,7 +55,7 @@
 
 impl Default for Scales {
     fn default() -> Self {
-        let before = Span::of_millis(30_000);
+        let before = Span::from_millis(30_000);
         Self { lost: 0.01, slower: 0.04, fall: 0.05, false_stop: 0.01, missed: 0.05, before }
     }
 }
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -85,7 +85,7 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        let span = Span::of_millis;
+        let span = Span::from_millis;
         Self {
             most_away: 1,
             undo_away: 2,
@@ -229,6 +229,6 @@
 pub(crate) fn span<'de, D: Deserializer<'de>>(from: D) -> Result<Span, D::Error> {
     let text = String::deserialize(from)?;
     let time = humantime::parse_duration(&text);
-    time.map(|time| Span::of_micros(time.as_micros() as u64))
+    time.map(|time| Span::from_micros(time.as_micros() as u64))
         .map_err(|_| serde::de::Error::custom(format!("{text:?} is no time such as \"250ms\" or \"2s\"")))
 }
--- a/crates/rollout/tests/change.rs
+++ b/crates/rollout/tests/change.rs
@@ -12,7 +12,7 @@
     let zones: Vec<String> = ["a", "a", "a", "b", "b", "b"].map(String::from).to_vec();
     let names = (0..6).map(|at| format!("m{at}")).collect();
     let makes = |program: &str| Makes { program: program.into(), settings: "-".into() };
-    let span = Span::of_millis;
+    let span = Span::from_millis;
     Arc::new(Course {
         names,
         steps: steps(&zones, &[Size::Count(1), Size::Share(1.0)]),
@@ -49,7 +49,7 @@
 
 impl Fleet {
     fn new(means: Means) -> Self {
-        let (now, course) = (Moment::at_micros(1_000_000), course(means));
+        let (now, course) = (Moment::from_micros(1_000_000), course(means));
         Self {
             change: Change::new(course, &[], now),
             now,
@@ -97,7 +97,7 @@
 
     /// A turn of the conductor's: everybody is asked, and a quarter of a second has passed.
     fn turn(&mut self) {
-        self.now = self.now + Span::of_millis(250);
+        self.now = self.now + Span::from_millis(250);
         for mixer in 0..6 {
             match self.report(mixer) {
                 _ if self.silent.contains(&mixer) => {}
@@ -204,7 +204,7 @@
     let mut fleet = Fleet::new(Means::Restart);
     fleet.take(Event::Time { watched: false });
     (0..6).for_each(|at| fleet.take(Event::Heard(at, fleet.report(at).unwrap())));
-    fleet.now = fleet.now + Span::of_millis(2_500);
+    fleet.now = fleet.now + Span::from_millis(2_500);
     (0..5).for_each(|at| fleet.take(Event::Heard(at, fleet.report(at).unwrap())));
     let out = fleet.change.take(fleet.now, Event::Time { watched: true });
     assert_eq!(out, [Effect::Tell("m5 is out of reach: nothing is ordered".into())]);
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -64,7 +64,7 @@
 fn course(planted: Planted) -> Arc<Course> {
     let zones: Vec<String> = ["a", "a", "b", "b"].map(String::from).to_vec();
     let makes = |program: &str| Makes { program: program.into(), settings: "-".into() };
-    let span = |seconds: u64| Span::of_millis(1_000 * seconds);
+    let span = |seconds: u64| Span::from_millis(1_000 * seconds);
     Arc::new(Course {
         names: (0..MIXERS).map(|at| format!("m{at}")).collect(),
         steps: steps(&zones, &[Size::Count(1)]),
@@ -86,7 +86,7 @@
 
 impl Way {
     fn take(&self, world: &mut World, event: Event, stillborn: bool) {
-        let now = Moment::at_micros(1_000_000 * u64::from(world.turn + 1));
+        let now = Moment::from_micros(1_000_000 * u64::from(world.turn + 1));
         for effect in world.change.take(now, event) {
             match effect {
                 Effect::Write(record) => {
@@ -135,7 +135,7 @@
                     let count = world.change.course().steps.len();
                     records.extend(step.filter(|at| at + 1 < count).map(|step| Record::Passed { step }));
                 }
-                let now = Moment::at_micros(1_000_000 * u64::from(world.turn + 1));
+                let now = Moment::from_micros(1_000_000 * u64::from(world.turn + 1));
                 world.change = Change::new(course(self.planted), &records, now);
             }
             Fault::Worse => self.take(world, Event::Worse("it is".into()), false),
@@ -174,7 +174,7 @@
     type Action = Fault;
 
     fn init_states(&self) -> Vec<World> {
-        let start = Moment::at_micros(1_000_000);
+        let start = Moment::from_micros(1_000_000);
         let journal = vec![Record::Begun { change: "c".into(), plan: "p".into() }];
         vec![World {
             change: Change::new(course(self.planted), &journal, start),
--- a/crates/rollout/tests/verdict.rs
+++ b/crates/rollout/tests/verdict.rs
@@ -90,7 +90,7 @@
         .collect();
     let (mut burst, begins) = ([0.0; ZONES], 140);
     for turn in 0..begins + 4 * seconds {
-        let now = Moment::at_micros(1_000_000) + Span::of_millis(250 * turn);
+        let now = Moment::from_micros(1_000_000) + Span::from_millis(250 * turn);
         let changed = turn >= begins;
         for zone in &mut burst {
             // Once in some forty seconds, for some two, a third is refused.
@@ -207,10 +207,10 @@
 #[test_case(|mixer, turn| (mixer == 3 && turn < 31).then_some(false); "one can't be heard at its beginning")]
 fn the_time_before_tells_the_load_with_mixers_away_in_it(away: fn(u64, u64) -> Option<bool>) {
     let mut judge =
-        Judge::new(Scales { before: Span::of_millis(3_000), ..Scales::default() }, vec!["z".into(); 4]);
+        Judge::new(Scales { before: Span::from_millis(3_000), ..Scales::default() }, vec!["z".into(); 4]);
     let mut told: Vec<Told> = (0..4).map(|at| mixer(&format!("first-{at}"))).collect();
     for turn in 0..100 {
-        let now = Moment::at_micros(1_000_000) + Span::of_millis(250 * turn);
+        let now = Moment::from_micros(1_000_000) + Span::from_millis(250 * turn);
         for (at, told) in told.iter_mut().enumerate() {
             let away = away(at as u64, turn);
             if away == Some(true) {
--- a/crates/shedding/src/asks.rs
+++ b/crates/shedding/src/asks.rs
@@ -23,7 +23,7 @@
 impl Asks {
     /// Of a fleet that is told to be of so many: told half of them, all together ask twice as often.
     pub fn new(fleet: f64, seed: u64) -> Self {
-        let every = Span::of_micros((1e6 * (fleet / A_SECOND).max(LEAST)) as u64);
+        let every = Span::from_micros((1e6 * (fleet / A_SECOND).max(LEAST)) as u64);
         Self { every, seed, drawn: 0 }
     }
 
--- a/crates/shedding/src/fleet.rs
+++ b/crates/shedding/src/fleet.rs
@@ -17,24 +17,24 @@
 }
 
 impl FleetPolicy for AsOne {
-    fn lets_in(&mut self, now: Moment, knock: &AdmissionRequest) -> Option<Result<f64, f64>> {
+    fn admit(&mut self, now: Moment, knock: &AdmissionRequest) -> Option<Result<f64, f64>> {
         self.shedder.as_mut().map(|shedder| shedder.lets_in(now, knock))
     }
 
-    fn landed(&mut self, now: Moment, heard: &PartResult) {
+    fn note_result(&mut self, now: Moment, heard: &PartResult) {
         self.shedder.iter_mut().for_each(|shedder| shedder.landed(now, heard));
         self.purse.iter_mut().for_each(|purse| purse.landed(now, heard.cell, heard.how));
     }
 
-    fn may_relay(&self, now: Moment, cell: u32) -> bool {
+    fn may_retry(&self, now: Moment, cell: u32) -> bool {
         self.purse.as_ref().is_none_or(|purse| purse.may_relay(now, cell))
     }
 
-    fn relayed(&mut self, now: Moment, cell: u32) {
+    fn note_retry(&mut self, now: Moment, cell: u32) {
         self.purse.iter_mut().for_each(|purse| purse.relayed(now, cell));
     }
 
-    fn asks_in(&mut self, first: bool) -> Option<Span> {
+    fn probe_delay(&mut self, first: bool) -> Option<Span> {
         self.asks.as_mut().map(|asks| if first { asks.first() } else { asks.every() })
     }
 }
--- a/crates/shedding/src/shedder.rs
+++ b/crates/shedding/src/shedder.rs
@@ -9,7 +9,7 @@
 /// in flight aim at (one and a half times the shortest), so that the order has turned away what they would have; and
 /// at the most a quarter of the time beside the work, where that is short.
 fn wanted(heard: &PartResult) -> Span {
-    (heard.shortest * 0.5).min(heard.quoted.less(heard.shortest) * 0.25).max(Span::of_micros(1))
+    (heard.shortest * 0.5).min(heard.quoted.saturating_sub(heard.shortest) * 0.25).max(Span::from_micros(1))
 }
 
 /// Sheds by one level for all cells, which hears much and is quick, and by one a cell, for what is short alone.
@@ -26,7 +26,7 @@
 /// What a part's end says of the load where it was: nothing, where it says nothing of a queue.
 pub fn strain(heard: &PartResult) -> Option<Strain> {
     // In widths, of which the first is wanted.
-    let queue = heard.took.less(heard.shortest).as_f64() / wanted(heard).as_f64();
+    let queue = heard.took.saturating_sub(heard.shortest).as_f64() / wanted(heard).as_f64();
     let told = |queue, beyond| Some(Strain { queue, beyond });
     match heard.how {
         RelayOutcome::Rejected => told(1.0, 1.0),
--- a/crates/shedding/tests/fleet.rs
+++ b/crates/shedding/tests/fleet.rs
@@ -41,16 +41,16 @@
         {
             landings.pop();
             let how = if served { RelayOutcome::Succeeded } else { RelayOutcome::Rejected };
-            let (took, quoted) = (Span::of_micros(took), Span::of_micros(QUOTED));
-            let heard = PartResult { cell: 0, how, took, quoted, shortest: Span::of_micros(WORK) };
-            fleet[mixer].landed(Moment::at_micros(at), &heard);
+            let (took, quoted) = (Span::from_micros(took), Span::from_micros(QUOTED));
+            let heard = PartResult { cell: 0, how, took, quoted, shortest: Span::from_micros(WORK) };
+            fleet[mixer].landed(Moment::from_micros(at), &heard);
         }
         let mixer = if chance.random_bool(first) { 0 } else { chance.random_range(0..mixers) };
         let parts = [PartRequest { shard: chance.random_range(0..1 << 20), weight: 1.0 }];
         let knock = AdmissionRequest { worth: 1.0, repeat: false, parts: &parts, cells: 1 };
         let line = &mut seconds[second];
         line.offered += 1;
-        if fleet[mixer].lets_in(Moment::at_micros(now), &knock).is_err() {
+        if fleet[mixer].lets_in(Moment::from_micros(now), &knock).is_err() {
             continue;
         }
         line.let_in += 1;
--- a/crates/shedding/tests/order.rs
+++ b/crates/shedding/tests/order.rs
@@ -16,14 +16,14 @@
 }
 
 fn heard(cell: u32, how: RelayOutcome, took: u64) -> PartResult {
-    let (quoted, shortest) = (Span::of_millis(500), Span::of_millis(20));
-    PartResult { cell, how, took: Span::of_millis(took), quoted, shortest }
+    let (quoted, shortest) = (Span::from_millis(500), Span::from_millis(20));
+    PartResult { cell, how, took: Span::from_millis(took), quoted, shortest }
 }
 
 #[test]
 fn worth_comes_first_then_firsts_and_a_scan_stands_alike_at_every_mixer() {
     let mut fleet = [Order::default(), Order::default(), Order::default()];
-    let at = |step: u64| Moment::at_micros(BEGAN + step * 10_000);
+    let at = |step: u64| Moment::from_micros(BEGAN + step * 10_000);
     // Each of the three sees other scans of the same mix.
     for step in 0..600 {
         for (mixer, order) in fleet.iter_mut().enumerate() {
@@ -52,7 +52,7 @@
 #[test]
 fn a_scan_is_let_in_by_all_of_its_cells_or_by_none() {
     let mut fleet = [Shedder::default(), Shedder::default()];
-    let at = |step: u64| Moment::at_micros(BEGAN + step * 5_000);
+    let at = |step: u64| Moment::from_micros(BEGAN + step * 5_000);
     for step in 0..1_500 {
         for mixer in &mut fleet {
             for cell in 0..4 {
@@ -85,7 +85,7 @@
 #[test]
 fn the_lowest_is_a_trickle_and_those_turned_away_are_spread() {
     let mut mixer = Shedder::default();
-    let at = |step: u64| Moment::at_micros(BEGAN + step * 5_000);
+    let at = |step: u64| Moment::from_micros(BEGAN + step * 5_000);
     (0..6_000).for_each(|step| mixer.landed(at(step), &heard(0, RelayOutcome::Rejected, 1)));
     let (mut let_in, mut pauses) = (0, Vec::new());
     for step in 6_000..16_000 {
@@ -105,8 +105,8 @@
 #[test]
 fn unheard_it_fades_and_lets_in_again() {
     let mut level = Level::default();
-    let by = Loop { width: Span::of_millis(120), target: Span::of_millis(140) };
-    let at = |millis: u64| Moment::at_micros(BEGAN + millis * 1_000);
+    let by = Loop { width: Span::from_millis(120), target: Span::from_millis(140) };
+    let at = |millis: u64| Moment::from_micros(BEGAN + millis * 1_000);
     (0..2_000).for_each(|step| level.note(at(step * 10), Strain { queue: 1.0, beyond: 1.0 }, by));
     assert!(level.shed(at(20_000), by) > 3.0);
     assert!(level.shed(at(40_000), by) < 0.1, "twenty seconds without a word");
@@ -126,7 +126,7 @@
         for step in 0..6_000u32 {
             let (worth, repeat, count) = mix[step as usize % mix.len()];
             let shards: Vec<u32> = (0..count as u32).map(|part| seed + step * 31 + part).collect();
-            let now = Moment::at_micros(BEGAN + u64::from(step) * 5_000);
+            let now = Moment::from_micros(BEGAN + u64::from(step) * 5_000);
             let stands = order.place(now, &knock(worth, repeat, &parts(&shards)));
             prop_assert!((0.0..1.0).contains(&stands));
             // The first seconds know little of the mix.
@@ -145,11 +145,11 @@
         width in 1u64..5_000_000,
         target in 0u64..5_000_000,
     ) {
-        let by = Loop { width: Span::of_micros(width), target: Span::of_micros(target) };
+        let by = Loop { width: Span::from_micros(width), target: Span::from_micros(target) };
         let mut level = Level::default();
         for (at, queue, beyond) in told {
-            level.note(Moment::at_micros(BEGAN + at), Strain { queue, beyond }, by);
-            let shed = level.shed(Moment::at_micros(BEGAN + at), by);
+            level.note(Moment::from_micros(BEGAN + at), Strain { queue, beyond }, by);
+            let shed = level.shed(Moment::from_micros(BEGAN + at), by);
             prop_assert!((0.0..=MOST).contains(&shed), "{shed}");
         }
     }
@@ -163,7 +163,7 @@
             RelayOutcome::ConnectionLost, RelayOutcome::Cancelled, RelayOutcome::NotSent];
         let mut mixer = Shedder::default();
         for (at, cell, how, took) in told {
-            let now = Moment::at_micros(BEGAN + at);
+            let now = Moment::from_micros(BEGAN + at);
             mixer.landed(now, &heard(cell, ends[how], took));
             match mixer.lets_in(now, &knock(0.5, false, &parts(&[cell]))) {
                 Ok(stands) => prop_assert!((0.0..1.0).contains(&stands)),
--- a/crates/shedding/tests/sums.rs
+++ b/crates/shedding/tests/sums.rs
@@ -27,7 +27,7 @@
     let mut sums = Sums { honoured: 0, lost: 0, relayed: 0, worst: 0 };
     let mut here = (0, 0);
     for step in 0..50 * RATE {
-        let now = Moment::at_micros(50_000_000 + step * 1_000_000 / RATE);
+        let now = Moment::from_micros(50_000_000 + step * 1_000_000 / RATE);
         let mixer = if chance.random_bool(first) { 0 } else { chance.random_range(0..mixers) };
         let counted = step >= 30 * RATE;
         if !counted || !chance.random_bool(lost) {
@@ -96,8 +96,8 @@
     let every = Asks::new(told, 0).every();
     for mixer in 0..mixers {
         let mut asks = Asks::new(told, mixer as u64);
-        let mut at = Moment::at_micros(0) + asks.first();
-        while at < Moment::at_micros(200_000_000) {
+        let mut at = Moment::from_micros(0) + asks.first();
+        while at < Moment::from_micros(200_000_000) {
             by_second[(at.micros() / 1_000_000) as usize] += 1;
             times.push(at);
             at = at + asks.every();
@@ -138,10 +138,10 @@
         steps in prop::collection::vec((0u64..4_000_000, 0u32..3, 0u8..3), 1..300),
     ) {
         let mut purse = Purse::new(told, seed);
-        let (mut now, mut honoured, mut relayed) = (Moment::at_micros(7), [0usize; 3], [0usize; 3]);
+        let (mut now, mut honoured, mut relayed) = (Moment::from_micros(7), [0usize; 3], [0usize; 3]);
         let began = now;
         for (gap, cell, what) in steps {
-            now = now + Span::of_micros(gap);
+            now = now + Span::from_micros(gap);
             let here = cell as usize;
             if what == 0 {
                 purse.landed(now, cell, RelayOutcome::Succeeded);
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -96,7 +96,7 @@
         self.act(16, &[&relay.0.to_be_bytes(), &to, &short(patience)]);
     }
 
-    fn call_off(&mut self, relay: Ticket) {
+    fn cancel(&mut self, relay: Ticket) {
         let relay = self.books.tickets.get(&relay).copied().filter(|_| self.books.may_call_off);
         if let Some((corr, number)) = relay {
             self.act(19, &[&corr.to_be_bytes(), &number.to_be_bytes()]);
@@ -111,35 +111,35 @@
         }
     }
 
-    fn bounce(&mut self, scan: ScanId, pause: Span) {
+    fn reject(&mut self, scan: ScanId, pause: Span) {
         let Some(corr) = self.books.corr(scan) else { return };
         self.act(17, &[&corr, &short(pause)]);
         self.books.close(scan);
     }
 
-    fn write_off(&mut self, scan: ScanId) {
+    fn fail(&mut self, scan: ScanId) {
         let Some(corr) = self.books.corr(scan) else { return };
         self.act(18, &[&corr]);
         self.books.close(scan);
     }
 
-    fn wake(&mut self, ticket: Ticket, at: Moment) {
+    fn set_timer(&mut self, ticket: Ticket, at: Moment) {
         self.act(20, &[&at.micros().to_be_bytes(), &ticket.0.to_be_bytes()]);
     }
 
-    fn check(&mut self, searcher: Searcher) {
+    fn probe(&mut self, searcher: Searcher) {
         if let Some(wire_id) = self.books.wire_id(searcher) {
             self.act(21, &[&wire_id]);
         }
     }
 
-    fn hang_up(&mut self, searcher: Searcher) {
+    fn retire_connections(&mut self, searcher: Searcher) {
         if let Some(wire_id) = self.books.wire_id(searcher) {
             self.act(22, &[&wire_id]);
         }
     }
 
-    fn watch_list(&mut self) {
+    fn watch_discovery(&mut self) {
         self.act(26, &[&[1]]);
     }
 }
@@ -186,8 +186,8 @@
     pub fn hand_over(&mut self, now: Moment, reply: &mut Reply) {
         let Some(Arriving { id, scan, parts }) = self.arriving.take() else { return };
         self.with(now, reply, |mixer, host| match scan {
-            Some(scan) => mixer.taken(host, id, ScanRequest { parts, ..scan }),
-            None => mixer.more_parts(host, id, &parts),
+            Some(scan) => mixer.start_scan(host, id, ScanRequest { parts, ..scan }),
+            None => mixer.start_fetch(host, id, &parts),
         });
     }
 
@@ -198,13 +198,13 @@
         let (left, hint) = (fields.u32()?, fields.u32()?);
         let (job, shard, weight) = (fields.u32()?, fields.f32()?, fields.f32()?);
         let options = fields.u16()?;
-        let work = (options & 1 != 0).then(|| Span::of_micros(hint.into()));
+        let work = (options & 1 != 0).then(|| Span::from_micros(hint.into()));
         if shard < 0.0 {
             self.hand_over(now, reply);
             let scan = ScanRequest {
                 traffic_type: class.into(),
                 customer: team.into(),
-                left: Span::of_micros(left.into()),
+                left: Span::from_micros(left.into()),
                 work,
                 repeat: options & 2 != 0,
                 parts: Vec::new(),
@@ -234,11 +234,11 @@
             searcher: self.books.searchers.number(&entry.wire_id),
             cell: entry.cell.into(),
             ready: entry.status == 0,
-            started: (entry.started != 0).then(|| Moment::at_micros(entry.started)),
+            started: (entry.started != 0).then(|| Moment::from_micros(entry.started)),
             dear: dear_outside.is_some_and(|home| entry.zone != home),
         };
         let listings: Vec<SearcherEntry> = entries.iter().map(listing).collect();
-        self.with(now, reply, |mixer, host| mixer.listed(host, how != 0, &listings));
+        self.with(now, reply, |mixer, host| mixer.update_searchers(host, how != 0, &listings));
         let (gone, here): (Vec<&Entry>, Vec<&Entry>) = entries.iter().partition(|entry| entry.status == GONE);
         let ids = |entries: Vec<&Entry>| entries.iter().map(|entry| entry.wire_id).collect::<BTreeSet<u32>>();
         let (gone, here) = (ids(gone), ids(here));
@@ -259,10 +259,10 @@
             125 => RelayOutcome::Cancelled,
             other => return Err(Malformed(format!("Result: unknown disposition {other}"))),
         };
-        let took = Span::of_micros(fields.u32()?.into());
+        let took = Span::from_micros(fields.u32()?.into());
         if let Some(ticket) = self.books.relays.remove(&(corr, number)) {
             self.books.tickets.remove(&ticket);
-            self.with(now, reply, |mixer, host| mixer.landed(host, ticket, how, took));
+            self.with(now, reply, |mixer, host| mixer.relay_finished(host, ticket, how, took));
         }
         Ok(())
     }
@@ -270,7 +270,7 @@
     pub fn expired(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), Malformed> {
         let corr = Fields::new(fields, "Expired").u64()?;
         if let Some(id) = self.books.scans.get(&corr).copied() {
-            self.with(now, reply, |mixer, host| mixer.client_left(host, id));
+            self.with(now, reply, |mixer, host| mixer.client_disconnected(host, id));
             self.books.close(id);
         }
         Ok(())
@@ -278,7 +278,7 @@
 
     pub fn ring(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), Malformed> {
         let ticket = Ticket(Fields::new(fields, "Ring").u32()?);
-        self.with(now, reply, |mixer, host| mixer.woken(host, ticket));
+        self.with(now, reply, |mixer, host| mixer.timer_fired(host, ticket));
         Ok(())
     }
 
@@ -286,7 +286,7 @@
         let mut fields = Fields::new(fields, "PingResult");
         let (there, wire_id) = (fields.u8()? == 0, fields.u32()?);
         if let Some(searcher) = self.books.searchers.known(&wire_id) {
-            self.with(now, reply, |mixer, host| mixer.checked(host, searcher, there));
+            self.with(now, reply, |mixer, host| mixer.probe_finished(host, searcher, there));
         }
         Ok(())
     }
--- a/crates/simhost/src/process.rs
+++ b/crates/simhost/src/process.rs
@@ -18,7 +18,7 @@
 pub fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), Malformed> {
     let mut process = Process::default();
     while let Some(batch) = Batch::read(&mut input)? {
-        let now = Moment::at_micros(batch.clock);
+        let now = Moment::from_micros(batch.clock);
         process.selected = None;
         batch.each(|code, fields| process.event(code, fields, now))?;
         process.hand_over(now);
--- a/crates/standins/src/fleet/attend.rs
+++ b/crates/standins/src/fleet/attend.rs
@@ -277,7 +277,7 @@
 
 /// What a part needs, by the seed and the part: the same whoever sends it and whenever.
 fn takes(world: &World, part: Part) -> Span {
-    let Some((sort, first)) = world.kind_of(part.scan) else { return Span::of_millis(1) };
+    let Some((sort, first)) = world.kind_of(part.scan) else { return Span::from_millis(1) };
     let sort = &world.day.types[sort];
     let draw = world.seed ^ (u64::from(first) << 20) ^ u64::from(part.shard);
     let mut chance = Pcg64Mcg::seed_from_u64(draw);
@@ -286,5 +286,5 @@
         Ok(law) => law.sample(&mut chance),
         Err(_) => chance.random(),
     };
-    Span::of_micros((sort.work.as_micros() as f64 * times).max(100.0) as u64)
+    Span::from_micros((sort.work.as_micros() as f64 * times).max(100.0) as u64)
 }
--- a/crates/standins/src/fleet/callers.rs
+++ b/crates/standins/src/fleet/callers.rs
@@ -87,7 +87,7 @@
         if again { "X-Retried: 1\r\n" } else { "" },
         body.len(),
     );
-    let time = Span::of_micros(left.as_micros() as u64);
+    let time = Span::from_micros(left.as_micros() as u64);
     let asked = || Fact::Asked { scan, first, mixer, sort: arrival.sort, shards: shards.clone(), left: time };
     let spoken = future::or(talk(world, mixer, scan, &request, asked), async {
         Timer::after(left + LISTENS_ON).await;
@@ -179,7 +179,7 @@
     let length: usize = header("content-length:").and_then(|text| text.parse().ok()).unwrap_or(0);
     let status = head.get(9..12).and_then(|text| text.parse().ok()).ok_or(io::ErrorKind::InvalidData)?;
     let seconds = header("retry-after:").and_then(|text| text.parse::<f64>().ok());
-    let pause = seconds.map(|seconds| Span::of_micros((seconds * 1e6) as u64));
+    let pause = seconds.map(|seconds| Span::from_micros((seconds * 1e6) as u64));
     let keeps = header("connection:") != Some("close");
     let mut body = bytes.split_off(ends);
     let have = body.len().min(length);
--- a/crates/standins/src/fleet/figures.rs
+++ b/crates/standins/src/fleet/figures.rs
@@ -58,7 +58,7 @@
 
 /// The platform's slack on sockets.
 fn quoted(told: &Sort) -> Span {
-    Span::of_micros(told.quoted.as_micros() as u64) + Span::of_millis(50)
+    Span::from_micros(told.quoted.as_micros() as u64) + Span::from_millis(50)
 }
 
 impl Figures {
@@ -261,9 +261,9 @@
         let text = r#"{ lasts: "9s", mixers: { count: 2 }, searchers: { cells: 1, replicas: 1 },
             types: [{ name: "look", rate: 1, parts: 1, work: "1ms", quoted: "500ms", abandon: "1s", repeat: "redoable" }] }"#;
         let day = Day::read(text).unwrap();
-        let at = |millis: u64, fact| Passed { at: Moment::at_micros(millis * 1_000), fact };
+        let at = |millis: u64, fact| Passed { at: Moment::from_micros(millis * 1_000), fact };
         let asked = |scan, mixer| {
-            let left = Span::of_millis(1_000);
+            let left = Span::from_millis(1_000);
             Fact::Asked { scan, first: scan, mixer, sort: 0, shards: vec![0], left }
         };
         let (status, whole, values) = (200, true, vec![(0, "v".to_string())]);
--- a/crates/standins/src/fleet/judge.rs
+++ b/crates/standins/src/fleet/judge.rs
@@ -41,9 +41,9 @@
 }
 
 /// The rules' own slack on sockets (50 ms), and what a machine that plays everybody at once may be late.
-pub const SLACK: Span = Span::of_millis(350);
+pub const SLACK: Span = Span::from_millis(350);
 /// The order of two links is known only so well: each is read by a task of its own.
-const ORDER: Span = Span::of_millis(100);
+const ORDER: Span = Span::from_millis(100);
 
 struct Scan<'a> {
     sort: &'a Sort,
@@ -231,7 +231,7 @@
     fn relayed(&mut self, at: Moment, read: Moment, mixer: usize, searcher: usize, part: Part) {
         self.relayed += 1;
         let late = self.told.get(&(mixer, searcher)).copied().filter(|told| {
-            let grace = Span::of_micros(self.day.searchers.drain_grace.as_micros() as u64);
+            let grace = Span::from_micros(self.day.searchers.drain_grace.as_micros() as u64);
             at > *told + grace + SLACK && !self.was_away(mixer, *told)
         });
         if let Some(told) = late {
@@ -253,7 +253,7 @@
         if number == 0 {
             return;
         }
-        let window = Span::of_micros(sort.window.as_micros() as u64);
+        let window = Span::from_micros(sort.window.as_micros() as u64);
         match (sort.repeat, ran) {
             (Repeat::Irreversible, Some(_)) => {
                 self.breach(
@@ -277,7 +277,7 @@
     /// A relay beyond a part's first.
     fn spend(&mut self, at: Moment, mixer: usize) {
         let budget = &self.day.budget;
-        let window = Span::of_micros(budget.window.as_micros() as u64);
+        let window = Span::from_micros(budget.window.as_micros() as u64);
         let purse = self.purses.entry(mixer).or_default();
         purse.further.push_back(at);
         while purse.further.front().is_some_and(|then| at.since(*then) > window) {
--- a/crates/standins/src/fleet/play.rs
+++ b/crates/standins/src/fleet/play.rs
@@ -103,7 +103,7 @@
 
 impl World {
     pub fn now(&self) -> Moment {
-        Moment::at_micros(self.began.get().elapsed().as_micros() as u64)
+        Moment::from_micros(self.began.get().elapsed().as_micros() as u64)
     }
 
     pub fn began(&self) -> Instant {
@@ -141,7 +141,7 @@
     }
 
     pub fn handshake(&self) -> Span {
-        Span::of_micros(self.day.searchers.handshake.as_micros() as u64)
+        Span::from_micros(self.day.searchers.handshake.as_micros() as u64)
     }
 
     pub fn address(&self, mixer: usize, searcher: usize) -> SocketAddr {
@@ -192,7 +192,7 @@
             }
             let mut draw = Pcg64Mcg::seed_from_u64(self.seed ^ ((*number as u64) << 16) ^ mixer as u64);
             let takes = least + (most.saturating_sub(least)).mul_f64(draw.random()) + late;
-            now >= change.at + Span::of_micros(takes.as_micros() as u64)
+            now >= change.at + Span::from_micros(takes.as_micros() as u64)
         };
         self.changes.borrow().iter().enumerate().take_while(came).map(|(_, change)| *change).collect()
     }
@@ -208,7 +208,7 @@
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let before = self.changes.borrow().iter().rev().find(|change| change.searcher == searcher).copied();
         let started_ms = if fresh { unix } else { before.map_or(0, |change| change.started_ms) };
-        let at = Moment::at_micros(self.now().micros().max(1));
+        let at = Moment::from_micros(self.now().micros().max(1));
         self.changes.borrow_mut().push(Change { at, searcher, life, started_ms });
     }
 
--- a/crates/standins/src/fleet/post.rs
+++ b/crates/standins/src/fleet/post.rs
@@ -45,7 +45,7 @@
 }
 
 fn span(time: std::time::Duration) -> Span {
-    Span::of_micros(time.as_micros() as u64)
+    Span::from_micros(time.as_micros() as u64)
 }
 
 impl Post {
@@ -153,12 +153,12 @@
     }
 
     fn at(millis: u64) -> Moment {
-        Moment::at_micros(millis * 1000)
+        Moment::from_micros(millis * 1000)
     }
 
     #[test]
     fn two_are_at_work_two_wait_and_the_fifth_is_turned_away() {
-        let (mut post, work) = (post(), Span::of_millis(10));
+        let (mut post, work) = (post(), Span::from_millis(10));
         let taken: Vec<Take> = (0..5).map(|_| post.take(at(100), work)).collect();
         let ends = |millis| Take::Ends(at(millis));
         assert_eq!(taken, [ends(110), ends(110), ends(120), ends(120), Take::Later]);
@@ -169,10 +169,10 @@
     fn one_that_hangs_takes_as_much_as_it_has_room_for_and_then_says_later() {
         let mut post = post();
         post.set_hangs(true);
-        let taken: Vec<Take> = (0..5).map(|_| post.take(at(100), Span::of_millis(10))).collect();
+        let taken: Vec<Take> = (0..5).map(|_| post.take(at(100), Span::from_millis(10))).collect();
         assert_eq!(taken, [Take::Never, Take::Never, Take::Never, Take::Never, Take::Later]);
         post.set_hangs(false);
-        assert_eq!(post.take(at(200), Span::of_millis(10)), Take::Ends(at(210)));
+        assert_eq!(post.take(at(200), Span::from_millis(10)), Take::Ends(at(210)));
     }
 
     #[test]
@@ -180,12 +180,16 @@
         let (mut cold, mut warm) = (post(), post());
         cold.dies();
         cold.begins(at(1_000));
-        assert_eq!(cold.take(at(1_000), Span::of_millis(10)), Take::Ends(at(1_030)), "a third of the speed");
+        assert_eq!(
+            cold.take(at(1_000), Span::from_millis(10)),
+            Take::Ends(at(1_030)),
+            "a third of the speed"
+        );
         // Two cores at a third for two seconds, and two and a half times that: 3.3 s of work, and a little for age.
         let mut pressed = 0;
         while !cold.toppled && pressed < 10_000 {
-            cold.take(at(1_500), Span::of_millis(10));
-            warm.take(at(1_500), Span::of_millis(10));
+            cold.take(at(1_500), Span::from_millis(10));
+            warm.take(at(1_500), Span::from_millis(10));
             pressed += 1;
         }
         assert!((330..500).contains(&pressed) && !warm.toppled, "{pressed}");
--- a/crates/standins/src/fleet/way.rs
+++ b/crates/standins/src/fleet/way.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// What was written while nobody listened is read in so short a time once somebody does.
-const CATCHES_UP: Span = Span::of_millis(200);
+const CATCHES_UP: Span = Span::from_millis(200);
 
 /// Troubles that hold at the same time are counted, so that the end of one leaves the others standing.
 #[derive(Default)]
--- a/crates/standins/tests/cues.rs
+++ b/crates/standins/tests/cues.rs
@@ -78,7 +78,7 @@
             Search::of(&Node::read(write(&search).to_string().as_bytes()).unwrap()),
             Ok(search.clone())
         );
-        let (target, asked) = errand("cues", &search, 3, Span::of_millis(420));
+        let (target, asked) = errand("cues", &search, 3, Span::from_millis(420));
         let (endpoint, parameters) = endpoint("POST", &target).unwrap();
         assert_eq!(endpoint, Endpoint::Search { index: "cues".into() });
         assert_eq!(preferred(&parameters), Ok(Some(vec![3])));
--- a/crates/standins/tests/judge.rs
+++ b/crates/standins/tests/judge.rs
@@ -20,7 +20,7 @@
 const TAG: usize = 2;
 
 fn at(millis: u64) -> Moment {
-    Moment::at_micros(millis * 1000)
+    Moment::from_micros(millis * 1000)
 }
 
 #[derive(Default)]
@@ -33,7 +33,7 @@
     }
 
     fn asked(&mut self, millis: u64, scan: u32, sort: usize) -> &mut Self {
-        let left = Span::of_millis(if sort == TAG { 9_000 } else { 1_000 });
+        let left = Span::from_millis(if sort == TAG { 9_000 } else { 1_000 });
         self.at(millis, Fact::Asked { scan, first: scan, mixer: 0, sort, shards: vec![0, 1], left })
     }
 
@@ -167,7 +167,7 @@
     let mut tale = Tale::default();
     for number in 0..30 {
         let (mixer, millis) = (number as usize % 3, 100 + 350 * u64::from(number / 3));
-        let (scan, left) = (number, Span::of_millis(1_000));
+        let (scan, left) = (number, Span::from_millis(1_000));
         tale.at(millis, Fact::Asked { scan, first: scan, mixer, sort: LOOK, shards: vec![0, 1], left });
         for (after, searcher) in [(1, 0), (2, 1)].into_iter().take(if number < 15 { 2 } else { 1 }) {
             let part = Part { scan, shard: 0 };
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -31,7 +31,7 @@
 type Then<R> = Box<dyn FnOnce(&mut Mixer, &mut dyn Host, R)>;
 
 /// How long a new process waits for discovery's first word: a third of what it may take to be ready.
-const FIRST_LIST: Span = Span::of_millis(3_000);
+const FIRST_LIST: Span = Span::from_millis(3_000);
 
 #[derive(Default)]
 pub struct Mixer {
@@ -47,9 +47,9 @@
     landings: Slab<Then<(RelayOutcome, Span)>>,
     wakes: Slab<Then<()>>,
     /// Searchers answer checks at once, whatever waits there: the operator's word.
-    pub beside_queue: bool,
+    pub probes_bypass_queue: bool,
     /// The drains' grace, where changes of the list are pushed to an agent on this machine.
-    pub pushed: Option<Span>,
+    pub pushed_drain_grace: Option<Span>,
     /// Discovery has been heard since this mixer's start.
     has_list: bool,
     /// What is done as one of a fleet, where the operator wants it: asked before the mixer's own limits.
@@ -74,9 +74,9 @@
     /// Whether scans are taken. Where changes are pushed to an agent at hand, what that has counts as told from a new
     /// process's first moment, and the list it starts with may be old: it waits for the agent's word, and no longer
     /// than an agent that is down can be waited for. Hurts a restart while the agent is away, by that time.
-    pub fn takes_scans(&self, now: Moment) -> bool {
+    pub fn accepts_scans(&self, now: Moment) -> bool {
         let waited = now.since(self.roster.begun.unwrap_or(now));
-        self.pushed.is_none() || self.has_list || waited >= FIRST_LIST
+        self.pushed_drain_grace.is_none() || self.has_list || waited >= FIRST_LIST
     }
 
     /// Keeps the list watched, which broke so often since it was last heard. Where changes are pushed to an
@@ -85,22 +85,22 @@
     /// next word. Hurts an agent that is down by a call each time. Where all ask one service each has its own
     /// pause.
     pub fn watch(&mut self, host: &mut dyn Host, broke: u32) {
-        let pause = match (broke, self.pushed) {
+        let pause = match (broke, self.pushed_drain_grace) {
             (0, _) | (1, Some(_)) => Span::ZERO,
-            (_, Some(grace)) => (grace * 0.25).max(Span::of_millis(20)),
-            (_, None) => Span::of_millis(500 + self.roster.chance.below(500) as u64),
+            (_, Some(grace)) => (grace * 0.25).max(Span::from_millis(20)),
+            (_, None) => Span::from_millis(500 + self.roster.chance.below(500) as u64),
         };
-        self.later(host, pause, |_, host| host.watch_list());
+        self.later(host, pause, |_, host| host.watch_discovery());
     }
 
     /// Discovery's word on searchers; with `whole` who is not in it is gone.
-    pub fn listed(&mut self, host: &mut dyn Host, whole: bool, listings: &[SearcherEntry]) {
+    pub fn update_searchers(&mut self, host: &mut dyn Host, whole: bool, listings: &[SearcherEntry]) {
         self.apply(host, whole, listings);
         self.has_list = true;
     }
 
     /// The list as it was had before this mixer's start: how old it is nobody knows.
-    pub fn remembered(&mut self, host: &mut dyn Host, listings: &[SearcherEntry]) {
+    pub fn restore_searchers(&mut self, host: &mut dyn Host, listings: &[SearcherEntry]) {
         self.apply(host, true, listings);
     }
 
@@ -126,31 +126,34 @@
         self.roster.replicas.settle();
     }
 
-    pub fn taken(&mut self, host: &mut dyn Host, id: ScanId, scan: ScanRequest) {
+    pub fn start_scan(&mut self, host: &mut dyn Host, id: ScanId, scan: ScanRequest) {
         let now = host.now();
         self.budget.note_taken(now, 1 + scan.parts.len());
-        if !self.takes_scans(now) {
-            return host.bounce(id, self.shedding.pause);
+        if !self.accepts_scans(now) {
+            return host.reject(id, self.shedding.pause);
         }
-        let Some(kind) = self.types.get(scan.traffic_type) else { return host.write_off(id) };
+        let Some(kind) = self.types.get(scan.traffic_type) else { return host.fail(id) };
         // A repeat with less left than its sort has at most has only the rest of the abandon time: its client
         // counts from its first try, and so does what the scan is worth.
         let longest = self.shedding.longest_left.entry(scan.traffic_type).or_default();
         *longest = scan.left.max(*longest);
-        let elapsed =
-            if scan.repeat && scan.left < *longest { kind.abandon.less(scan.left) } else { Span::ZERO };
+        let elapsed = if scan.repeat && scan.left < *longest {
+            kind.abandon.saturating_sub(scan.left)
+        } else {
+            Span::ZERO
+        };
         let quoted = kind.quoted + scan.work.unwrap_or(Span::ZERO) * kind.stretch;
         let late = elapsed + self.lead >= quoted;
-        let quoted = if late { quoted } else { quoted.less(elapsed) };
+        let quoted = if late { quoted } else { quoted.saturating_sub(elapsed) };
         let over =
             if self.shedding.over_share(now, scan.customer) { self.shedding.over_share_credit } else { 1.0 };
         let credit = kind.credit * over * if late { kind.late_credit } else { 1.0 };
         let (worth, patience) =
-            (self.shedding.worth(credit, scan.parts.len()), quoted.min(scan.left).less(self.lead));
+            (self.shedding.worth(credit, scan.parts.len()), quoted.min(scan.left).saturating_sub(self.lead));
         let knock =
             AdmissionRequest { worth, repeat: scan.repeat, parts: &scan.parts, cells: self.roster.cells };
-        let luck = match self.fleet.as_mut().and_then(|fleet| fleet.lets_in(now, &knock)) {
-            Some(Err(share)) => return host.bounce(id, self.shedding.pause * share),
+        let luck = match self.fleet.as_mut().and_then(|fleet| fleet.admit(now, &knock)) {
+            Some(Err(share)) => return host.reject(id, self.shedding.pause * share),
             Some(Ok(stands)) => stands,
             None => self.roster.chance.below(1 << 20) as f64 / f64::from(1 << 20),
         };
@@ -159,11 +162,11 @@
         let fits = |p: &&PartRequest| self.roster.room(now, patience, p.shard, worth, luck, beside[&home(p)]);
         let room: f64 = scan.parts.iter().filter(fits).map(|p| p.weight).sum();
         if patience == Span::ZERO || (late && kind.late_credit <= 0.0) || room + SLACK < kind.floor {
-            return host.bounce(id, self.shedding.pause);
+            return host.reject(id, self.shedding.pause);
         }
         // Of two steps, the first may take half of the time.
         let wait = patience * if kind.second_step { 0.5 } else { 1.0 };
-        let late = Span::of_micros(self.roster.late(kind.quoted) as u64);
+        let late = Span::from_micros(self.roster.late(kind.quoted) as u64);
         let held = self.roster.lossy.iter().any(|lossy| self.roster.seats[lossy].seems_dead(now));
         let parts = scan.parts.iter().map(|taken| Part { taken: *taken, ..Part::default() }).collect();
         let (traffic_type, ends) = (scan.traffic_type, now + patience);
@@ -173,12 +176,12 @@
                 mixer.close(host, id);
             }
         });
-        let step = late * if self.beside_queue { 0.25 } else { 1.0 };
+        let step = late * if self.probes_bypass_queue { 0.25 } else { 1.0 };
         self.later(host, step, move |mixer, host| mixer.hurry(host, id, late));
         self.send_out(host, id);
     }
 
-    pub fn more_parts(&mut self, host: &mut dyn Host, id: ScanId, parts: &[PartRequest]) {
+    pub fn start_fetch(&mut self, host: &mut dyn Host, id: ScanId, parts: &[PartRequest]) {
         self.budget.note_taken(host.now(), parts.len());
         let Some(scan) = self.scans.get_mut(&id) else { return };
         scan.parts.extend(parts.iter().map(|taken| Part { taken: *taken, ..Part::default() }));
@@ -187,25 +190,25 @@
         self.send_out(host, id);
     }
 
-    pub fn join(&mut self, fleet: Box<dyn FleetPolicy>) {
+    pub fn set_fleet_policy(&mut self, fleet: Box<dyn FleetPolicy>) {
         self.fleet = Some(fleet);
     }
 
-    pub fn turn_away(&self, host: &mut dyn Host, id: ScanId) {
-        host.bounce(id, self.shedding.pause);
+    pub fn reject_scan(&self, host: &mut dyn Host, id: ScanId) {
+        host.reject(id, self.shedding.pause);
     }
 
-    pub fn landed(&mut self, host: &mut dyn Host, relay: Ticket, how: RelayOutcome, took: Span) {
+    pub fn relay_finished(&mut self, host: &mut dyn Host, relay: Ticket, how: RelayOutcome, took: Span) {
         let then = self.landings.try_remove(relay.0 as usize).into_iter();
         then.for_each(|then| then(self, host, (how, took)));
     }
 
-    pub fn woken(&mut self, host: &mut dyn Host, ticket: Ticket) {
+    pub fn timer_fired(&mut self, host: &mut dyn Host, ticket: Ticket) {
         self.wakes.try_remove(ticket.0 as usize).into_iter().for_each(|then| then(self, host, ()));
     }
 
     /// A check's result: a searcher that passed is taken for one that has just started, as a dead one has.
-    pub fn checked(&mut self, host: &mut dyn Host, searcher: Searcher, there: bool) {
+    pub fn probe_finished(&mut self, host: &mut dyn Host, searcher: Searcher, there: bool) {
         let now = host.now();
         let Some(seat) = self.roster.seats.get_mut(&searcher) else { return };
         seat.asked = seat.asked.map(|(at, told)| (at, told || there));
@@ -214,13 +217,13 @@
         }
     }
 
-    pub fn client_left(&mut self, host: &mut dyn Host, id: ScanId) {
+    pub fn client_disconnected(&mut self, host: &mut dyn Host, id: ScanId) {
         self.scans.remove(&id).iter().for_each(|scan| self.call_off_all(host, scan));
     }
 
     fn later(&mut self, host: &mut dyn Host, wait: Span, then: impl Fn(&mut Self, &mut dyn Host) + 'static) {
         let ticket = self.wakes.insert(Box::new(move |mixer, host, ()| then(mixer, host)));
-        host.wake(Ticket(ticket as u32), host.now() + wait);
+        host.set_timer(Ticket(ticket as u32), host.now() + wait);
     }
 
     /// All parts go out at once, heaviest first. Where a searcher is at its limit, light parts of a scan that
@@ -238,7 +241,7 @@
         let (worth, luck, left) = (scan.worth * order.len() as f64, scan.luck, scan.ends.since(now));
         if scan.held {
             order.truncate(1);
-            let wait = Span::of_micros((2.0 * self.roster.typical) as u64);
+            let wait = Span::from_micros((2.0 * self.roster.typical) as u64);
             self.later(host, wait, move |mixer, host| mixer.send_rest(host, id));
         }
         for at in order {
@@ -269,14 +272,14 @@
         let cell = part.taken.shard % self.roster.cells;
         self.roster.flows.entry(cell).or_default().note(now);
         if leg.stale {
-            host.hang_up(to);
+            host.retire_connections(to);
         }
         let relay = Ticket(self.landings.insert(Box::new(move |mixer, host, (how, took)| {
             let died = mixer.roster.note_landed(host.now(), &leg, how, took.as_f64());
             mixer.reached_or_not(host, &leg, how);
             if let Some(fleet) = &mut mixer.fleet {
-                let shortest = Span::of_micros(mixer.roster.shortest as u64);
-                fleet.landed(host.now(), &PartResult { cell, how, took, quoted: sort.1, shortest });
+                let shortest = Span::from_micros(mixer.roster.shortest as u64);
+                fleet.note_result(host.now(), &PartResult { cell, how, took, quoted: sort.1, shortest });
             }
             let Some(scan) = mixer.scans.get_mut(&id).filter(|scan| at >= scan.first) else { return };
             scan.killed.extend(Some(to).filter(|to| died && !scan.killed.contains(to)));
@@ -302,7 +305,7 @@
         // A repeat may wait for a connection, or behind others, until its label is forgotten.
         if let (Idempotency::ByKey(window), Some(first)) = (self.types[scan.traffic_type].effect, ran_before)
         {
-            host.begin_by(relay, (first + window).less(self.lead));
+            host.set_send_deadline(relay, (first + window).saturating_sub(self.lead));
         }
         if self.roster.seats.get(&to).is_some_and(|seat| seat.down.is_some()) {
             self.check_later(host, to, false);
@@ -316,7 +319,7 @@
         if let Some(to) = self.another(host.now(), id, at) {
             let cell = self.scans[&id].parts[at].taken.shard % self.roster.cells;
             self.budget.note_retry(host.now());
-            self.fleet.iter_mut().for_each(|fleet| fleet.relayed(host.now(), cell));
+            self.fleet.iter_mut().for_each(|fleet| fleet.note_retry(host.now(), cell));
             return self.relay(host, id, at, to);
         }
         let may = |scan: &&mut Scan| may_wait && scan.parts[at].tried.len() < self.budget.cap;
@@ -349,7 +352,7 @@
         let allowed = left > Span::ZERO && self.deaths(now, scan) < 2 && part.tried.len() < self.budget.cap;
         let room = harmless && allowed && self.roster.room(now, left, part.taken.shard, 0.0, scan.luck, 1);
         let (sort, cell) = ((scan.traffic_type, kind.quoted), part.taken.shard % self.roster.cells);
-        let may = room && self.fleet.as_ref().is_none_or(|fleet| fleet.may_relay(now, cell));
+        let may = room && self.fleet.as_ref().is_none_or(|fleet| fleet.may_retry(now, cell));
         let place =
             |roster: &mut ReplicaTable| roster.place(now, part.taken.shard, sort, scan.luck, &part.tried);
         may.then(|| place(&mut self.roster)).flatten().filter(|_| self.budget.has_room(now))
@@ -363,26 +366,26 @@
     /// say so in as long again is down, and its parts go elsewhere: against machines cut off, whose
     /// connections stay open. Hurts who stands still for as long.
     fn hurry(&mut self, host: &mut dyn Host, id: ScanId, late: Span) {
-        let (now, step) = (host.now(), late * if self.beside_queue { 0.25 } else { 1.0 });
+        let (now, step) = (host.now(), late * if self.probes_bypass_queue { 0.25 } else { 1.0 });
         let every = self.asks_in(false);
         let Some(scan) = self.scans.get(&id) else { return };
         let out = |(at, part): (usize, &Part)| Some((at, part.out?, *part.tried.last()?));
         let (out, ends): (Vec<_>, _) = (scan.parts.iter().enumerate().filter_map(out).collect(), scan.ends);
         // More are out where all stand.
-        let few = self.beside_queue && scan.killed.is_empty() && out.len() * 6 <= scan.parts.len();
+        let few = self.probes_bypass_queue && scan.killed.is_empty() && out.len() * 6 <= scan.parts.len();
         for (at, (relay, left), to) in out {
             let Some(seat) = self.roster.seats.get_mut(&to) else { continue };
             let waits = now.since(left) >= step && seat.heard <= left && seat.told.ready;
             let mute = seat.asked.is_some_and(|(at, told)| !told && now.since(at) >= step) && waits;
             if few && waits && seat.asked.is_none_or(|(at, _)| now.since(at) >= every) {
                 seat.asked = Some((now, false));
-                host.check(to);
+                host.probe(to);
             } else if mute && seat.down.is_none() {
                 self.check_later(host, to, true);
             }
             if (mute || now.since(left).min(ends.since(now)) >= late) && self.another(now, id, at).is_some() {
-                host.hang_up(to);
-                host.call_off(relay);
+                host.retire_connections(to);
+                host.cancel(relay);
             }
         }
         self.later(host, step, move |mixer, host| mixer.hurry(host, id, late));
@@ -420,9 +423,9 @@
                 self.scans.insert(id, scan);
             }
         } else if kind.effect == Idempotency::Idempotent && !kills || never_ran {
-            host.bounce(id, self.shedding.pause);
+            host.reject(id, self.shedding.pause);
         } else {
-            host.write_off(id);
+            host.fail(id);
         }
     }
 
@@ -432,7 +435,7 @@
     }
 
     fn call_off_all(&self, host: &mut dyn Host, scan: &Scan) {
-        scan.parts.iter().filter_map(|part| part.out).for_each(|(relay, _)| host.call_off(relay));
+        scan.parts.iter().filter_map(|part| part.out).for_each(|(relay, _)| host.cancel(relay));
     }
 
     /// The design's down mark: a connection failure sets it, a check that passes or any word from it lifts
@@ -447,7 +450,7 @@
                 if leg.left < seat.down_since {
                     seat.down = None;
                 }
-                self.checked(host, leg.to, true);
+                self.probe_finished(host, leg.to, true);
             }
             _ => {}
         }
@@ -455,7 +458,7 @@
 
     /// How long until a searcher is asked: first after its loss, then again. All of a fleet add up there.
     fn asks_in(&mut self, first: bool) -> Span {
-        self.fleet.as_mut().and_then(|fleet| fleet.asks_in(first)).unwrap_or(CHECK_EVERY)
+        self.fleet.as_mut().and_then(|fleet| fleet.probe_delay(first)).unwrap_or(CHECK_EVERY)
     }
 
     fn check_later(&mut self, host: &mut dyn Host, searcher: Searcher, first: bool) {
@@ -470,7 +473,7 @@
         self.later(host, wait, move |mixer, host| {
             let down = mixer.roster.seats.get(&searcher).is_some_and(|seat| seat.down == Some(due));
             if mixer.roster.may_check && down {
-                host.check(searcher);
+                host.probe(searcher);
                 mixer.check_later(host, searcher, false);
             }
         });
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,13 +22,13 @@
 pub struct Span(u64);
 
 impl Moment {
-    pub const fn at_micros(micros: u64) -> Self {
+    pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
     pub const fn micros(self) -> u64 {
         self.0
     }
-    pub const fn less(self, span: Span) -> Moment {
+    pub const fn saturating_sub(self, span: Span) -> Moment {
         Moment(self.0.saturating_sub(span.0))
     }
     /// How long before `self` that `earlier` was; nothing if it was not earlier.
@@ -39,10 +39,10 @@
 
 impl Span {
     pub const ZERO: Span = Span(0);
-    pub const fn of_micros(micros: u64) -> Self {
+    pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
-    pub const fn of_millis(millis: u64) -> Self {
+    pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1000)
     }
     pub const fn micros(self) -> u64 {
@@ -52,7 +52,7 @@
     pub const fn as_f64(self) -> f64 {
         self.0 as f64
     }
-    pub const fn less(self, other: Span) -> Span {
+    pub const fn saturating_sub(self, other: Span) -> Span {
         Span(self.0.saturating_sub(other.0))
     }
 }
@@ -199,14 +199,14 @@
 pub trait FleetPolicy {
     /// Where the scan stands among those let in, from nothing to one, the same at every mixer and cell; or, for one
     /// that is turned away, the share of the longest pause that its client is told.
-    fn lets_in(&mut self, now: Moment, knock: &AdmissionRequest) -> Option<Result<f64, f64>>;
-    fn landed(&mut self, now: Moment, heard: &PartResult);
+    fn admit(&mut self, now: Moment, knock: &AdmissionRequest) -> Option<Result<f64, f64>>;
+    fn note_result(&mut self, now: Moment, heard: &PartResult);
     /// Whether a lost part of a cell may go to another replica, for all that the fleet sends there so.
-    fn may_relay(&self, now: Moment, cell: u32) -> bool;
+    fn may_retry(&self, now: Moment, cell: u32) -> bool;
     /// It has gone.
-    fn relayed(&mut self, now: Moment, cell: u32);
+    fn note_retry(&mut self, now: Moment, cell: u32);
     /// How long until a searcher that is down is asked whether it is there: first after its loss, then again.
-    fn asks_in(&mut self, first: bool) -> Option<Span>;
+    fn probe_delay(&mut self, first: bool) -> Option<Span>;
 }
 
 /// What a front does for the module. Every call takes effect at once, at [`Host::now`].
@@ -216,22 +216,22 @@
     fn relay(&mut self, ticket: Ticket, scan: ScanId, part: usize, to: Searcher, patience: Span);
     /// A relay that has not begun to go by then is never sent; its end comes back as ever. A front that sends at
     /// once has nothing to do.
-    fn begin_by(&mut self, _relay: Ticket, _by: Moment) {}
+    fn set_send_deadline(&mut self, _relay: Ticket, _by: Moment) {}
     /// Ends the wait on a relay, where the front can; its end still comes back.
-    fn call_off(&mut self, relay: Ticket);
+    fn cancel(&mut self, relay: Ticket);
     /// Answers from the parts honoured; `last` is false where a second step follows.
     fn answer(&mut self, scan: ScanId, whole: bool, last: bool);
     /// Turns a scan away as harmless to ask again, after a pause.
-    fn bounce(&mut self, scan: ScanId, pause: Span);
+    fn reject(&mut self, scan: ScanId, pause: Span);
     /// Gives a scan up, with no promise.
-    fn write_off(&mut self, scan: ScanId);
+    fn fail(&mut self, scan: ScanId);
     /// Comes back as `Mixer::woken`, at or soon after that time.
-    fn wake(&mut self, ticket: Ticket, at: Moment);
+    fn set_timer(&mut self, ticket: Ticket, at: Moment);
     /// Asks whether a searcher is there; comes back as `Mixer::checked`.
-    fn check(&mut self, searcher: Searcher);
+    fn probe(&mut self, searcher: Searcher);
     /// Trusts the connections to a searcher no more: idle ones are closed, and the others get no new relay
     /// unless something comes over them.
-    fn hang_up(&mut self, searcher: Searcher);
+    fn retire_connections(&mut self, searcher: Searcher);
     /// Asks to be told of changes to the list.
-    fn watch_list(&mut self);
+    fn watch_discovery(&mut self);
 }
--- a/src/replicas.rs
+++ b/src/replicas.rs
@@ -14,11 +14,11 @@
 pub(crate) type Sort = (usize, Span);
 
 /// How often a searcher that is down is checked: the design page's figure.
-pub(crate) const CHECK_EVERY: Span = Span::of_millis(5_000);
+pub(crate) const CHECK_EVERY: Span = Span::from_millis(5_000);
 
 /// Over how long the parts of a cell are counted: long enough to smooth, and short enough to see a burst in time.
-pub(crate) const SMOOTH_OVER: Span = Span::of_millis(10_000);
-pub(crate) const BURST_OVER: Span = Span::of_millis(2_000);
+pub(crate) const SMOOTH_OVER: Span = Span::from_millis(10_000);
+pub(crate) const BURST_OVER: Span = Span::from_millis(2_000);
 
 /// How many parts went to a cell.
 #[derive(Clone, Copy, Default)]
@@ -85,7 +85,7 @@
 
     /// Deaths that come once in a while are one cause: ten seconds outlast the time between them.
     pub(crate) fn seems_dead(&self, now: Moment) -> bool {
-        self.lost.is_some_and(|at| now.since(at) < Span::of_millis(10_000))
+        self.lost.is_some_and(|at| now.since(at) < Span::from_millis(10_000))
     }
 }
 
@@ -140,7 +140,7 @@
 
 impl ReplicaTable {
     pub fn new(seed: u64, cells: u32, width: u32, per_call: usize, may_check: bool, cold: SlowStart) -> Self {
-        let (cells, chance, never) = (cells.max(1), Chance::new(seed), Span::of_micros(u64::MAX));
+        let (cells, chance, never) = (cells.max(1), Chance::new(seed), Span::from_micros(u64::MAX));
         // Of a row of its own, so that it changes no other draw; the first few numbers of like seeds are alike.
         let mut turns = Chance::new(!seed);
         let turn = (0..8).map(|_| turns.below(1 << 20)).last().unwrap_or(0) as f64 / f64::from(1 << 20);
@@ -160,7 +160,7 @@
     }
 
     /// Connections idle for so long are closed by the platform, and the next part goes on a new one.
-    pub fn closing_idle(mut self, after: Span) -> Self {
+    pub fn with_idle_close(mut self, after: Span) -> Self {
         self.idle_close = after;
         self
     }
@@ -378,7 +378,7 @@
         let closed = self.closed(now, shard, luck);
         let left = left.as_f64() * (0.5 + 0.5 * worth).max(4.0 / self.cold.fleet).min(1.0);
         let turns = self.shortest * (1.0 + 20.0 * self.lost * self.lost);
-        let by = now.less(Span::of_micros((8.0 * self.typical) as u64));
+        let by = now.saturating_sub(Span::from_micros((8.0 * self.typical) as u64));
         let free = |s: &ReplicaState| {
             let (standing, sharers) = (self.standing(now, s), self.replicas.sharers(s.told.cell));
             let least = if standing > 2.0 * self.shortest { 0.3 } else { 0.7 };
--- a/src/retry_budget.rs
+++ b/src/retry_budget.rs
@@ -23,12 +23,12 @@
 impl RetryBudget {
     /// Unstated: a fifth, for one searcher lost in five; a hundred, for a scan of dead links; 10 s, a pause.
     pub fn new(cap: usize, stated: Option<(f64, f64, Span)>) -> Self {
-        let (few, share, window) = stated.unwrap_or((100.0, 0.2, Span::of_millis(10_000)));
+        let (few, share, window) = stated.unwrap_or((100.0, 0.2, Span::from_millis(10_000)));
         Self { cap, few, share, window, ..Self::default() }
     }
 
     /// Relays may wait so long before they go.
-    pub fn holding(self, held: Span) -> Self {
+    pub fn with_send_delay(self, held: Span) -> Self {
         Self { held, ..self }
     }
 
@@ -44,7 +44,7 @@
     /// What was taken counts strictly inside the window, what was relayed at its very edge as well.
     fn forget(&mut self, now: Moment) {
         let (taken, further) = (&mut self.taken, &mut self.further);
-        taken.drain(..taken.partition_point(|at| now.since(*at) >= self.window.less(self.held)));
+        taken.drain(..taken.partition_point(|at| now.since(*at) >= self.window.saturating_sub(self.held)));
         further.drain(..further.partition_point(|at| now.since(*at) > self.window + self.held));
     }
 
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -9,7 +9,7 @@
 use crate::{Moment, Span};
 
 /// How far a wall clock is taken to be off at the most: an hour and some.
-const CLOCK_OFF: Span = Span::of_millis(3_700_000);
+const CLOCK_OFF: Span = Span::from_millis(3_700_000);
 
 /// A list that may tell of starts: by the wall clock of another machine, whose distance from this mixer's nobody knows.
 #[derive(Clone, Copy)]
@@ -63,14 +63,14 @@
                 let newest = newest.unwrap_or(told).max(told);
                 let age = newest.since(told);
                 let may_be_new = now.since(newest) <= CLOCK_OFF && age < self.cold;
-                may_be_new.then(|| now.less(age))
+                may_be_new.then(|| now.saturating_sub(age))
             }
         }
     }
 
     /// How many parts of this much work it bears in the rule's window, as it stood when the window began.
     fn calls(&self, since: Moment, now: Moment, work: f64) -> f64 {
-        let age = now.since(since).less(self.fall).as_f64() / self.cold.as_f64().max(1.0);
+        let age = now.since(since).saturating_sub(self.fall).as_f64() / self.cold.as_f64().max(1.0);
         let grown = self.from + (1.0 - self.from) * age.min(1.0);
         self.multiple * grown * CORES * self.fall.as_f64() / work.max(1.0)
     }
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -52,7 +52,7 @@
         assert!(self.ending(scan).is_none(), "rule 1: a part sent after the final answer");
         self.relays.push(Relay { ticket, scan, part, to: to.0, at: self.now, patience, landed: false });
     }
-    fn call_off(&mut self, relay: Ticket) {
+    fn cancel(&mut self, relay: Ticket) {
         if !self.called_off.contains(&relay) {
             self.called_off.push(relay);
         }
@@ -61,23 +61,23 @@
         let ending = if whole { Ending::Whole } else { Ending::Partial };
         self.end(scan, if last { ending } else { Ending::FirstStep });
     }
-    fn bounce(&mut self, scan: ScanId, pause: Span) {
+    fn reject(&mut self, scan: ScanId, pause: Span) {
         self.pauses.push(pause);
         self.end(scan, Ending::Bounced);
     }
-    fn write_off(&mut self, scan: ScanId) {
+    fn fail(&mut self, scan: ScanId) {
         self.end(scan, Ending::WrittenOff);
     }
-    fn wake(&mut self, ticket: Ticket, at: Moment) {
+    fn set_timer(&mut self, ticket: Ticket, at: Moment) {
         self.wakes.push((at, ticket));
     }
-    fn check(&mut self, searcher: Searcher) {
+    fn probe(&mut self, searcher: Searcher) {
         self.checks.push(searcher.0);
     }
-    fn hang_up(&mut self, searcher: Searcher) {
+    fn retire_connections(&mut self, searcher: Searcher) {
         self.hung_up.push(searcher.0);
     }
-    fn watch_list(&mut self) {
+    fn watch_discovery(&mut self) {
         self.watches += 1;
     }
 }
@@ -94,7 +94,7 @@
 }
 
 /// When every story begins.
-const BEGAN: Moment = Moment::at_micros(100_000_000);
+const BEGAN: Moment = Moment::from_micros(100_000_000);
 
 pub struct Story {
     pub mixer: Mixer,
@@ -104,9 +104,9 @@
 
 pub fn whole_only() -> TrafficType {
     TrafficType {
-        quoted: Span::of_millis(2000),
+        quoted: Span::from_millis(2000),
         stretch: 0.0,
-        abandon: Span::of_millis(4000),
+        abandon: Span::from_millis(4000),
         credit: 1.0,
         late_credit: 0.1,
         effect: Idempotency::Idempotent,
@@ -137,11 +137,11 @@
     cells: u32,
     seed: u64,
 ) -> Mixer {
-    let (cold, fall) = (Span::of_millis(18_000), Span::of_millis(2_000));
+    let (cold, fall) = (Span::from_millis(18_000), Span::from_millis(2_000));
     let cold = SlowStart { fleet, from: 0.2, cold, multiple: 2.0, fall };
     let roster = ReplicaTable::new(seed, cells, 1, 1, may_check, cold);
-    let door = LoadShedding::new(fleet as usize, &[1000.0], 0.1, true, Span::of_millis(500));
-    Mixer::new(types, roster, budget, door, Span::of_millis(5))
+    let door = LoadShedding::new(fleet as usize, &[1000.0], 0.1, true, Span::from_millis(500));
+    Mixer::new(types, roster, budget, door, Span::from_millis(5))
 }
 
 pub fn story_of(types: Vec<TrafficType>, budget: RetryBudget, may_check: bool) -> Story {
@@ -166,7 +166,7 @@
             ..SearcherEntry::default()
         };
         let lines: Vec<SearcherEntry> = (0..cells * replicas).map(line).collect();
-        self.mixer.listed(&mut self.host, true, &lines);
+        self.mixer.update_searchers(&mut self.host, true, &lines);
     }
 
     pub fn list(&mut self, whole: bool, searchers: &[(u32, bool)], started: Option<Moment>) {
@@ -177,7 +177,7 @@
             ..SearcherEntry::default()
         };
         let lines: Vec<SearcherEntry> = searchers.iter().map(line).collect();
-        self.mixer.listed(&mut self.host, whole, &lines);
+        self.mixer.update_searchers(&mut self.host, whole, &lines);
     }
 
     /// A scan of so many parts of one weight.
@@ -194,9 +194,9 @@
         self.scans += 1;
         let taken = |(shard, weight): (usize, &f64)| PartRequest { shard: shard as u32, weight: *weight };
         let parts = weights.iter().enumerate().map(taken).collect();
-        let left = Span::of_millis(left);
+        let left = Span::from_millis(left);
         let scan = ScanRequest { traffic_type, customer: 0, left, work: None, repeat, parts };
-        self.mixer.taken(&mut self.host, id, scan);
+        self.mixer.start_scan(&mut self.host, id, scan);
         id
     }
 
@@ -212,7 +212,7 @@
             .filter(|r| !r.landed && r.ticket == relay.ticket)
             .for_each(|r| r.landed = true);
         let took = self.host.now.since(relay.at);
-        self.mixer.landed(&mut self.host, relay.ticket, how, took);
+        self.mixer.relay_finished(&mut self.host, relay.ticket, how, took);
     }
 
     pub fn land_all(&mut self, scan: ScanId, how: RelayOutcome) {
@@ -223,17 +223,17 @@
 
     /// The same until so many milliseconds after its beginning, if that is to come.
     pub fn pass_until(&mut self, millis: u64) {
-        let until = BEGAN + Span::of_millis(millis);
+        let until = BEGAN + Span::from_millis(millis);
         self.pass(until.since(self.host.now).micros() / 1000);
     }
 
     /// Lets time go by, and the timers ring.
     pub fn pass(&mut self, millis: u64) {
-        let until = self.host.now + Span::of_millis(millis);
+        let until = self.host.now + Span::from_millis(millis);
         while let Some(due) = self.host.wakes.iter().filter(|(at, _)| *at <= until).min().copied() {
             self.host.wakes.retain(|wake| *wake != due);
             self.host.now = due.0.max(self.host.now);
-            self.mixer.woken(&mut self.host, due.1);
+            self.mixer.timer_fired(&mut self.host, due.1);
         }
         self.host.now = until;
     }
--- a/tests/slow_start/mod.rs
+++ b/tests/slow_start/mod.rs
@@ -85,8 +85,10 @@
         for story in &mut self.mixers {
             let now = story.host.now;
             let started = match trouble {
-                Trouble::ClockAhead | Trouble::ClockAheadAtStart => now.less(Span::of_millis(100_000)),
-                Trouble::ClockBehind => now + Span::of_millis(3_600_000),
+                Trouble::ClockAhead | Trouble::ClockAheadAtStart => {
+                    now.saturating_sub(Span::from_millis(100_000))
+                }
+                Trouble::ClockBehind => now + Span::from_millis(3_600_000),
                 _ => now,
             };
             let line = |id: u32| SearcherEntry {
@@ -95,7 +97,7 @@
                 started: Some(started).filter(|_| fresh.contains(&id)),
                 ..SearcherEntry::default()
             };
-            story.mixer.listed(&mut story.host, true, &[line(0), line(1), line(2)]);
+            story.mixer.update_searchers(&mut story.host, true, &[line(0), line(1), line(2)]);
         }
     }
 
@@ -171,7 +173,7 @@
             let checks = std::mem::take(&mut fleet.mixers[number].host.checks);
             for searcher in checks {
                 let story = &mut fleet.mixers[number];
-                story.mixer.checked(&mut story.host, Searcher(searcher), !fails(searcher));
+                story.mixer.probe_finished(&mut story.host, Searcher(searcher), !fails(searcher));
             }
             // Each mixer at a time of its own.
             *asked += rate * per_second * STEP as f64 / 1000.0;
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -17,7 +17,7 @@
 }
 
 fn labelled() -> TrafficType {
-    TrafficType { effect: Idempotency::ByKey(Span::of_millis(800)), ..whole_only() }
+    TrafficType { effect: Idempotency::ByKey(Span::from_millis(800)), ..whole_only() }
 }
 
 fn irreversible() -> TrafficType {
@@ -63,7 +63,7 @@
     let id = story.scan(4);
     story.pass(200);
     for relay in story.out(id).into_iter().take(honoured) {
-        assert_eq!(relay.patience, Span::of_millis(1985));
+        assert_eq!(relay.patience, Span::from_millis(1985));
         story.land(relay, RelayOutcome::Succeeded);
     }
     story.pass(1750);
@@ -87,7 +87,7 @@
     let mut story = story(kind);
     let id = story.scan(1);
     let first = story.out(id)[0];
-    story.host.now = story.host.now + Span::of_millis(after);
+    story.host.now = story.host.now + Span::from_millis(after);
     story.land(first, how);
     let out = story.out(id);
     assert_eq!(out.len(), usize::from(again));
@@ -133,7 +133,7 @@
 
 #[test]
 fn further_relays_stay_within_the_stated_budget() {
-    let budget = RetryBudget::new(3, Some((1.0, 0.25, Span::of_millis(10_000))));
+    let budget = RetryBudget::new(3, Some((1.0, 0.25, Span::from_millis(10_000))));
     let mut story = story_with(whole_only(), budget, true);
     for taken in 1..=40usize {
         let id = story.scan(1);
@@ -158,10 +158,10 @@
     }
     story.pass(5000);
     assert_eq!(story.host.checks, [lost.to]);
-    story.mixer.checked(&mut story.host, Searcher(lost.to), false);
+    story.mixer.probe_finished(&mut story.host, Searcher(lost.to), false);
     story.pass(5000);
     assert_eq!(story.host.checks, [lost.to, lost.to]);
-    story.mixer.checked(&mut story.host, Searcher(lost.to), true);
+    story.mixer.probe_finished(&mut story.host, Searcher(lost.to), true);
     assert!(sent_to(&mut story, lost.to, 12) >= 1);
 }
 
@@ -220,7 +220,7 @@
     story.pass(50);
     story.land(late, RelayOutcome::ConnectionLost);
     story.land_all(id, RelayOutcome::Succeeded);
-    story.mixer.checked(&mut story.host, Searcher(0), true);
+    story.mixer.probe_finished(&mut story.host, Searcher(0), true);
     let next = story.scan(2);
     let to: Vec<u32> = story.out(next).iter().map(|relay| relay.to).collect();
     assert!(
@@ -322,7 +322,7 @@
     story.land_all(id, RelayOutcome::Succeeded);
     assert_eq!(story.host.endings, [(id, Ending::FirstStep)]);
     let parts = [PartRequest { shard: 0, weight: 1.0 }];
-    story.mixer.more_parts(&mut story.host, id, &parts);
+    story.mixer.start_fetch(&mut story.host, id, &parts);
     story.pass(100);
     story.land_all(id, RelayOutcome::Succeeded);
     assert_eq!(story.host.ending(id), Some(Ending::Whole));
@@ -332,7 +332,7 @@
 fn a_client_that_left_is_owed_nothing_and_late_results_do_no_harm() {
     let mut story = story(whole_only());
     let id = story.scan(2);
-    story.mixer.client_left(&mut story.host, id);
+    story.mixer.client_disconnected(&mut story.host, id);
     story.pass(3000);
     story.land_all(id, RelayOutcome::Failed);
     assert_eq!(story.host.ending(id), None);
@@ -494,7 +494,7 @@
         story.pass(100);
         story.land_all(id, RelayOutcome::Succeeded);
         story.pass(5000);
-        story.mixer.checked(&mut story.host, Searcher(lost.to), true);
+        story.mixer.probe_finished(&mut story.host, Searcher(lost.to), true);
         story.settle_in(100);
     }
     let before = story.host.hung_up.len();
@@ -515,7 +515,7 @@
     let mut met = 0;
     for _ in 0..12 {
         story.pass(5000);
-        story.mixer.checked(&mut story.host, Searcher(lost.to), true);
+        story.mixer.probe_finished(&mut story.host, Searcher(lost.to), true);
         let id = story.scan(2);
         let again: Vec<_> = story.out(id).into_iter().filter(|relay| relay.to == lost.to).collect();
         met += again.len();
@@ -737,7 +737,7 @@
     story.settle_in(100);
     let told =
         |id| SearcherEntry { searcher: Searcher(id), ready: true, dear: id != 1, ..SearcherEntry::default() };
-    story.mixer.listed(&mut story.host, true, &[told(0), told(1), told(2)]);
+    story.mixer.update_searchers(&mut story.host, true, &[told(0), told(1), told(2)]);
     assert_eq!(sent_to_of(&mut story, 1, 10, 1), 10);
     assert_eq!(sent_to_of(&mut story, 1, 10, 3), 10, "but not at twice the latency");
 }
@@ -797,7 +797,7 @@
 #[test_case(true, false; "it says that it is there: it has a queue")]
 fn a_searcher_that_is_cut_off_is_asked_and_found_out_before_its_part_is_late(there: bool, goes: bool) {
     let mut story = story(whole_only());
-    story.mixer.beside_queue = true;
+    story.mixer.probes_bypass_queue = true;
     story.settle_in(20);
     let id = story.scan(6);
     story.pass(20);
@@ -818,7 +818,7 @@
     story.pass(120);
     assert_eq!(story.host.checks, [silent.to], "asked at a quarter of the time after which it is late");
     if there {
-        story.mixer.checked(&mut story.host, Searcher(silent.to), true);
+        story.mixer.probe_finished(&mut story.host, Searcher(silent.to), true);
     }
     story.pass(130);
     assert_eq!(story.host.called_off.contains(&silent.ticket), goes, "long before half a second");
@@ -839,7 +839,7 @@
 #[test]
 fn nobody_is_asked_where_all_stand() {
     let mut story = story(whole_only());
-    story.mixer.beside_queue = true;
+    story.mixer.probes_bypass_queue = true;
     story.settle_in(20);
     let id = story.scan(6);
     story.pass(400);
@@ -850,7 +850,7 @@
 #[test]
 fn an_irreversible_part_stays_where_it_is_though_its_searcher_says_nothing() {
     let mut story = story(irreversible());
-    story.mixer.beside_queue = true;
+    story.mixer.probes_bypass_queue = true;
     story.settle_in(20);
     let id = story.scan(6);
     story.pass(20);
@@ -872,20 +872,20 @@
 }
 
 impl FleetPolicy for Scripted {
-    fn lets_in(&mut self, _: Moment, knock: &AdmissionRequest) -> Option<Result<f64, f64>> {
+    fn admit(&mut self, _: Moment, knock: &AdmissionRequest) -> Option<Result<f64, f64>> {
         let needs = |cell: u32| knock.parts.iter().any(|part| part.shard % knock.cells == cell);
         self.sheds.map(|cell| if needs(cell) { Err(0.5) } else { Ok(0.25) })
     }
-    fn landed(&mut self, _: Moment, heard: &PartResult) {
+    fn note_result(&mut self, _: Moment, heard: &PartResult) {
         self.heard.borrow_mut().push((heard.cell, heard.how));
     }
-    fn may_relay(&self, _: Moment, _: u32) -> bool {
+    fn may_retry(&self, _: Moment, _: u32) -> bool {
         self.relays > 0
     }
-    fn relayed(&mut self, _: Moment, _: u32) {
+    fn note_retry(&mut self, _: Moment, _: u32) {
         self.relays -= 1;
     }
-    fn asks_in(&mut self, first: bool) -> Option<Span> {
+    fn probe_delay(&mut self, first: bool) -> Option<Span> {
         self.asks.map(|(once, then)| if first { once } else { then })
     }
 }
@@ -895,7 +895,7 @@
 fn a_lost_part_goes_on_only_while_the_fleet_has_relays_to_give() {
     let mut story = bare(mixer_of(vec![whole_only()], 2.0, RetryBudget::new(3, None), true, 4, 7));
     story.list_cells(4, 2, 0);
-    story.mixer.join(Box::new(Scripted { relays: 2, ..Scripted::default() }));
+    story.mixer.set_fleet_policy(Box::new(Scripted { relays: 2, ..Scripted::default() }));
     let failing: Vec<_> = (0..3).map(|_| story.scan(1)).collect();
     story.pass(20);
     for (at, id) in failing.iter().enumerate() {
@@ -910,8 +910,8 @@
 #[test]
 fn a_searcher_that_is_down_is_asked_when_the_fleet_says() {
     let mut story = story(whole_only());
-    let asks = Some((Span::of_millis(300), Span::of_millis(9_000)));
-    story.mixer.join(Box::new(Scripted { relays: 1, asks, ..Scripted::default() }));
+    let asks = Some((Span::from_millis(300), Span::from_millis(9_000)));
+    story.mixer.set_fleet_policy(Box::new(Scripted { relays: 1, asks, ..Scripted::default() }));
     let id = story.scan(1);
     let first = story.out(id)[0];
     story.land(first, RelayOutcome::Unreachable);
@@ -935,11 +935,15 @@
     story.list_cells(4, 2, 0);
     let heard = std::rc::Rc::default();
     let heard_by = std::rc::Rc::clone(&heard);
-    story.mixer.join(Box::new(Scripted { sheds: Some(3), heard: heard_by, ..Scripted::default() }));
+    story.mixer.set_fleet_policy(Box::new(Scripted {
+        sheds: Some(3),
+        heard: heard_by,
+        ..Scripted::default()
+    }));
     let shed = story.scan(4);
     assert_eq!(story.host.ending(shed), Some(Ending::Bounced));
     assert!(story.host.relays.is_empty() && heard.borrow().is_empty());
-    assert_eq!(story.host.pauses, [Span::of_millis(250)], "half of the longest, as the fleet says");
+    assert_eq!(story.host.pauses, [Span::from_millis(250)], "half of the longest, as the fleet says");
     let taken = story.scan(3);
     story.pass(20);
     story.land_all(taken, RelayOutcome::Succeeded);
@@ -981,7 +985,7 @@
         story.land(out, RelayOutcome::Succeeded);
     } else {
         story.land(out, RelayOutcome::ConnectionLost);
-        story.mixer.checked(&mut story.host, Searcher(out.to), true);
+        story.mixer.probe_finished(&mut story.host, Searcher(out.to), true);
     }
     let others: Vec<_> = story.host.relays.iter().filter(|relay| !relay.landed).copied().collect();
     others.into_iter().for_each(|relay| story.land(relay, RelayOutcome::Succeeded));
