--- a/crates/fronts/src/readings.rs
+++ b/crates/fronts/src/readings.rs
@@ -98,9 +98,9 @@
         let seconds = self.list("family_info.fetch_parts")?;
         let one = |i: usize| {
             let at = |name: &str| format!("services.{i}.{name}");
-            let whole_from = wholes.get(i).copied().unwrap_or(1.0);
+            let complete_from = wholes.get(i).copied().unwrap_or(1.0);
             let word = self.0.get(&at("repeat")).map(String::as_str);
-            let effect = match word {
+            let idempotency = match word {
                 Some("pure") => Idempotency::Idempotent,
                 Some("token") => Idempotency::ByKey(self.span(&at("window"))?),
                 Some("side_effect") | None => Idempotency::NonIdempotent,
@@ -109,15 +109,15 @@
                 }
             };
             Ok(TrafficType {
-                quoted: self.span(&at("aim"))?,
-                stretch: self.number(&at("aim_stretch"), 0.0)?,
-                abandon: self.span(&at("give_up"))?,
+                target_latency: self.span(&at("aim"))?,
+                target_per_work: self.number(&at("aim_stretch"), 0.0)?,
+                client_timeout: self.span(&at("give_up"))?,
                 credit: self.number(&at("points"), 1.0)?,
                 late_credit: self.number(&at("late_worth"), 0.0)?,
-                effect,
-                floor: floors.get(i).copied().unwrap_or(whole_from),
-                whole_from,
-                second_step: seconds.get(i).is_some_and(|parts| *parts > 0.0),
+                idempotency,
+                min_coverage: floors.get(i).copied().unwrap_or(complete_from),
+                complete_from,
+                has_fetch_step: seconds.get(i).is_some_and(|parts| *parts > 0.0),
             })
         };
         (0..self.count("services")?).map(one).collect()
--- a/crates/mixer/src/routing/query.rs
+++ b/crates/mixer/src/routing/query.rs
@@ -108,12 +108,12 @@
             let Some(searches) = kind(&index.searches) else {
                 return wrong(format!("searches: no traffic type {}", index.searches));
             };
-            if searches.effect != Idempotency::Idempotent {
+            if searches.idempotency != Idempotency::Idempotent {
                 return wrong(format!("searches: {} may not run again, and searches may", index.searches));
             }
             match index.edits.as_ref().map(|edits| (edits, kind(edits))) {
                 Some((edits, None)) => return wrong(format!("edits: no traffic type {edits}")),
-                Some((edits, Some(kind))) if kind.effect == Idempotency::Idempotent => {
+                Some((edits, Some(kind))) if kind.idempotency == Idempotency::Idempotent => {
                     return wrong(format!("edits: {edits} may run again, and edits may not"));
                 }
                 _ => {}
@@ -152,7 +152,7 @@
         let Some((_, kind)) = types.iter().find(|(known, _)| known == traffic_type) else {
             return Err(no_index(name));
         };
-        if matches!(kind.effect, Idempotency::ByKey(_)) && label.is_none() {
+        if matches!(kind.idempotency, Idempotency::ByKey(_)) && label.is_none() {
             return Err(Fault::argument("an edit of this index needs an Idempotency-Key"));
         }
         if shards.is_empty() {
@@ -164,7 +164,7 @@
             name: format!("q{:x}-{}", self.nonce, self.count),
             traffic_type: traffic_type.clone(),
             customer: index.customer.clone(),
-            left: request.timeout.map_or(kind.abandon, |timeout| timeout.min(kind.abandon)),
+            left: request.timeout.map_or(kind.client_timeout, |timeout| timeout.min(kind.client_timeout)),
             repeat: false,
             label,
             text,
@@ -172,7 +172,7 @@
         };
         // Both have to allow it.
         let partial = index.partial && request.partial != Some(false);
-        Ok((ask, Held { partial, once: kind.effect != Idempotency::Idempotent, request, began: now }))
+        Ok((ask, Held { partial, once: kind.idempotency != Idempotency::Idempotent, request, began: now }))
     }
 }
 
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -87,7 +87,7 @@
     ) -> Result<Self, Misread> {
         has_what_it_needs(readings)?;
         let types: Vec<_> = readings.names("services")?.into_iter().zip(readings.traffic_types()?).collect();
-        if let Some((name, _)) = types.iter().find(|(_, kind)| kind.second_step) {
+        if let Some((name, _)) = types.iter().find(|(_, kind)| kind.has_fetch_step) {
             return Err(Misread(format!("settings: {name}: a second step is not spoken on sockets")));
         }
         let mut desk = Desk::default();
@@ -317,7 +317,7 @@
         if customer.is_none() && !self.customers.is_empty() {
             return wrong("an unknown X-Tenant-Id".into());
         }
-        if matches!(self.types[traffic_type].1.effect, Idempotency::ByKey(_)) && ask.label.is_none() {
+        if matches!(self.types[traffic_type].1.idempotency, Idempotency::ByKey(_)) && ask.label.is_none() {
             return wrong("no Idempotency-Key".into());
         }
         if self.desk.names.contains(&ask.name) {
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -64,7 +64,7 @@
         shedding: LoadShedding,
         tick: Span,
     ) -> Self {
-        let least = types.iter().map(|t| t.quoted).min().unwrap_or(Span::ZERO);
+        let least = types.iter().map(|t| t.target_latency).min().unwrap_or(Span::ZERO);
         // Three ticks: a late timer, the answer, the network. The design's start: a tenth of the quoted time.
         let mut mixer = Self { types, roster, budget, shedding, lead: tick * 3.0, ..Self::default() };
         (mixer.roster.typical, mixer.roster.shortest) = (least.as_f64() / 10.0, least.as_f64() / 10.0);
@@ -138,11 +138,11 @@
         let longest = self.shedding.longest_left.entry(scan.traffic_type).or_default();
         *longest = scan.left.max(*longest);
         let elapsed = if scan.repeat && scan.left < *longest {
-            kind.abandon.saturating_sub(scan.left)
+            kind.client_timeout.saturating_sub(scan.left)
         } else {
             Span::ZERO
         };
-        let quoted = kind.quoted + scan.work.unwrap_or(Span::ZERO) * kind.stretch;
+        let quoted = kind.target_latency + scan.work.unwrap_or(Span::ZERO) * kind.target_per_work;
         let late = elapsed + self.lead >= quoted;
         let quoted = if late { quoted } else { quoted.saturating_sub(elapsed) };
         let over =
@@ -161,12 +161,12 @@
         scan.parts.iter().for_each(|p| *beside.entry(home(p)).or_insert(0) += 1);
         let fits = |p: &&PartRequest| self.roster.room(now, patience, p.shard, worth, luck, beside[&home(p)]);
         let room: f64 = scan.parts.iter().filter(fits).map(|p| p.weight).sum();
-        if patience == Span::ZERO || (late && kind.late_credit <= 0.0) || room + SLACK < kind.floor {
+        if patience == Span::ZERO || (late && kind.late_credit <= 0.0) || room + SLACK < kind.min_coverage {
             return host.reject(id, self.shedding.pause);
         }
         // Of two steps, the first may take half of the time.
-        let wait = patience * if kind.second_step { 0.5 } else { 1.0 };
-        let late = Span::from_micros(self.roster.late(kind.quoted) as u64);
+        let wait = patience * if kind.has_fetch_step { 0.5 } else { 1.0 };
+        let late = Span::from_micros(self.roster.late(kind.target_latency) as u64);
         let held = self.roster.lossy.iter().any(|lossy| self.roster.seats[lossy].seems_dead(now));
         let parts = scan.parts.iter().map(|taken| Part { taken: *taken, ..Part::default() }).collect();
         let (traffic_type, ends) = (scan.traffic_type, now + patience);
@@ -235,9 +235,9 @@
         let unsent = |at: &usize| scan.parts[*at].tried.is_empty() && !scan.parts[*at].lost;
         let mut order: Vec<usize> = (scan.first..scan.parts.len()).filter(unsent).collect();
         order.sort_by(|a, b| scan.parts[*b].taken.weight.total_cmp(&scan.parts[*a].taken.weight));
-        let sort = (scan.traffic_type, self.types[scan.traffic_type].quoted);
+        let sort = (scan.traffic_type, self.types[scan.traffic_type].target_latency);
         // Three quarters of the way to the floor: a quarter is for parts lost on the way.
-        let mut spare = (1.0 - self.types[scan.traffic_type].floor) * 0.75;
+        let mut spare = (1.0 - self.types[scan.traffic_type].min_coverage) * 0.75;
         let (worth, luck, left) = (scan.worth * order.len() as f64, scan.luck, scan.ends.since(now));
         if scan.held {
             order.truncate(1);
@@ -266,7 +266,8 @@
     fn relay(&mut self, host: &mut dyn Host, id: ScanId, at: usize, to: Searcher) {
         let now = host.now();
         let Some(scan) = self.scans.get_mut(&id) else { return };
-        let (part, sort) = (&mut scan.parts[at], (scan.traffic_type, self.types[scan.traffic_type].quoted));
+        let (part, sort) =
+            (&mut scan.parts[at], (scan.traffic_type, self.types[scan.traffic_type].target_latency));
         let ran_before = part.may_have_run;
         let leg = self.roster.note_sent(now, to, sort);
         let cell = part.taken.shard % self.roster.cells;
@@ -303,7 +304,8 @@
         part.may_have_run = ran_before.or(Some(now));
         host.relay(relay, id, at, to, scan.ends.since(now));
         // A repeat may wait for a connection, or behind others, until its label is forgotten.
-        if let (Idempotency::ByKey(window), Some(first)) = (self.types[scan.traffic_type].effect, ran_before)
+        if let (Idempotency::ByKey(window), Some(first)) =
+            (self.types[scan.traffic_type].idempotency, ran_before)
         {
             host.set_send_deadline(relay, (first + window).saturating_sub(self.lead));
         }
@@ -325,7 +327,8 @@
         let may = |scan: &&mut Scan| may_wait && scan.parts[at].tried.len() < self.budget.cap;
         let Some(scan) = self.scans.get_mut(&id).filter(may) else { return };
         let (part, left) = (&scan.parts[at], scan.ends.since(host.now()));
-        let needed = (2.0 * SLACK..self.types[scan.traffic_type].floor).contains(&(scan.hope() + SLACK));
+        let needed =
+            (2.0 * SLACK..self.types[scan.traffic_type].min_coverage).contains(&(scan.hope() + SLACK));
         let untried = self.roster.holders(part.taken.shard).any(|s| !part.tried.contains(&s.told.searcher));
         if needed && untried && left.as_f64() > 2.0 * self.roster.shortest {
             scan.parts[at].lost = false;
@@ -344,14 +347,14 @@
     fn another(&mut self, now: Moment, id: ScanId, at: usize) -> Option<Searcher> {
         let scan = self.scans.get(&id)?;
         let (part, kind, left) = (&scan.parts[at], &self.types[scan.traffic_type], scan.ends.since(now));
-        let harmless = match (kind.effect, part.may_have_run) {
+        let harmless = match (kind.idempotency, part.may_have_run) {
             (Idempotency::Idempotent, _) | (_, None) => true,
             (Idempotency::ByKey(window), Some(first)) => now.since(first) + self.lead < window,
             (Idempotency::NonIdempotent, Some(_)) => false,
         };
         let allowed = left > Span::ZERO && self.deaths(now, scan) < 2 && part.tried.len() < self.budget.cap;
         let room = harmless && allowed && self.roster.room(now, left, part.taken.shard, 0.0, scan.luck, 1);
-        let (sort, cell) = ((scan.traffic_type, kind.quoted), part.taken.shard % self.roster.cells);
+        let (sort, cell) = ((scan.traffic_type, kind.target_latency), part.taken.shard % self.roster.cells);
         let may = room && self.fleet.as_ref().is_none_or(|fleet| fleet.may_retry(now, cell));
         let place =
             |roster: &mut ReplicaTable| roster.place(now, part.taken.shard, sort, scan.luck, &part.tried);
@@ -398,7 +401,7 @@
         let (honoured, whole_from) = scan.reached(kind);
         let all = step.iter().all(|p| p.honoured || p.lost);
         let waits = step.is_empty() && scan.first_whole.is_some();
-        if !waits && (all || honoured + SLACK >= whole_from || scan.hope() + SLACK < kind.floor) {
+        if !waits && (all || honoured + SLACK >= whole_from || scan.hope() + SLACK < kind.min_coverage) {
             self.close(host, id);
         }
     }
@@ -412,17 +415,21 @@
         let kind = &self.types[scan.traffic_type];
         let (honoured, whole_from) = scan.reached(kind);
         let whole = honoured + SLACK >= whole_from && scan.first_whole != Some(false);
-        let floor = if kind.floor < kind.whole_from || scan.first_whole.is_none() { kind.floor } else { 1.0 };
+        let floor = if kind.min_coverage < kind.complete_from || scan.first_whole.is_none() {
+            kind.min_coverage
+        } else {
+            1.0
+        };
         let never_ran = scan.parts.iter().all(|p| p.may_have_run.is_none());
         let kills = self.deaths(host.now(), &scan) > usize::from(!scan.held);
-        let last = !kind.second_step || scan.first_whole.is_some();
+        let last = !kind.has_fetch_step || scan.first_whole.is_some();
         if honoured > 0.0 && (whole || honoured + SLACK >= floor) {
             host.answer(id, whole, last);
             if !last {
                 (scan.first, scan.first_whole) = (scan.parts.len(), Some(whole));
                 self.scans.insert(id, scan);
             }
-        } else if kind.effect == Idempotency::Idempotent && !kills || never_ran {
+        } else if kind.idempotency == Idempotency::Idempotent && !kills || never_ran {
             host.reject(id, self.shedding.pause);
         } else {
             host.fail(id);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -159,18 +159,18 @@
 /// One sort of scan, as the deployment states it.
 #[derive(Clone, Debug)]
 pub struct TrafficType {
-    pub quoted: Span,
+    pub target_latency: Span,
     /// The quoted time grows by this many times the scan's own work.
-    pub stretch: f64,
-    pub abandon: Span,
+    pub target_per_work: f64,
+    pub client_timeout: Span,
     pub credit: f64,
     pub late_credit: f64,
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// The least share of the parts' weight that may be answered from.
-    pub floor: f64,
+    pub min_coverage: f64,
     /// The share that makes an answer whole.
-    pub whole_from: f64,
-    pub second_step: bool,
+    pub complete_from: f64,
+    pub has_fetch_step: bool,
 }
 
 /// A scan at the door, as the order of shedding sees it.
--- a/src/query.rs
+++ b/src/query.rs
@@ -34,7 +34,7 @@
     /// The weight honoured, and what makes the present step whole.
     pub(crate) fn reached(&self, kind: &TrafficType) -> (f64, f64) {
         let honoured = self.parts[self.first..].iter().filter(|p| p.honoured).map(|p| p.taken.weight);
-        (honoured.sum(), self.first_whole.map_or(kind.whole_from, |_| 1.0))
+        (honoured.sum(), self.first_whole.map_or(kind.complete_from, |_| 1.0))
     }
 
     pub(crate) fn hope(&self) -> f64 {
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -104,15 +104,15 @@
 
 pub fn whole_only() -> TrafficType {
     TrafficType {
-        quoted: Span::from_millis(2000),
-        stretch: 0.0,
-        abandon: Span::from_millis(4000),
+        target_latency: Span::from_millis(2000),
+        target_per_work: 0.0,
+        client_timeout: Span::from_millis(4000),
         credit: 1.0,
         late_credit: 0.1,
-        effect: Idempotency::Idempotent,
-        floor: 1.0,
-        whole_from: 1.0,
-        second_step: false,
+        idempotency: Idempotency::Idempotent,
+        min_coverage: 1.0,
+        complete_from: 1.0,
+        has_fetch_step: false,
     }
 }
 
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -13,15 +13,15 @@
 use test_case::test_case;
 
 fn partial() -> TrafficType {
-    TrafficType { floor: 0.5, ..whole_only() }
+    TrafficType { min_coverage: 0.5, ..whole_only() }
 }
 
 fn labelled() -> TrafficType {
-    TrafficType { effect: Idempotency::ByKey(Span::from_millis(800)), ..whole_only() }
+    TrafficType { idempotency: Idempotency::ByKey(Span::from_millis(800)), ..whole_only() }
 }
 
 fn irreversible() -> TrafficType {
-    TrafficType { effect: Idempotency::NonIdempotent, ..whole_only() }
+    TrafficType { idempotency: Idempotency::NonIdempotent, ..whole_only() }
 }
 
 #[test]
@@ -83,7 +83,7 @@
 #[test_case(irreversible(), RelayOutcome::Rejected, 50, true; "irreversible proved not to have run")]
 #[test_case(irreversible(), RelayOutcome::Unreachable, 50, true; "irreversible without a connection")]
 fn a_failed_part_goes_to_another_replica(kind: TrafficType, how: RelayOutcome, after: u64, again: bool) {
-    let redoable = kind.effect == Idempotency::Idempotent;
+    let redoable = kind.idempotency == Idempotency::Idempotent;
     let mut story = story(kind);
     let id = story.scan(1);
     let first = story.out(id)[0];
@@ -316,7 +316,7 @@
 
 #[test]
 fn a_second_step_waits_for_its_own_parts() {
-    let mut story = story(TrafficType { second_step: true, ..whole_only() });
+    let mut story = story(TrafficType { has_fetch_step: true, ..whole_only() });
     let id = story.scan(2);
     story.pass(100);
     story.land_all(id, RelayOutcome::Succeeded);
