--- a/crates/fronts/src/ids.rs
+++ b/crates/fronts/src/ids.rs
@@ -24,19 +24,19 @@
         }
         let (turn, place) = &mut self.slots[slot as usize];
         (*turn, *place) = (turn.wrapping_add(1), Some(held));
-        ScanId { slot, turn: *turn }
+        ScanId { slot, generation: *turn }
     }
 
     pub fn get(&self, id: ScanId) -> Option<&T> {
-        self.slots.get(id.slot as usize).filter(|(turn, _)| *turn == id.turn)?.1.as_ref()
+        self.slots.get(id.slot as usize).filter(|(turn, _)| *turn == id.generation)?.1.as_ref()
     }
 
     pub fn get_mut(&mut self, id: ScanId) -> Option<&mut T> {
-        self.slots.get_mut(id.slot as usize).filter(|(turn, _)| *turn == id.turn)?.1.as_mut()
+        self.slots.get_mut(id.slot as usize).filter(|(turn, _)| *turn == id.generation)?.1.as_mut()
     }
 
     pub fn close(&mut self, id: ScanId) -> Option<T> {
-        let place = self.slots.get_mut(id.slot as usize).filter(|(turn, _)| *turn == id.turn);
+        let place = self.slots.get_mut(id.slot as usize).filter(|(turn, _)| *turn == id.generation);
         let held = place.and_then(|(_, held)| held.take())?;
         self.free.push(id.slot);
         Some(held)
--- a/crates/fronts/src/readings.rs
+++ b/crates/fronts/src/readings.rs
@@ -126,11 +126,11 @@
     pub fn mixer(&self, seed: u64) -> Result<Mixer, Misread> {
         let fleet = self.number("fleet_size", 1.0)?.max(1.0);
         let cold = SlowStart {
-            fleet,
-            from: self.number("invariants.cold_from", 1.0)?,
-            cold: self.span("invariants.cold")?,
-            multiple: self.number("invariants.fall_multiple", 1.0)?,
-            fall: self.span("invariants.fall")?,
+            mixers: fleet,
+            initial_share: self.number("invariants.cold_from", 1.0)?,
+            warm_up: self.span("invariants.cold")?,
+            overload_factor: self.number("invariants.fall_multiple", 1.0)?,
+            overload_window: self.span("invariants.fall")?,
         };
         let roster = ReplicaTable::new(
             seed,
--- a/crates/fronts/tests/passed_on.rs
+++ b/crates/fronts/tests/passed_on.rs
@@ -72,8 +72,15 @@
         self.scans += 1;
         let part = PartRequest { shard: 0, weight: 1.0 / parts as f64 };
         let (left, parts) = (Span::from_millis(4_000), vec![part; parts]);
-        let scan = ScanRequest { traffic_type: 0, customer: 0, left, work: None, repeat: false, parts };
-        self.mixer.start_scan(&mut self.scene, ScanId { slot: self.scans, turn: 1 }, scan);
+        let scan = ScanRequest {
+            traffic_type: 0,
+            customer: 0,
+            time_left: left,
+            work_hint: None,
+            is_retry: false,
+            parts,
+        };
+        self.mixer.start_scan(&mut self.scene, ScanId { slot: self.scans, generation: 1 }, scan);
     }
 
     /// What is out ends in this way, twenty milliseconds after it went; and so does what goes out for it.
--- a/crates/mixer/src/routing/roll.rs
+++ b/crates/mixer/src/routing/roll.rs
@@ -81,7 +81,7 @@
         let version = known.and_then(|line| line.version.clone());
         self.lines.insert(searcher, Line { tongue, version, address: row.address, ready: row.ready });
         let dear = self.dear_outside.as_ref().is_some_and(|home| *home != row.zone);
-        SearcherEntry { searcher, cell: row.cell, ready: row.ready, started: row.started, dear }
+        SearcherEntry { searcher, cell: row.cell, ready: row.ready, started: row.started, cross_zone: dear }
     }
 
     pub fn address(&self, searcher: Searcher) -> Option<SocketAddr> {
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -340,9 +340,9 @@
         Ok(ScanRequest {
             traffic_type,
             customer: customer.unwrap_or(0),
-            left: ask.left.saturating_sub(self.desk.now.since(began)),
-            work: ask.parts.iter().filter_map(|part| part.work).reduce(|a, b| a + b),
-            repeat: ask.repeat,
+            time_left: ask.left.saturating_sub(self.desk.now.since(began)),
+            work_hint: ask.parts.iter().filter_map(|part| part.work).reduce(|a, b| a + b),
+            is_retry: ask.repeat,
             parts,
         })
     }
--- a/crates/shedding/src/fleet.rs
+++ b/crates/shedding/src/fleet.rs
@@ -23,7 +23,7 @@
 
     fn note_result(&mut self, now: Moment, heard: &PartResult) {
         self.shedder.iter_mut().for_each(|shedder| shedder.landed(now, heard));
-        self.purse.iter_mut().for_each(|purse| purse.landed(now, heard.cell, heard.how));
+        self.purse.iter_mut().for_each(|purse| purse.landed(now, heard.cell, heard.outcome));
     }
 
     fn may_retry(&self, now: Moment, cell: u32) -> bool {
--- a/crates/shedding/src/order.rs
+++ b/crates/shedding/src/order.rs
@@ -29,7 +29,7 @@
     /// the share that they are of what is offered, letting in all below a share lets in that share of the work.
     pub fn place(&mut self, now: Moment, knock: &AdmissionRequest) -> f64 {
         self.fade(now);
-        let band = band(knock.worth, knock.repeat);
+        let band = band(knock.priority, knock.is_retry);
         self.offered[band] += knock.parts.len() as f64;
         let before: f64 = self.offered[..band].iter().sum();
         let all: f64 = self.offered.iter().sum();
--- a/crates/shedding/src/shedder.rs
+++ b/crates/shedding/src/shedder.rs
@@ -9,7 +9,9 @@
 /// in flight aim at (one and a half times the shortest), so that the order has turned away what they would have; and
 /// at the most a quarter of the time beside the work, where that is short.
 fn wanted(heard: &PartResult) -> Span {
-    (heard.shortest * 0.5).min(heard.quoted.saturating_sub(heard.shortest) * 0.25).max(Span::from_micros(1))
+    (heard.min_latency * 0.5)
+        .min(heard.target_latency.saturating_sub(heard.min_latency) * 0.25)
+        .max(Span::from_micros(1))
 }
 
 /// Sheds by one level for all cells, which hears much and is quick, and by one a cell, for what is short alone.
@@ -26,9 +28,9 @@
 /// What a part's end says of the load where it was: nothing, where it says nothing of a queue.
 pub fn strain(heard: &PartResult) -> Option<Strain> {
     // In widths, of which the first is wanted.
-    let queue = heard.took.saturating_sub(heard.shortest).as_f64() / wanted(heard).as_f64();
+    let queue = heard.elapsed.saturating_sub(heard.min_latency).as_f64() / wanted(heard).as_f64();
     let told = |queue, beyond| Some(Strain { queue, beyond });
-    match heard.how {
+    match heard.outcome {
         RelayOutcome::Rejected => told(1.0, 1.0),
         // From half of the way down to none at all the queue says less and less of how much more could be done.
         RelayOutcome::Succeeded => told((queue - 1.0).min(1.0), (2.0 * queue - 1.0).min(0.0)),
@@ -68,7 +70,7 @@
     /// Takes in how a part ended.
     pub fn landed(&mut self, now: Moment, heard: &PartResult) {
         let Some(strain) = strain(heard) else { return };
-        let told = Loop { width: wanted(heard), target: heard.shortest + wanted(heard) };
+        let told = Loop { width: wanted(heard), target: heard.min_latency + wanted(heard) };
         // The most hurried traffic type has the narrowest loop, and all go by that.
         let by = *self.by.get_or_insert(told);
         let by = if told.width < by.width { told } else { Loop { target: told.target.min(by.target), ..by } };
--- a/crates/shedding/tests/fleet.rs
+++ b/crates/shedding/tests/fleet.rs
@@ -42,12 +42,18 @@
             landings.pop();
             let how = if served { RelayOutcome::Succeeded } else { RelayOutcome::Rejected };
             let (took, quoted) = (Span::from_micros(took), Span::from_micros(QUOTED));
-            let heard = PartResult { cell: 0, how, took, quoted, shortest: Span::from_micros(WORK) };
+            let heard = PartResult {
+                cell: 0,
+                outcome: how,
+                elapsed: took,
+                target_latency: quoted,
+                min_latency: Span::from_micros(WORK),
+            };
             fleet[mixer].landed(Moment::from_micros(at), &heard);
         }
         let mixer = if chance.random_bool(first) { 0 } else { chance.random_range(0..mixers) };
         let parts = [PartRequest { shard: chance.random_range(0..1 << 20), weight: 1.0 }];
-        let knock = AdmissionRequest { worth: 1.0, repeat: false, parts: &parts, cells: 1 };
+        let knock = AdmissionRequest { priority: 1.0, is_retry: false, parts: &parts, cells: 1 };
         let line = &mut seconds[second];
         line.offered += 1;
         if fleet[mixer].lets_in(Moment::from_micros(now), &knock).is_err() {
--- a/crates/shedding/tests/order.rs
+++ b/crates/shedding/tests/order.rs
@@ -12,12 +12,18 @@
 }
 
 fn knock(worth: f64, repeat: bool, parts: &[PartRequest]) -> AdmissionRequest<'_> {
-    AdmissionRequest { worth, repeat, parts, cells: 4 }
+    AdmissionRequest { priority: worth, is_retry: repeat, parts, cells: 4 }
 }
 
 fn heard(cell: u32, how: RelayOutcome, took: u64) -> PartResult {
     let (quoted, shortest) = (Span::from_millis(500), Span::from_millis(20));
-    PartResult { cell, how, took: Span::from_millis(took), quoted, shortest }
+    PartResult {
+        cell,
+        outcome: how,
+        elapsed: Span::from_millis(took),
+        target_latency: quoted,
+        min_latency: shortest,
+    }
 }
 
 #[test]
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -204,9 +204,9 @@
             let scan = ScanRequest {
                 traffic_type: class.into(),
                 customer: team.into(),
-                left: Span::from_micros(left.into()),
-                work,
-                repeat: options & 2 != 0,
+                time_left: Span::from_micros(left.into()),
+                work_hint: work,
+                is_retry: options & 2 != 0,
                 parts: Vec::new(),
             };
             let id = self.books.open(corr, job);
@@ -235,7 +235,7 @@
             cell: entry.cell.into(),
             ready: entry.status == 0,
             started: (entry.started != 0).then(|| Moment::from_micros(entry.started)),
-            dear: dear_outside.is_some_and(|home| entry.zone != home),
+            cross_zone: dear_outside.is_some_and(|home| entry.zone != home),
         };
         let listings: Vec<SearcherEntry> = entries.iter().map(listing).collect();
         self.with(now, reply, |mixer, host| mixer.update_searchers(host, how != 0, &listings));
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -136,22 +136,28 @@
         // A repeat with less left than its sort has at most has only the rest of the abandon time: its client
         // counts from its first try, and so does what the scan is worth.
         let longest = self.shedding.longest_left.entry(scan.traffic_type).or_default();
-        *longest = scan.left.max(*longest);
-        let elapsed = if scan.repeat && scan.left < *longest {
-            kind.client_timeout.saturating_sub(scan.left)
+        *longest = scan.time_left.max(*longest);
+        let elapsed = if scan.is_retry && scan.time_left < *longest {
+            kind.client_timeout.saturating_sub(scan.time_left)
         } else {
             Span::ZERO
         };
-        let quoted = kind.target_latency + scan.work.unwrap_or(Span::ZERO) * kind.target_per_work;
+        let quoted = kind.target_latency + scan.work_hint.unwrap_or(Span::ZERO) * kind.target_per_work;
         let late = elapsed + self.lead >= quoted;
         let quoted = if late { quoted } else { quoted.saturating_sub(elapsed) };
         let over =
             if self.shedding.over_share(now, scan.customer) { self.shedding.over_share_credit } else { 1.0 };
         let credit = kind.credit * over * if late { kind.late_credit } else { 1.0 };
-        let (worth, patience) =
-            (self.shedding.worth(credit, scan.parts.len()), quoted.min(scan.left).saturating_sub(self.lead));
-        let knock =
-            AdmissionRequest { worth, repeat: scan.repeat, parts: &scan.parts, cells: self.roster.cells };
+        let (worth, patience) = (
+            self.shedding.worth(credit, scan.parts.len()),
+            quoted.min(scan.time_left).saturating_sub(self.lead),
+        );
+        let knock = AdmissionRequest {
+            priority: worth,
+            is_retry: scan.is_retry,
+            parts: &scan.parts,
+            cells: self.roster.cells,
+        };
         let luck = match self.fleet.as_mut().and_then(|fleet| fleet.admit(now, &knock)) {
             Some(Err(share)) => return host.reject(id, self.shedding.pause * share),
             Some(Ok(stands)) => stands,
@@ -280,7 +286,16 @@
             mixer.reached_or_not(host, &leg, how);
             if let Some(fleet) = &mut mixer.fleet {
                 let shortest = Span::from_micros(mixer.roster.shortest as u64);
-                fleet.note_result(host.now(), &PartResult { cell, how, took, quoted: sort.1, shortest });
+                fleet.note_result(
+                    host.now(),
+                    &PartResult {
+                        cell,
+                        outcome: how,
+                        elapsed: took,
+                        target_latency: sort.1,
+                        min_latency: shortest,
+                    },
+                );
             }
             let Some(scan) = mixer.scans.get_mut(&id).filter(|scan| at >= scan.first) else { return };
             scan.killed.extend(Some(to).filter(|to| died && !scan.killed.contains(to)));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ScanId {
     pub slot: u32,
-    pub turn: u32,
+    pub generation: u32,
 }
 
 /// A searcher, numbered by the front. A number is never given twice: what comes late for one that has gone
@@ -123,7 +123,7 @@
     pub ready: bool,
     pub started: Option<Moment>,
     /// In another zone, where the deployment has a price for crossing.
-    pub dear: bool,
+    pub cross_zone: bool,
 }
 
 /// One part of a scan, as it was taken.
@@ -139,11 +139,11 @@
     pub traffic_type: usize,
     pub customer: usize,
     /// Until the client gives up on this try.
-    pub left: Span,
+    pub time_left: Span,
     /// The client's rough hint of the work of all parts.
-    pub work: Option<Span>,
+    pub work_hint: Option<Span>,
     /// The client says that it has asked before.
-    pub repeat: bool,
+    pub is_retry: bool,
     pub parts: Vec<PartRequest>,
 }
 
@@ -177,8 +177,8 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest<'a> {
     /// Its credit for its work, against the best met: up to one.
-    pub worth: f64,
-    pub repeat: bool,
+    pub priority: f64,
+    pub is_retry: bool,
     pub parts: &'a [PartRequest],
     pub cells: u32,
 }
@@ -187,11 +187,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PartResult {
     pub cell: u32,
-    pub how: RelayOutcome,
-    pub took: Span,
+    pub outcome: RelayOutcome,
+    pub elapsed: Span,
     /// Of its traffic type; and the shortest that parts take of late.
-    pub quoted: Span,
-    pub shortest: Span,
+    pub target_latency: Span,
+    pub min_latency: Span,
 }
 
 /// What a mixer does as one of a fleet, with no word among mixers; none where an operator asks for none. What its
--- a/src/replicas.rs
+++ b/src/replicas.rs
@@ -144,7 +144,7 @@
         // Of a row of its own, so that it changes no other draw; the first few numbers of like seeds are alike.
         let mut turns = Chance::new(!seed);
         let turn = (0..8).map(|_| turns.below(1 << 20)).last().unwrap_or(0) as f64 / f64::from(1 << 20);
-        let replicas = ReplicaSets::new(cold.fleet, seed);
+        let replicas = ReplicaSets::new(cold.mixers, seed);
         Self {
             cells,
             width,
@@ -178,7 +178,7 @@
 
     pub(crate) fn set_home(&mut self, told: SearcherEntry) -> SearcherEntry {
         // A dozen for all mixers together, some for each core of a usual machine; three for each mixer.
-        let limit = (12.0 / self.cold.fleet).max(3.0);
+        let limit = (12.0 / self.cold.mixers).max(3.0);
         let seat = self
             .seats
             .entry(told.searcher)
@@ -255,7 +255,7 @@
     /// as each of many hears of it less often. None of that lost 0.01, all of it no less.
     pub(crate) fn fading(&self, now: Moment, seat: &ReplicaState) -> f64 {
         let until = if seat.out.is_empty() { seat.heard } else { now };
-        (-now.since(until).as_f64() / (CHECK_EVERY.as_f64() + 0.3 * self.cold.fleet * self.shortest)).exp2()
+        (-now.since(until).as_f64() / (CHECK_EVERY.as_f64() + 0.3 * self.cold.mixers * self.shortest)).exp2()
     }
 
     /// Smooths in what a relay's end tells. An eighth, as in TCP: one odd part tells little, but one in vain
@@ -269,7 +269,7 @@
         sample: Option<f64>,
         failed: bool,
     ) {
-        let (shortest, fleet) = (self.shortest, self.cold.fleet);
+        let (shortest, fleet) = (self.shortest, self.cold.mixers);
         let held = self.fading(now, &self.seats[&searcher]);
         let Some(seat) = self.seats.get_mut(&searcher) else { return };
         let stalled = |sample: f64| failed || seat.latency.is_some_and(|known| sample * 8.0 < known);
@@ -312,7 +312,7 @@
             let standing = self.standing(now, seat);
             let failing = seat.failing.get(by.0).map_or(0.0, |share| share * self.fading(now, seat));
             // Within three tenths smoothed latencies are alike: a tie goes to where crossing has no price.
-            let tie = if seat.told.dear { 1.3 } else { 1.0 };
+            let tie = if seat.told.cross_zone { 1.3 } else { 1.0 };
             let latency = (standing + failing * (self.late(by.1) - standing).max(0.0)) * tie;
             match seat.down {
                 Some(due) => (!self.may_check && now >= due).then_some((0.0, searcher)),
@@ -376,7 +376,7 @@
         parts: usize,
     ) -> bool {
         let closed = self.closed(now, shard, luck);
-        let left = left.as_f64() * (0.5 + 0.5 * worth).max(4.0 / self.cold.fleet).min(1.0);
+        let left = left.as_f64() * (0.5 + 0.5 * worth).max(4.0 / self.cold.mixers).min(1.0);
         let turns = self.shortest * (1.0 + 20.0 * self.lost * self.lost);
         let by = now.saturating_sub(Span::from_micros((8.0 * self.typical) as u64));
         let free = |s: &ReplicaState| {
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -23,14 +23,14 @@
 /// The rule's figures, and the number of mixers that share the count.
 #[derive(Default)]
 pub struct SlowStart {
-    pub fleet: f64,
+    pub mixers: f64,
     /// The share of its capacity with which a searcher starts at the least.
-    pub from: f64,
+    pub initial_share: f64,
     /// It is warm so long after its start.
-    pub cold: Span,
+    pub warm_up: Span,
     /// What it bears: so many times its capacity of the moment, for so long.
-    pub multiple: f64,
-    pub fall: Span,
+    pub overload_factor: f64,
+    pub overload_window: Span,
 }
 
 /// Cores of a searcher: nobody tells them, and no machine of the platforms served has fewer.
@@ -48,7 +48,7 @@
 impl SlowStart {
     /// Whether a searcher that started then may still be cold. Its window is counted to its end.
     pub fn is_cold(&self, since: Moment, now: Moment) -> bool {
-        now.since(since) <= self.cold + self.fall
+        now.since(since) <= self.warm_up + self.overload_window
     }
 
     /// When a searcher started at the latest whose start is told anew; none where it is warm. Guards against clocks
@@ -57,12 +57,12 @@
     pub fn start(&self, told: Moment, list: StartsTold, now: Moment) -> Option<Moment> {
         match list {
             // Where nothing is said of cold ones none is.
-            _ if self.cold == Span::ZERO => None,
+            _ if self.warm_up == Span::ZERO => None,
             StartsTold::SinceLastList => Some(now),
             StartsTold::First { newest } => {
                 let newest = newest.unwrap_or(told).max(told);
                 let age = newest.since(told);
-                let may_be_new = now.since(newest) <= CLOCK_OFF && age < self.cold;
+                let may_be_new = now.since(newest) <= CLOCK_OFF && age < self.warm_up;
                 may_be_new.then(|| now.saturating_sub(age))
             }
         }
@@ -70,9 +70,10 @@
 
     /// How many parts of this much work it bears in the rule's window, as it stood when the window began.
     fn calls(&self, since: Moment, now: Moment, work: f64) -> f64 {
-        let age = now.since(since).saturating_sub(self.fall).as_f64() / self.cold.as_f64().max(1.0);
-        let grown = self.from + (1.0 - self.from) * age.min(1.0);
-        self.multiple * grown * CORES * self.fall.as_f64() / work.max(1.0)
+        let age =
+            now.since(since).saturating_sub(self.overload_window).as_f64() / self.warm_up.as_f64().max(1.0);
+        let grown = self.initial_share + (1.0 - self.initial_share) * age.min(1.0);
+        self.overload_factor * grown * CORES * self.overload_window.as_f64() / work.max(1.0)
     }
 
     /// The share of what would fall to it that keeps it within this mixer's part of the count, where `falls` parts
@@ -81,7 +82,7 @@
         if self.burst(self.calls(since, now, work), sharers) >= 1.0 {
             return 1.0;
         }
-        SHARE_USED * self.calls(since, now, work) / (self.fall.as_f64() * sharers * falls)
+        SHARE_USED * self.calls(since, now, work) / (self.overload_window.as_f64() * sharers * falls)
     }
 
     /// What this mixer may send at once on top of what comes evenly.
@@ -122,7 +123,7 @@
     /// The same now, for a searcher that started then.
     pub fn at(&self, slow_start: &SlowStart, since: Moment, work: f64, sharers: f64, now: Moment) -> Self {
         let part = slow_start.part_of_count(since, work, sharers, now);
-        let windows = now.since(self.at).as_f64() / slow_start.fall.as_f64().max(1.0);
+        let windows = now.since(self.at).as_f64() / slow_start.overload_window.as_f64().max(1.0);
         Self { left: (self.left + part.even * windows).min(part.burst), at: now }
     }
 
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -138,7 +138,13 @@
     seed: u64,
 ) -> Mixer {
     let (cold, fall) = (Span::from_millis(18_000), Span::from_millis(2_000));
-    let cold = SlowStart { fleet, from: 0.2, cold, multiple: 2.0, fall };
+    let cold = SlowStart {
+        mixers: fleet,
+        initial_share: 0.2,
+        warm_up: cold,
+        overload_factor: 2.0,
+        overload_window: fall,
+    };
     let roster = ReplicaTable::new(seed, cells, 1, 1, may_check, cold);
     let door = LoadShedding::new(fleet as usize, &[1000.0], 0.1, true, Span::from_millis(500));
     Mixer::new(types, roster, budget, door, Span::from_millis(5))
@@ -190,12 +196,19 @@
     }
 
     pub fn scan_of(&mut self, traffic_type: usize, weights: &[f64], left: u64, repeat: bool) -> ScanId {
-        let id = ScanId { slot: self.scans, turn: 1 };
+        let id = ScanId { slot: self.scans, generation: 1 };
         self.scans += 1;
         let taken = |(shard, weight): (usize, &f64)| PartRequest { shard: shard as u32, weight: *weight };
         let parts = weights.iter().enumerate().map(taken).collect();
         let left = Span::from_millis(left);
-        let scan = ScanRequest { traffic_type, customer: 0, left, work: None, repeat, parts };
+        let scan = ScanRequest {
+            traffic_type,
+            customer: 0,
+            time_left: left,
+            work_hint: None,
+            is_retry: repeat,
+            parts,
+        };
         self.mixer.start_scan(&mut self.host, id, scan);
         id
     }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -735,8 +735,12 @@
 fn between_replicas_that_are_alike_the_part_stays_where_crossing_has_no_price() {
     let mut story = story(whole_only());
     story.settle_in(100);
-    let told =
-        |id| SearcherEntry { searcher: Searcher(id), ready: true, dear: id != 1, ..SearcherEntry::default() };
+    let told = |id| SearcherEntry {
+        searcher: Searcher(id),
+        ready: true,
+        cross_zone: id != 1,
+        ..SearcherEntry::default()
+    };
     story.mixer.update_searchers(&mut story.host, true, &[told(0), told(1), told(2)]);
     assert_eq!(sent_to_of(&mut story, 1, 10, 1), 10);
     assert_eq!(sent_to_of(&mut story, 1, 10, 3), 10, "but not at twice the latency");
@@ -877,7 +881,7 @@
         self.sheds.map(|cell| if needs(cell) { Err(0.5) } else { Ok(0.25) })
     }
     fn note_result(&mut self, _: Moment, heard: &PartResult) {
-        self.heard.borrow_mut().push((heard.cell, heard.how));
+        self.heard.borrow_mut().push((heard.cell, heard.outcome));
     }
     fn may_retry(&self, _: Moment, _: u32) -> bool {
         self.relays > 0
