--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,8 @@
-//! The interface of the mixer: ids, time, and the trait a front implements. Decisions live in [`choice`].
+//! The decision module of a fernglade mixer: the types it shares with its callers and the traits they
+//! implement.
+//!
+//! The module does no I/O and reads no clock. A [`Host`] performs its effects and supplies the time; the
+//! decisions are in [`choice`].
 
 mod chance;
 pub mod choice;
@@ -13,11 +17,11 @@
 
 use std::ops::{Add, Mul};
 
-/// A point in time, in microseconds of whatever clock the front keeps.
+/// A point in time, in microseconds of the host's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Moment(u64);
 
-/// A length of time, never below nothing.
+/// A non-negative duration in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Span(u64);
 
@@ -25,13 +29,15 @@
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
+    /// Returns the time in microseconds of the host's clock.
     pub const fn micros(self) -> u64 {
         self.0
     }
+    /// Returns the time `span` earlier, or the clock's zero if that is later.
     pub const fn saturating_sub(self, span: Span) -> Moment {
         Moment(self.0.saturating_sub(span.0))
     }
-    /// How long before `self` that `earlier` was; nothing if it was not earlier.
+    /// Returns the time elapsed from `earlier` to `self`, or zero if `earlier` is later.
     pub const fn since(self, earlier: Moment) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
@@ -45,13 +51,15 @@
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1000)
     }
+    /// Returns the whole duration in microseconds.
     pub const fn micros(self) -> u64 {
         self.0
     }
-    /// In microseconds, for sums with fractions.
+    /// Returns the duration in microseconds as a floating-point number.
     pub const fn as_f64(self) -> f64 {
         self.0 as f64
     }
+    /// Returns the difference, or zero if `other` is longer.
     pub const fn saturating_sub(self, other: Span) -> Span {
         Span(self.0.saturating_sub(other.0))
     }
@@ -78,160 +86,182 @@
     }
 }
 
-/// A scan that is open: a slot of the front's, and how often the slot has been let.
+/// Identifies an open scan: a slot of the host's table and the slot's generation, which changes each time the
+/// slot is reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ScanId {
     pub slot: u32,
     pub generation: u32,
 }
 
-/// A searcher, numbered by the front. A number is never given twice: what comes late for one that has gone
-/// finds nobody, also where one of that name is back.
+/// Identifies a searcher by a number that the host assigns. Numbers are never reused, so a late result for a
+/// searcher that has been removed matches nothing, even if a searcher of the same name has been added again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Searcher(pub u32);
 
-/// Names what the module left behind to be done with a result: hand it back with that result.
+/// Identifies a pending relay or timer. The host passes it back with the result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u32);
 
 /// How a relay ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayOutcome {
+    /// The searcher returned the part's result.
     Succeeded,
     /// The searcher answered with an error; the part may have run.
     Failed,
-    /// Turned away unseen: it never ran.
+    /// The searcher rejected the part before running it.
     Rejected,
-    /// No connection: it never ran.
+    /// No connection could be established; the part did not run.
     Unreachable,
-    /// No answer in the time given; it may yet run.
+    /// No answer arrived in the time allowed; the part may still run.
     TimedOut,
-    /// The connection dropped while it was out.
+    /// The connection was lost while the relay was in flight; the part may have run.
     ConnectionLost,
-    /// We called it off.
+    /// The mixer cancelled the relay; the part may have run.
     Cancelled,
-    /// It never left the mixer.
+    /// The relay never left the mixer.
     NotSent,
 }
 
-/// One line of the list of searchers.
+/// One searcher as service discovery reports it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SearcherEntry {
     pub searcher: Searcher,
+    /// The group of searchers that it belongs to; all searchers of a cell hold the same shards.
     pub cell: u32,
-    /// Still to be given work: neither draining nor gone.
+    /// Whether it may be sent new parts: it is neither draining nor removed.
     pub ready: bool,
+    /// When its process started, if discovery reports that.
     pub started: Option<Moment>,
-    /// In another zone, where the deployment has a price for crossing.
+    /// Whether it is in another zone than the mixer, in a deployment where cross-zone traffic has a cost.
     pub cross_zone: bool,
 }
 
-/// One part of a scan, as it was taken.
+/// One part of a scan as the client requested it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PartRequest {
     pub shard: u32,
+    /// The share of the whole answer that the part contributes.
     pub weight: f64,
 }
 
-/// A scan, as it was taken.
+/// A scan as the client requested it.
 #[derive(Clone, Debug)]
 pub struct ScanRequest {
+    /// Index of its traffic type in the deployment's settings.
     pub traffic_type: usize,
+    /// Index of the customer in the deployment's settings.
     pub customer: usize,
-    /// Until the client gives up on this try.
+    /// Time until the client gives up on this attempt.
     pub time_left: Span,
-    /// The client's rough hint of the work of all parts.
+    /// The client's rough estimate of the work of all parts together.
     pub work_hint: Option<Span>,
-    /// The client says that it has asked before.
+    /// Whether the client states that this is a retry.
     pub is_retry: bool,
     pub parts: Vec<PartRequest>,
 }
 
-/// What may happen to a part that is sent twice.
+/// Whether a part of a traffic type may be sent more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
+    /// It may be sent any number of times.
     Idempotent,
-    /// A repeat is known by its label for so long after the first relay that may have run.
+    /// Searchers deduplicate it by its idempotency key for this long after the first relay that may have run.
     ByKey(Span),
+    /// It must not be sent again once a relay may have run.
     NonIdempotent,
 }
 
-/// One sort of scan, as the deployment states it.
+/// A class of scans, as configured by the deployment.
 #[derive(Clone, Debug)]
 pub struct TrafficType {
+    /// The time in which an answer is promised.
     pub target_latency: Span,
-    /// The quoted time grows by this many times the scan's own work.
+    /// The target latency grows by this many times the scan's estimated work.
     pub target_per_work: f64,
+    /// How long clients wait in all, counted from their first attempt.
     pub client_timeout: Span,
+    /// The value of an answer within the target latency.
     pub credit: f64,
+    /// The factor on the value of a later answer.
     pub late_credit: f64,
     pub idempotency: Idempotency,
-    /// The least share of the parts' weight that may be answered from.
+    /// The smallest share of the parts' weight that an answer may be made from.
     pub min_coverage: f64,
-    /// The share that makes an answer whole.
+    /// The share of the parts' weight from which an answer counts as complete.
     pub complete_from: f64,
+    /// Whether scans have a second step, which fetches further parts after the first answer.
     pub has_fetch_step: bool,
 }
 
-/// A scan at the door, as the order of shedding sees it.
+/// A scan that asks for admission, as the fleet's load shedding sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest<'a> {
-    /// Its credit for its work, against the best met: up to one.
+    /// The scan's value for its work relative to the best seen so far, at most 1.
     pub priority: f64,
     pub is_retry: bool,
     pub parts: &'a [PartRequest],
+    /// Number of cells in the deployment.
     pub cells: u32,
 }
 
-/// How a part ended, as a level of shedding hears it.
+/// The result of one relay, as reported to the fleet's load shedding.
 #[derive(Clone, Copy, Debug)]
 pub struct PartResult {
     pub cell: u32,
     pub outcome: RelayOutcome,
     pub elapsed: Span,
-    /// Of its traffic type; and the shortest that parts take of late.
+    /// The target latency of its traffic type.
     pub target_latency: Span,
+    /// The lowest smoothed latency of parts in the recent past.
     pub min_latency: Span,
 }
 
-/// What a mixer does as one of a fleet, with no word among mixers; none where an operator asks for none. What its
-/// operator leaves out says `None`, or lets through.
+/// Decisions that a mixer takes as one of a fleet, without communication among mixers. A mixer has no such
+/// policy unless its operator enables one. Parts of the policy that the operator leaves out return `None`, or
+/// allow.
 pub trait FleetPolicy {
-    /// Where the scan stands among those let in, from nothing to one, the same at every mixer and cell; or, for one
-    /// that is turned away, the share of the longest pause that its client is told.
-    fn admit(&mut self, now: Moment, knock: &AdmissionRequest) -> Option<Result<f64, f64>>;
-    fn note_result(&mut self, now: Moment, heard: &PartResult);
-    /// Whether a lost part of a cell may go to another replica, for all that the fleet sends there so.
+    /// Decides on admission. For an admitted scan, returns its position among the admitted ones, from 0 to 1,
+    /// which is the same at every mixer and cell. For a rejected scan, returns the fraction of the longest
+    /// pause that its client is told.
+    fn admit(&mut self, now: Moment, request: &AdmissionRequest) -> Option<Result<f64, f64>>;
+    /// Records the result of a relay.
+    fn note_result(&mut self, now: Moment, result: &PartResult);
+    /// Whether a failed part of a cell may go to another replica, given the retries of the whole fleet in
+    /// that cell.
     fn may_retry(&self, now: Moment, cell: u32) -> bool;
-    /// It has gone.
+    /// Records that such a retry was sent.
     fn note_retry(&mut self, now: Moment, cell: u32);
-    /// How long until a searcher that is down is asked whether it is there: first after its loss, then again.
+    /// Returns the delay before a searcher that is down is probed: the first time after its loss, or later
+    /// ones.
     fn probe_delay(&mut self, first: bool) -> Option<Span>;
 }
 
-/// What a front does for the module. Every call takes effect at once, at [`Host::now`].
+/// Performs the effects of the module's decisions. Every call takes effect at once, at [`Host::now`].
 pub trait Host {
     fn now(&self) -> Moment;
-    /// Sends a part; its end comes back as `Mixer::landed`.
+    /// Sends a part to a searcher and waits for its result for `patience` at most; the host reports the
+    /// outcome by `Mixer::relay_finished`.
     fn relay(&mut self, ticket: Ticket, scan: ScanId, part: usize, to: Searcher, patience: Span);
-    /// A relay that has not begun to go by then is never sent; its end comes back as ever. A front that sends at
-    /// once has nothing to do.
+    /// Sets the time by which sending a relay must have begun. A relay that has not begun by then is never
+    /// sent; its outcome is reported as usual. Hosts that send at once need not implement this.
     fn set_send_deadline(&mut self, _relay: Ticket, _by: Moment) {}
-    /// Ends the wait on a relay, where the front can; its end still comes back.
+    /// Stops waiting for a relay, if the host can; its outcome is still reported.
     fn cancel(&mut self, relay: Ticket);
-    /// Answers from the parts honoured; `last` is false where a second step follows.
+    /// Answers a scan from the parts that succeeded. `last` is false if a fetch step follows.
     fn answer(&mut self, scan: ScanId, whole: bool, last: bool);
-    /// Turns a scan away as harmless to ask again, after a pause.
+    /// Rejects a scan as safe to retry after a pause.
     fn reject(&mut self, scan: ScanId, pause: Span);
-    /// Gives a scan up, with no promise.
+    /// Fails a scan, without stating that a retry is safe.
     fn fail(&mut self, scan: ScanId);
-    /// Comes back as `Mixer::woken`, at or soon after that time.
+    /// Sets a timer; the host calls `Mixer::timer_fired` at that time or soon after it.
     fn set_timer(&mut self, ticket: Ticket, at: Moment);
-    /// Asks whether a searcher is there; comes back as `Mixer::checked`.
+    /// Sends a health probe to a searcher; the host reports the result by `Mixer::probe_finished`.
     fn probe(&mut self, searcher: Searcher);
-    /// Trusts the connections to a searcher no more: idle ones are closed, and the others get no new relay
-    /// unless something comes over them.
+    /// Retires the connections to a searcher: idle ones are closed, and busy ones get no new relay unless
+    /// data arrives on them.
     fn retire_connections(&mut self, searcher: Searcher);
-    /// Asks to be told of changes to the list.
+    /// Subscribes to changes of the list of searchers.
     fn watch_discovery(&mut self);
 }
