--- a/src/choice.rs
+++ b/src/choice.rs
@@ -19,55 +19,57 @@
 
 use crate::load_shedding::LoadShedding;
 use crate::query::{Part, Scan};
-use crate::replicas::{Attempt, ReplicaTable, CHECK_EVERY};
+use crate::replicas::{Attempt, ReplicaTable, PROBE_INTERVAL};
 use crate::retry_budget::RetryBudget;
-use crate::slow_start::StartsTold;
+use crate::slow_start::ListKind;
 use crate::*;
 use slab::Slab;
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem::take;
 
 /// What to do with a result, left behind by the step that asked for it.
-type Then<R> = Box<dyn FnOnce(&mut Mixer, &mut dyn Host, R)>;
+type Callback<R> = Box<dyn FnOnce(&mut Mixer, &mut dyn Host, R)>;
 
 /// How long a new process waits for discovery's first word: a third of what it may take to be ready.
-const FIRST_LIST: Span = Span::from_millis(3_000);
+const DISCOVERY_WAIT: Span = Span::from_millis(3_000);
 
 #[derive(Default)]
 pub struct Mixer {
     types: Vec<TrafficType>,
-    roster: ReplicaTable,
-    budget: RetryBudget,
+    replicas: ReplicaTable,
+    retry_budget: RetryBudget,
     shedding: LoadShedding,
-    lead: Span,
+    timer_margin: Span,
     /// Open scans; each leaves with its final answer.
     scans: BTreeMap<ScanId, Scan>,
     /// What to do when a relay lands or a time comes; each is taken out by its one result. A wake whose
     /// scan is over stays until its time, and then finds nobody.
-    landings: Slab<Then<(RelayOutcome, Span)>>,
-    wakes: Slab<Then<()>>,
+    relay_callbacks: Slab<Callback<(RelayOutcome, Span)>>,
+    timer_callbacks: Slab<Callback<()>>,
     /// Searchers answer checks at once, whatever waits there: the operator's word.
     pub probes_bypass_queue: bool,
     /// The drains' grace, where changes of the list are pushed to an agent on this machine.
     pub pushed_drain_grace: Option<Span>,
     /// Discovery has been heard since this mixer's start.
-    has_list: bool,
+    has_discovery: bool,
     /// What is done as one of a fleet, where the operator wants it: asked before the mixer's own limits.
-    fleet: Option<Box<dyn FleetPolicy>>,
+    fleet_policy: Option<Box<dyn FleetPolicy>>,
 }
 
 impl Mixer {
     pub fn new(
         types: Vec<TrafficType>,
-        roster: ReplicaTable,
-        budget: RetryBudget,
+        replicas: ReplicaTable,
+        retry_budget: RetryBudget,
         shedding: LoadShedding,
         tick: Span,
     ) -> Self {
         let least = types.iter().map(|t| t.target_latency).min().unwrap_or(Span::ZERO);
         // Three ticks: a late timer, the answer, the network. The design's start: a tenth of the quoted time.
-        let mut mixer = Self { types, roster, budget, shedding, lead: tick * 3.0, ..Self::default() };
-        (mixer.roster.typical, mixer.roster.shortest) = (least.as_f64() / 10.0, least.as_f64() / 10.0);
+        let mut mixer =
+            Self { types, replicas, retry_budget, shedding, timer_margin: tick * 3.0, ..Self::default() };
+        (mixer.replicas.mean_latency, mixer.replicas.min_latency) =
+            (least.as_f64() / 10.0, least.as_f64() / 10.0);
         mixer
     }
 
@@ -75,8 +77,8 @@
     /// process's first moment, and the list it starts with may be old: it waits for the agent's word, and no longer
     /// than an agent that is down can be waited for. Hurts a restart while the agent is away, by that time.
     pub fn accepts_scans(&self, now: Moment) -> bool {
-        let waited = now.since(self.roster.begun.unwrap_or(now));
-        self.pushed_drain_grace.is_none() || self.has_list || waited >= FIRST_LIST
+        let waited = now.since(self.replicas.first_listed.unwrap_or(now));
+        self.pushed_drain_grace.is_none() || self.has_discovery || waited >= DISCOVERY_WAIT
     }
 
     /// Keeps the list watched, which broke so often since it was last heard. Where changes are pushed to an
@@ -84,274 +86,311 @@
     /// grace, so that a try in vain and the next fit in it; against all that comes between a break and the
     /// next word. Hurts an agent that is down by a call each time. Where all ask one service each has its own
     /// pause.
-    pub fn watch(&mut self, host: &mut dyn Host, broke: u32) {
-        let pause = match (broke, self.pushed_drain_grace) {
+    pub fn watch(&mut self, host: &mut dyn Host, failures: u32) {
+        let delay = match (failures, self.pushed_drain_grace) {
             (0, _) | (1, Some(_)) => Span::ZERO,
             (_, Some(grace)) => (grace * 0.25).max(Span::from_millis(20)),
-            (_, None) => Span::from_millis(500 + self.roster.chance.below(500) as u64),
+            (_, None) => Span::from_millis(500 + self.replicas.rng.below(500) as u64),
         };
-        self.later(host, pause, |_, host| host.watch_discovery());
+        self.schedule(host, delay, |_, host| host.watch_discovery());
     }
 
     /// Discovery's word on searchers; with `whole` who is not in it is gone.
-    pub fn update_searchers(&mut self, host: &mut dyn Host, whole: bool, listings: &[SearcherEntry]) {
-        self.apply(host, whole, listings);
-        self.has_list = true;
+    pub fn update_searchers(&mut self, host: &mut dyn Host, full_list: bool, entries: &[SearcherEntry]) {
+        self.apply_entries(host, full_list, entries);
+        self.has_discovery = true;
     }
 
     /// The list as it was had before this mixer's start: how old it is nobody knows.
-    pub fn restore_searchers(&mut self, host: &mut dyn Host, listings: &[SearcherEntry]) {
-        self.apply(host, true, listings);
+    pub fn restore_searchers(&mut self, host: &mut dyn Host, entries: &[SearcherEntry]) {
+        self.apply_entries(host, true, entries);
     }
 
-    fn apply(&mut self, host: &mut dyn Host, whole: bool, listings: &[SearcherEntry]) {
+    fn apply_entries(&mut self, host: &mut dyn Host, full_list: bool, entries: &[SearcherEntry]) {
         let now = host.now();
-        self.roster.begun.get_or_insert(now);
-        let listed: BTreeSet<Searcher> = listings.iter().map(|told| told.searcher).collect();
-        let all =
-            self.roster.seats.values().filter(|_| whole).map(|s| SearcherEntry { ready: false, ..s.told });
-        let mut gone: Vec<SearcherEntry> = all.filter(|told| !listed.contains(&told.searcher)).collect();
-        gone.sort_by_key(|told| told.searcher);
-        let list = match self.has_list {
-            true => StartsTold::SinceLastList,
-            false => StartsTold::First { newest: listings.iter().filter_map(|told| told.started).max() },
+        self.replicas.first_listed.get_or_insert(now);
+        let listed: BTreeSet<Searcher> = entries.iter().map(|entry| entry.searcher).collect();
+        let all = self
+            .replicas
+            .states
+            .values()
+            .filter(|_| full_list)
+            .map(|s| SearcherEntry { ready: false, ..s.entry });
+        let mut removed: Vec<SearcherEntry> = all.filter(|entry| !listed.contains(&entry.searcher)).collect();
+        removed.sort_by_key(|entry| entry.searcher);
+        let list = match self.has_discovery {
+            true => ListKind::Update,
+            false => ListKind::Initial { newest: entries.iter().filter_map(|entry| entry.started).max() },
         };
-        for told in gone.into_iter().chain(listings.iter().copied()) {
-            let before = self.roster.set_home(told);
-            let anew = told.started.filter(|at| before.started != Some(*at));
-            let start = anew.and_then(|at| self.roster.cold.start(at, list, now));
-            start.iter().for_each(|since| self.roster.renew(now, told.searcher, *since));
+        for entry in removed.into_iter().chain(entries.iter().copied()) {
+            let previous = self.replicas.apply_entry(entry);
+            let new_start = entry.started.filter(|at| previous.started != Some(*at));
+            let start = new_start.and_then(|at| self.replicas.slow_start.latest_start(at, list, now));
+            start.iter().for_each(|since| self.replicas.begin_slow_start(now, entry.searcher, *since));
         }
-        self.roster.let_go();
-        self.roster.replicas.settle();
+        self.replicas.remove_departed();
+        self.replicas.replica_sets.rebuild();
     }
 
     pub fn start_scan(&mut self, host: &mut dyn Host, id: ScanId, scan: ScanRequest) {
         let now = host.now();
-        self.budget.note_taken(now, 1 + scan.parts.len());
+        self.retry_budget.note_requests(now, 1 + scan.parts.len());
         if !self.accepts_scans(now) {
-            return host.reject(id, self.shedding.pause);
+            return host.reject(id, self.shedding.retry_after);
         }
         let Some(kind) = self.types.get(scan.traffic_type) else { return host.fail(id) };
         // A repeat with less left than its sort has at most has only the rest of the abandon time: its client
         // counts from its first try, and so does what the scan is worth.
-        let longest = self.shedding.longest_left.entry(scan.traffic_type).or_default();
+        let longest = self.shedding.longest_time_left.entry(scan.traffic_type).or_default();
         *longest = scan.time_left.max(*longest);
         let elapsed = if scan.is_retry && scan.time_left < *longest {
             kind.client_timeout.saturating_sub(scan.time_left)
         } else {
             Span::ZERO
         };
-        let quoted = kind.target_latency + scan.work_hint.unwrap_or(Span::ZERO) * kind.target_per_work;
-        let late = elapsed + self.lead >= quoted;
-        let quoted = if late { quoted } else { quoted.saturating_sub(elapsed) };
-        let over =
-            if self.shedding.over_share(now, scan.customer) { self.shedding.over_share_credit } else { 1.0 };
-        let credit = kind.credit * over * if late { kind.late_credit } else { 1.0 };
-        let (worth, patience) = (
-            self.shedding.worth(credit, scan.parts.len()),
-            quoted.min(scan.time_left).saturating_sub(self.lead),
+        let target = kind.target_latency + scan.work_hint.unwrap_or(Span::ZERO) * kind.target_per_work;
+        let is_late = elapsed + self.timer_margin >= target;
+        let target = if is_late { target } else { target.saturating_sub(elapsed) };
+        let quota_factor = if self.shedding.is_over_quota(now, scan.customer) {
+            self.shedding.over_quota_factor
+        } else {
+            1.0
+        };
+        let credit = kind.credit * quota_factor * if is_late { kind.late_credit } else { 1.0 };
+        let (priority, timeout) = (
+            self.shedding.priority(credit, scan.parts.len()),
+            target.min(scan.time_left).saturating_sub(self.timer_margin),
         );
-        let knock = AdmissionRequest {
-            priority: worth,
+        let request = AdmissionRequest {
+            priority,
             is_retry: scan.is_retry,
             parts: &scan.parts,
-            cells: self.roster.cells,
+            cells: self.replicas.cells,
         };
-        let luck = match self.fleet.as_mut().and_then(|fleet| fleet.admit(now, &knock)) {
-            Some(Err(share)) => return host.reject(id, self.shedding.pause * share),
-            Some(Ok(stands)) => stands,
-            None => self.roster.chance.below(1 << 20) as f64 / f64::from(1 << 20),
+        let rank = match self.fleet_policy.as_mut().and_then(|policy| policy.admit(now, &request)) {
+            Some(Err(share)) => return host.reject(id, self.shedding.retry_after * share),
+            Some(Ok(position)) => position,
+            None => self.replicas.rng.below(1 << 20) as f64 / f64::from(1 << 20),
         };
-        let (mut beside, home) = (BTreeMap::new(), |p: &PartRequest| p.shard % self.roster.cells);
-        scan.parts.iter().for_each(|p| *beside.entry(home(p)).or_insert(0) += 1);
-        let fits = |p: &&PartRequest| self.roster.room(now, patience, p.shard, worth, luck, beside[&home(p)]);
-        let room: f64 = scan.parts.iter().filter(fits).map(|p| p.weight).sum();
-        if patience == Span::ZERO || (late && kind.late_credit <= 0.0) || room + SLACK < kind.min_coverage {
-            return host.reject(id, self.shedding.pause);
+        let (mut parts_per_cell, cell_of) =
+            (BTreeMap::new(), |p: &PartRequest| p.shard % self.replicas.cells);
+        scan.parts.iter().for_each(|p| *parts_per_cell.entry(cell_of(p)).or_insert(0) += 1);
+        let fits = |p: &&PartRequest| {
+            self.replicas.has_capacity(now, timeout, p.shard, priority, rank, parts_per_cell[&cell_of(p)])
+        };
+        let capacity: f64 = scan.parts.iter().filter(fits).map(|p| p.weight).sum();
+        if timeout == Span::ZERO
+            || (is_late && kind.late_credit <= 0.0)
+            || capacity + WEIGHT_TOLERANCE < kind.min_coverage
+        {
+            return host.reject(id, self.shedding.retry_after);
         }
         // Of two steps, the first may take half of the time.
-        let wait = patience * if kind.has_fetch_step { 0.5 } else { 1.0 };
-        let late = Span::from_micros(self.roster.late(kind.target_latency) as u64);
-        let held = self.roster.lossy.iter().any(|lossy| self.roster.seats[lossy].seems_dead(now));
-        let parts = scan.parts.iter().map(|taken| Part { taken: *taken, ..Part::default() }).collect();
-        let (traffic_type, ends) = (scan.traffic_type, now + patience);
-        self.scans.insert(id, Scan { traffic_type, worth, luck, ends, parts, held, ..Scan::default() });
-        self.later(host, wait, move |mixer, host| {
-            if mixer.scans.get(&id).is_some_and(|scan| scan.first_whole.is_none()) {
-                mixer.close(host, id);
+        let wait = timeout * if kind.has_fetch_step { 0.5 } else { 1.0 };
+        let late_after = Span::from_micros(self.replicas.late_after(kind.target_latency) as u64);
+        let awaits_canary =
+            self.replicas.suspects.iter().any(|suspect| self.replicas.states[suspect].seems_dead(now));
+        let parts = scan.parts.iter().map(|request| Part { request: *request, ..Part::default() }).collect();
+        let (traffic_type, deadline) = (scan.traffic_type, now + timeout);
+        self.scans.insert(
+            id,
+            Scan { traffic_type, priority, rank, deadline, parts, awaits_canary, ..Scan::default() },
+        );
+        self.schedule(host, wait, move |mixer, host| {
+            if mixer.scans.get(&id).is_some_and(|scan| scan.first_step_complete.is_none()) {
+                mixer.finish(host, id);
             }
         });
-        let step = late * if self.probes_bypass_queue { 0.25 } else { 1.0 };
-        self.later(host, step, move |mixer, host| mixer.hurry(host, id, late));
-        self.send_out(host, id);
+        let check_interval = late_after * if self.probes_bypass_queue { 0.25 } else { 1.0 };
+        self.schedule(host, check_interval, move |mixer, host| mixer.check_late_parts(host, id, late_after));
+        self.send_parts(host, id);
     }
 
     pub fn start_fetch(&mut self, host: &mut dyn Host, id: ScanId, parts: &[PartRequest]) {
-        self.budget.note_taken(host.now(), parts.len());
+        self.retry_budget.note_requests(host.now(), parts.len());
         let Some(scan) = self.scans.get_mut(&id) else { return };
-        scan.parts.extend(parts.iter().map(|taken| Part { taken: *taken, ..Part::default() }));
-        let rest = scan.ends.since(host.now());
-        self.later(host, rest, move |mixer, host| mixer.close(host, id));
-        self.send_out(host, id);
+        scan.parts.extend(parts.iter().map(|request| Part { request: *request, ..Part::default() }));
+        let time_left = scan.deadline.since(host.now());
+        self.schedule(host, time_left, move |mixer, host| mixer.finish(host, id));
+        self.send_parts(host, id);
     }
 
-    pub fn set_fleet_policy(&mut self, fleet: Box<dyn FleetPolicy>) {
-        self.fleet = Some(fleet);
+    pub fn set_fleet_policy(&mut self, policy: Box<dyn FleetPolicy>) {
+        self.fleet_policy = Some(policy);
     }
 
     pub fn reject_scan(&self, host: &mut dyn Host, id: ScanId) {
-        host.reject(id, self.shedding.pause);
+        host.reject(id, self.shedding.retry_after);
     }
 
-    pub fn relay_finished(&mut self, host: &mut dyn Host, relay: Ticket, how: RelayOutcome, took: Span) {
-        let then = self.landings.try_remove(relay.0 as usize).into_iter();
-        then.for_each(|then| then(self, host, (how, took)));
+    pub fn relay_finished(
+        &mut self,
+        host: &mut dyn Host,
+        relay: Ticket,
+        outcome: RelayOutcome,
+        elapsed: Span,
+    ) {
+        let callback = self.relay_callbacks.try_remove(relay.0 as usize).into_iter();
+        callback.for_each(|callback| callback(self, host, (outcome, elapsed)));
     }
 
     pub fn timer_fired(&mut self, host: &mut dyn Host, ticket: Ticket) {
-        self.wakes.try_remove(ticket.0 as usize).into_iter().for_each(|then| then(self, host, ()));
+        self.timer_callbacks
+            .try_remove(ticket.0 as usize)
+            .into_iter()
+            .for_each(|callback| callback(self, host, ()));
     }
 
     /// A check's result: a searcher that passed is taken for one that has just started, as a dead one has.
-    pub fn probe_finished(&mut self, host: &mut dyn Host, searcher: Searcher, there: bool) {
+    pub fn probe_finished(&mut self, host: &mut dyn Host, searcher: Searcher, alive: bool) {
         let now = host.now();
-        let Some(seat) = self.roster.seats.get_mut(&searcher) else { return };
-        seat.asked = seat.asked.map(|(at, told)| (at, told || there));
-        if there && seat.down.take().is_some() {
-            self.roster.renew(now, searcher, now);
+        let Some(state) = self.replicas.states.get_mut(&searcher) else { return };
+        state.last_probe = state.last_probe.map(|(at, replied)| (at, replied || alive));
+        if alive && state.next_probe.take().is_some() {
+            self.replicas.begin_slow_start(now, searcher, now);
         }
     }
 
     pub fn client_disconnected(&mut self, host: &mut dyn Host, id: ScanId) {
-        self.scans.remove(&id).iter().for_each(|scan| self.call_off_all(host, scan));
+        self.scans.remove(&id).iter().for_each(|scan| self.cancel_all(host, scan));
     }
 
-    fn later(&mut self, host: &mut dyn Host, wait: Span, then: impl Fn(&mut Self, &mut dyn Host) + 'static) {
-        let ticket = self.wakes.insert(Box::new(move |mixer, host, ()| then(mixer, host)));
+    fn schedule(
+        &mut self,
+        host: &mut dyn Host,
+        wait: Span,
+        callback: impl Fn(&mut Self, &mut dyn Host) + 'static,
+    ) {
+        let ticket = self.timer_callbacks.insert(Box::new(move |mixer, host, ()| callback(mixer, host)));
         host.set_timer(Ticket(ticket as u32), host.now() + wait);
     }
 
     /// All parts go out at once, heaviest first. Where a searcher is at its limit, light parts of a scan that
     /// may do without are skipped: against crowding by many. Hurts when the limit is wrong. While searchers
     /// die, one part goes ahead until it landed or is late: a scan that kills kills one. Hurts by its time.
-    fn send_out(&mut self, host: &mut dyn Host, id: ScanId) {
+    fn send_parts(&mut self, host: &mut dyn Host, id: ScanId) {
         let now = host.now();
         let Some(scan) = self.scans.get_mut(&id) else { return };
-        let unsent = |at: &usize| scan.parts[*at].tried.is_empty() && !scan.parts[*at].lost;
-        let mut order: Vec<usize> = (scan.first..scan.parts.len()).filter(unsent).collect();
-        order.sort_by(|a, b| scan.parts[*b].taken.weight.total_cmp(&scan.parts[*a].taken.weight));
-        let sort = (scan.traffic_type, self.types[scan.traffic_type].target_latency);
+        let unsent = |index: &usize| scan.parts[*index].tried.is_empty() && !scan.parts[*index].failed;
+        let mut order: Vec<usize> = (scan.step_start..scan.parts.len()).filter(unsent).collect();
+        order.sort_by(|a, b| scan.parts[*b].request.weight.total_cmp(&scan.parts[*a].request.weight));
+        let class = (scan.traffic_type, self.types[scan.traffic_type].target_latency);
         // Three quarters of the way to the floor: a quarter is for parts lost on the way.
-        let mut spare = (1.0 - self.types[scan.traffic_type].min_coverage) * 0.75;
-        let (worth, luck, left) = (scan.worth * order.len() as f64, scan.luck, scan.ends.since(now));
-        if scan.held {
+        let mut skippable = (1.0 - self.types[scan.traffic_type].min_coverage) * 0.75;
+        let (priority, rank, time_left) =
+            (scan.priority * order.len() as f64, scan.rank, scan.deadline.since(now));
+        if scan.awaits_canary {
             order.truncate(1);
-            let wait = Span::from_micros((2.0 * self.roster.typical) as u64);
-            self.later(host, wait, move |mixer, host| mixer.send_rest(host, id));
+            let wait = Span::from_micros((2.0 * self.replicas.mean_latency) as u64);
+            self.schedule(host, wait, move |mixer, host| mixer.send_remaining(host, id));
         }
-        for at in order {
-            let Some(part) = self.scans.get_mut(&id).map(|scan| &mut scan.parts[at]) else { return };
-            let skip = part.taken.weight <= spare
-                && !self.roster.room(now, left, part.taken.shard, worth * part.taken.weight, luck, 1);
-            spare -= if skip { part.taken.weight } else { 0.0 };
-            match self.roster.place(now, part.taken.shard, sort, luck, &part.tried).filter(|_| !skip) {
-                Some(to) => self.relay(host, id, at, to),
-                None => part.lost = true,
+        for index in order {
+            let Some(part) = self.scans.get_mut(&id).map(|scan| &mut scan.parts[index]) else { return };
+            let skip = part.request.weight <= skippable
+                && !self.replicas.has_capacity(
+                    now,
+                    time_left,
+                    part.request.shard,
+                    priority * part.request.weight,
+                    rank,
+                    1,
+                );
+            skippable -= if skip { part.request.weight } else { 0.0 };
+            match self.replicas.choose(now, part.request.shard, class, rank, &part.tried).filter(|_| !skip) {
+                Some(to) => self.relay(host, id, index, to),
+                None => part.failed = true,
             }
         }
-        self.settle(host, id);
+        self.finish_if_decided(host, id);
     }
 
-    fn send_rest(&mut self, host: &mut dyn Host, id: ScanId) {
-        if self.scans.get_mut(&id).is_some_and(|scan| take(&mut scan.held)) {
-            self.send_out(host, id);
+    fn send_remaining(&mut self, host: &mut dyn Host, id: ScanId) {
+        if self.scans.get_mut(&id).is_some_and(|scan| take(&mut scan.awaits_canary)) {
+            self.send_parts(host, id);
         }
     }
 
-    fn relay(&mut self, host: &mut dyn Host, id: ScanId, at: usize, to: Searcher) {
+    fn relay(&mut self, host: &mut dyn Host, id: ScanId, index: usize, to: Searcher) {
         let now = host.now();
         let Some(scan) = self.scans.get_mut(&id) else { return };
-        let (part, sort) =
-            (&mut scan.parts[at], (scan.traffic_type, self.types[scan.traffic_type].target_latency));
+        let (part, class) =
+            (&mut scan.parts[index], (scan.traffic_type, self.types[scan.traffic_type].target_latency));
         let ran_before = part.may_have_run;
-        let leg = self.roster.note_sent(now, to, sort);
-        let cell = part.taken.shard % self.roster.cells;
-        self.roster.flows.entry(cell).or_default().note(now);
-        if leg.stale {
+        let attempt = self.replicas.note_sent(now, to, class);
+        let cell = part.request.shard % self.replicas.cells;
+        self.replicas.send_rates.entry(cell).or_default().note(now);
+        if attempt.retired {
             host.retire_connections(to);
         }
-        let relay = Ticket(self.landings.insert(Box::new(move |mixer, host, (how, took)| {
-            let died = mixer.roster.note_landed(host.now(), &leg, how, took.as_f64());
-            mixer.reached_or_not(host, &leg, how);
-            if let Some(fleet) = &mut mixer.fleet {
-                let shortest = Span::from_micros(mixer.roster.shortest as u64);
-                fleet.note_result(
+        let relay = Ticket(self.relay_callbacks.insert(Box::new(move |mixer, host, (outcome, elapsed)| {
+            let died = mixer.replicas.note_finished(host.now(), &attempt, outcome, elapsed.as_f64());
+            mixer.update_reachability(host, &attempt, outcome);
+            if let Some(policy) = &mut mixer.fleet_policy {
+                let min_latency = Span::from_micros(mixer.replicas.min_latency as u64);
+                policy.note_result(
                     host.now(),
-                    &PartResult {
-                        cell,
-                        outcome: how,
-                        elapsed: took,
-                        target_latency: sort.1,
-                        min_latency: shortest,
-                    },
+                    &PartResult { cell, outcome, elapsed, target_latency: class.1, min_latency },
                 );
             }
-            let Some(scan) = mixer.scans.get_mut(&id).filter(|scan| at >= scan.first) else { return };
-            scan.killed.extend(Some(to).filter(|to| died && !scan.killed.contains(to)));
-            let part = &mut scan.parts[at];
-            (part.out, part.honoured) = (None, how == RelayOutcome::Succeeded);
-            if matches!(how, RelayOutcome::Rejected | RelayOutcome::Unreachable | RelayOutcome::NotSent) {
+            let Some(scan) = mixer.scans.get_mut(&id).filter(|scan| index >= scan.step_start) else { return };
+            scan.suspects.extend(Some(to).filter(|to| died && !scan.suspects.contains(to)));
+            let part = &mut scan.parts[index];
+            (part.in_flight, part.succeeded) = (None, outcome == RelayOutcome::Succeeded);
+            if matches!(outcome, RelayOutcome::Rejected | RelayOutcome::Unreachable | RelayOutcome::NotSent) {
                 part.may_have_run = ran_before;
             }
-            part.lost = !part.honoured;
-            if died && scan.held {
-                return mixer.close(host, id);
+            part.failed = !part.succeeded;
+            if died && scan.awaits_canary {
+                return mixer.finish(host, id);
             }
-            if part.lost {
-                mixer.again(host, id, at, how == RelayOutcome::Rejected);
+            if part.failed {
+                mixer.retry_part(host, id, index, outcome == RelayOutcome::Rejected);
             }
-            mixer.send_rest(host, id);
-            mixer.settle(host, id);
+            mixer.send_remaining(host, id);
+            mixer.finish_if_decided(host, id);
         })) as u32);
         part.tried.push(to);
-        (part.out, part.lost) = (Some((relay, now)), false);
+        (part.in_flight, part.failed) = (Some((relay, now)), false);
         part.may_have_run = ran_before.or(Some(now));
-        host.relay(relay, id, at, to, scan.ends.since(now));
+        host.relay(relay, id, index, to, scan.deadline.since(now));
         // A repeat may wait for a connection, or behind others, until its label is forgotten.
         if let (Idempotency::ByKey(window), Some(first)) =
             (self.types[scan.traffic_type].idempotency, ran_before)
         {
-            host.set_send_deadline(relay, (first + window).saturating_sub(self.lead));
+            host.set_send_deadline(relay, (first + window).saturating_sub(self.timer_margin));
         }
-        if self.roster.seats.get(&to).is_some_and(|seat| seat.down.is_some()) {
-            self.check_later(host, to, false);
+        if self.replicas.states.get(&to).is_some_and(|state| state.next_probe.is_some()) {
+            self.schedule_probe(host, to, false);
         }
     }
 
     /// Sends a part that failed elsewhere. One that was turned away, without which its scan fails, looks for
     /// room again after an eighth of the time left: given up for one full queue, a scan throws away all that
     /// is out for it. Hurts a client that would have found room sooner by asking again.
-    fn again(&mut self, host: &mut dyn Host, id: ScanId, at: usize, may_wait: bool) {
-        if let Some(to) = self.another(host.now(), id, at) {
-            let cell = self.scans[&id].parts[at].taken.shard % self.roster.cells;
-            self.budget.note_retry(host.now());
-            self.fleet.iter_mut().for_each(|fleet| fleet.note_retry(host.now(), cell));
-            return self.relay(host, id, at, to);
+    fn retry_part(&mut self, host: &mut dyn Host, id: ScanId, index: usize, may_wait: bool) {
+        if let Some(to) = self.choose_retry(host.now(), id, index) {
+            let cell = self.scans[&id].parts[index].request.shard % self.replicas.cells;
+            self.retry_budget.note_retry(host.now());
+            self.fleet_policy.iter_mut().for_each(|policy| policy.note_retry(host.now(), cell));
+            return self.relay(host, id, index, to);
         }
-        let may = |scan: &&mut Scan| may_wait && scan.parts[at].tried.len() < self.budget.cap;
-        let Some(scan) = self.scans.get_mut(&id).filter(may) else { return };
-        let (part, left) = (&scan.parts[at], scan.ends.since(host.now()));
-        let needed =
-            (2.0 * SLACK..self.types[scan.traffic_type].min_coverage).contains(&(scan.hope() + SLACK));
-        let untried = self.roster.holders(part.taken.shard).any(|s| !part.tried.contains(&s.told.searcher));
-        if needed && untried && left.as_f64() > 2.0 * self.roster.shortest {
-            scan.parts[at].lost = false;
-            self.later(host, left * 0.125, move |mixer, host| {
-                let Some(scan) = mixer.scans.get_mut(&id).filter(|scan| at >= scan.first) else { return };
-                scan.parts[at].lost = true;
-                mixer.again(host, id, at, true);
-                mixer.settle(host, id);
+        let can_wait =
+            |scan: &&mut Scan| may_wait && scan.parts[index].tried.len() < self.retry_budget.max_attempts;
+        let Some(scan) = self.scans.get_mut(&id).filter(can_wait) else { return };
+        let (part, time_left) = (&scan.parts[index], scan.deadline.since(host.now()));
+        let needed = (2.0 * WEIGHT_TOLERANCE..self.types[scan.traffic_type].min_coverage)
+            .contains(&(scan.reachable_coverage() + WEIGHT_TOLERANCE));
+        let untried =
+            self.replicas.replicas_of(part.request.shard).any(|s| !part.tried.contains(&s.entry.searcher));
+        if needed && untried && time_left.as_f64() > 2.0 * self.replicas.min_latency {
+            scan.parts[index].failed = false;
+            self.schedule(host, time_left * 0.125, move |mixer, host| {
+                let Some(scan) = mixer.scans.get_mut(&id).filter(|scan| index >= scan.step_start) else {
+                    return;
+                };
+                scan.parts[index].failed = true;
+                mixer.retry_part(host, id, index, true);
+                mixer.finish_if_decided(host, id);
             });
         }
     }
@@ -359,21 +398,32 @@
     /// A part that failed goes at once to a replica it has not been to, as rules 2 and 6 allow: against
     /// whatever loses single parts. Hurts where all fail together; so it needs room as a scan of no credit
     /// would. A scan under whose parts two died may be what kills them, and is carried no further.
-    fn another(&mut self, now: Moment, id: ScanId, at: usize) -> Option<Searcher> {
+    fn choose_retry(&mut self, now: Moment, id: ScanId, index: usize) -> Option<Searcher> {
         let scan = self.scans.get(&id)?;
-        let (part, kind, left) = (&scan.parts[at], &self.types[scan.traffic_type], scan.ends.since(now));
-        let harmless = match (kind.idempotency, part.may_have_run) {
+        let (part, kind, time_left) =
+            (&scan.parts[index], &self.types[scan.traffic_type], scan.deadline.since(now));
+        let safe = match (kind.idempotency, part.may_have_run) {
             (Idempotency::Idempotent, _) | (_, None) => true,
-            (Idempotency::ByKey(window), Some(first)) => now.since(first) + self.lead < window,
+            (Idempotency::ByKey(window), Some(first)) => now.since(first) + self.timer_margin < window,
             (Idempotency::NonIdempotent, Some(_)) => false,
         };
-        let allowed = left > Span::ZERO && self.deaths(now, scan) < 2 && part.tried.len() < self.budget.cap;
-        let room = harmless && allowed && self.roster.room(now, left, part.taken.shard, 0.0, scan.luck, 1);
-        let (sort, cell) = ((scan.traffic_type, kind.target_latency), part.taken.shard % self.roster.cells);
-        let may = room && self.fleet.as_ref().is_none_or(|fleet| fleet.may_retry(now, cell));
-        let place =
-            |roster: &mut ReplicaTable| roster.place(now, part.taken.shard, sort, scan.luck, &part.tried);
-        may.then(|| place(&mut self.roster)).flatten().filter(|_| self.budget.has_room(now))
+        let allowed = time_left > Span::ZERO
+            && self.suspected_deaths(now, scan) < 2
+            && part.tried.len() < self.retry_budget.max_attempts;
+        let has_capacity = safe
+            && allowed
+            && self.replicas.has_capacity(now, time_left, part.request.shard, 0.0, scan.rank, 1);
+        let (class, cell) =
+            ((scan.traffic_type, kind.target_latency), part.request.shard % self.replicas.cells);
+        let permitted =
+            has_capacity && self.fleet_policy.as_ref().is_none_or(|policy| policy.may_retry(now, cell));
+        let choose = |replicas: &mut ReplicaTable| {
+            replicas.choose(now, part.request.shard, class, scan.rank, &part.tried)
+        };
+        permitted
+            .then(|| choose(&mut self.replicas))
+            .flatten()
+            .filter(|_| self.retry_budget.allows_retry(now))
     }
 
     /// A late part is given up for another replica, and its connection trusted no more: against parts and
@@ -383,124 +433,142 @@
     /// scan's last few has told nothing for a quarter of that time is asked whether it is there. Who does not
     /// say so in as long again is down, and its parts go elsewhere: against machines cut off, whose
     /// connections stay open. Hurts who stands still for as long.
-    fn hurry(&mut self, host: &mut dyn Host, id: ScanId, late: Span) {
-        let (now, step) = (host.now(), late * if self.probes_bypass_queue { 0.25 } else { 1.0 });
-        let every = self.asks_in(false);
+    fn check_late_parts(&mut self, host: &mut dyn Host, id: ScanId, late_after: Span) {
+        let (now, check_interval) =
+            (host.now(), late_after * if self.probes_bypass_queue { 0.25 } else { 1.0 });
+        let probe_interval = self.probe_delay(false);
         let Some(scan) = self.scans.get(&id) else { return };
-        let out = |(at, part): (usize, &Part)| Some((at, part.out?, *part.tried.last()?));
-        let (out, ends): (Vec<_>, _) = (scan.parts.iter().enumerate().filter_map(out).collect(), scan.ends);
+        let outstanding = |(index, part): (usize, &Part)| Some((index, part.in_flight?, *part.tried.last()?));
+        let (outstanding, deadline): (Vec<_>, _) =
+            (scan.parts.iter().enumerate().filter_map(outstanding).collect(), scan.deadline);
         // More are out where all stand.
-        let few = self.probes_bypass_queue && scan.killed.is_empty() && out.len() * 6 <= scan.parts.len();
-        for (at, (relay, left), to) in out {
-            let Some(seat) = self.roster.seats.get_mut(&to) else { continue };
-            let waits = now.since(left) >= step && seat.heard <= left && seat.told.ready;
-            let mute = seat.asked.is_some_and(|(at, told)| !told && now.since(at) >= step) && waits;
-            if few && waits && seat.asked.is_none_or(|(at, _)| now.since(at) >= every) {
-                seat.asked = Some((now, false));
+        let few_outstanding =
+            self.probes_bypass_queue && scan.suspects.is_empty() && outstanding.len() * 6 <= scan.parts.len();
+        for (index, (relay, sent_at), to) in outstanding {
+            let Some(state) = self.replicas.states.get_mut(&to) else { continue };
+            let unanswered =
+                now.since(sent_at) >= check_interval && state.last_heard <= sent_at && state.entry.ready;
+            let unresponsive =
+                state.last_probe.is_some_and(|(at, replied)| !replied && now.since(at) >= check_interval)
+                    && unanswered;
+            if few_outstanding
+                && unanswered
+                && state.last_probe.is_none_or(|(at, _)| now.since(at) >= probe_interval)
+            {
+                state.last_probe = Some((now, false));
                 host.probe(to);
-            } else if mute && seat.down.is_none() {
-                self.check_later(host, to, true);
+            } else if unresponsive && state.next_probe.is_none() {
+                self.schedule_probe(host, to, true);
             }
-            if (mute || now.since(left).min(ends.since(now)) >= late) && self.another(now, id, at).is_some() {
+            if (unresponsive || now.since(sent_at).min(deadline.since(now)) >= late_after)
+                && self.choose_retry(now, id, index).is_some()
+            {
                 host.retire_connections(to);
                 host.cancel(relay);
             }
         }
-        self.later(host, step, move |mixer, host| mixer.hurry(host, id, late));
+        self.schedule(host, check_interval, move |mixer, host| mixer.check_late_parts(host, id, late_after));
     }
 
     /// Ends the scan where all parts have an outcome, enough are in, or what may be answered is out of reach.
-    fn settle(&mut self, host: &mut dyn Host, id: ScanId) {
+    fn finish_if_decided(&mut self, host: &mut dyn Host, id: ScanId) {
         let Some(scan) = self.scans.get(&id) else { return };
-        let (step, kind) = (&scan.parts[scan.first..], &self.types[scan.traffic_type]);
-        let (honoured, whole_from) = scan.reached(kind);
-        let all = step.iter().all(|p| p.honoured || p.lost);
-        let waits = step.is_empty() && scan.first_whole.is_some();
-        if !waits && (all || honoured + SLACK >= whole_from || scan.hope() + SLACK < kind.min_coverage) {
-            self.close(host, id);
+        let (step_parts, kind) = (&scan.parts[scan.step_start..], &self.types[scan.traffic_type]);
+        let (covered, complete_from) = scan.coverage(kind);
+        let all_decided = step_parts.iter().all(|p| p.succeeded || p.failed);
+        let awaits_fetch = step_parts.is_empty() && scan.first_step_complete.is_some();
+        if !awaits_fetch
+            && (all_decided
+                || covered + WEIGHT_TOLERANCE >= complete_from
+                || scan.reachable_coverage() + WEIGHT_TOLERANCE < kind.min_coverage)
+        {
+            self.finish(host, id);
         }
     }
 
     /// The final answer, or the first of two, from what is in: an answer where the floor is reached; a bounce
     /// where trying again is harmless and no searchers seem to die of it; else a write-off. What is still out
     /// is called off first, so that nothing is sent after it.
-    fn close(&mut self, host: &mut dyn Host, id: ScanId) {
+    fn finish(&mut self, host: &mut dyn Host, id: ScanId) {
         let Some(mut scan) = self.scans.remove(&id) else { return };
-        self.call_off_all(host, &scan);
+        self.cancel_all(host, &scan);
         let kind = &self.types[scan.traffic_type];
-        let (honoured, whole_from) = scan.reached(kind);
-        let whole = honoured + SLACK >= whole_from && scan.first_whole != Some(false);
-        let floor = if kind.min_coverage < kind.complete_from || scan.first_whole.is_none() {
+        let (covered, complete_from) = scan.coverage(kind);
+        let complete = covered + WEIGHT_TOLERANCE >= complete_from && scan.first_step_complete != Some(false);
+        let min_coverage = if kind.min_coverage < kind.complete_from || scan.first_step_complete.is_none() {
             kind.min_coverage
         } else {
             1.0
         };
         let never_ran = scan.parts.iter().all(|p| p.may_have_run.is_none());
-        let kills = self.deaths(host.now(), &scan) > usize::from(!scan.held);
-        let last = !kind.has_fetch_step || scan.first_whole.is_some();
-        if honoured > 0.0 && (whole || honoured + SLACK >= floor) {
-            host.answer(id, whole, last);
+        let seems_harmful = self.suspected_deaths(host.now(), &scan) > usize::from(!scan.awaits_canary);
+        let last = !kind.has_fetch_step || scan.first_step_complete.is_some();
+        if covered > 0.0 && (complete || covered + WEIGHT_TOLERANCE >= min_coverage) {
+            host.answer(id, complete, last);
             if !last {
-                (scan.first, scan.first_whole) = (scan.parts.len(), Some(whole));
+                (scan.step_start, scan.first_step_complete) = (scan.parts.len(), Some(complete));
                 self.scans.insert(id, scan);
             }
-        } else if kind.idempotency == Idempotency::Idempotent && !kills || never_ran {
-            host.reject(id, self.shedding.pause);
+        } else if kind.idempotency == Idempotency::Idempotent && !seems_harmful || never_ran {
+            host.reject(id, self.shedding.retry_after);
         } else {
             host.fail(id);
         }
     }
 
-    fn deaths(&self, now: Moment, scan: &Scan) -> usize {
-        let killed = scan.killed.iter().filter_map(|searcher| self.roster.seats.get(searcher));
-        killed.filter(|seat| seat.seems_dead(now)).count()
+    fn suspected_deaths(&self, now: Moment, scan: &Scan) -> usize {
+        let suspects = scan.suspects.iter().filter_map(|searcher| self.replicas.states.get(searcher));
+        suspects.filter(|state| state.seems_dead(now)).count()
     }
 
-    fn call_off_all(&self, host: &mut dyn Host, scan: &Scan) {
-        scan.parts.iter().filter_map(|part| part.out).for_each(|(relay, _)| host.cancel(relay));
+    fn cancel_all(&self, host: &mut dyn Host, scan: &Scan) {
+        scan.parts.iter().filter_map(|part| part.in_flight).for_each(|(relay, _)| host.cancel(relay));
     }
 
     /// The design's down mark: a connection failure sets it, a check that passes or any word from it lifts
     /// it. Parts that were out when a connection broke do not: they may have run, and count as failures.
-    fn reached_or_not(&mut self, host: &mut dyn Host, leg: &Attempt, how: RelayOutcome) {
-        let Some(seat) = self.roster.seats.get_mut(&leg.to) else { return };
-        match how {
-            RelayOutcome::Unreachable if seat.down.is_none() => self.check_later(host, leg.to, true),
+    fn update_reachability(&mut self, host: &mut dyn Host, attempt: &Attempt, outcome: RelayOutcome) {
+        let Some(state) = self.replicas.states.get_mut(&attempt.to) else { return };
+        match outcome {
+            RelayOutcome::Unreachable if state.next_probe.is_none() => {
+                self.schedule_probe(host, attempt.to, true)
+            }
             RelayOutcome::Succeeded | RelayOutcome::Failed | RelayOutcome::Rejected => {
                 // What was out before the mark came back over a connection that lived on: there was no start, and
                 // the one that failed was late or lost. A slow start would hurt all that need this replica.
-                if leg.left < seat.down_since {
-                    seat.down = None;
+                if attempt.sent_at < state.down_since {
+                    state.next_probe = None;
                 }
-                self.probe_finished(host, leg.to, true);
+                self.probe_finished(host, attempt.to, true);
             }
             _ => {}
         }
     }
 
     /// How long until a searcher is asked: first after its loss, then again. All of a fleet add up there.
-    fn asks_in(&mut self, first: bool) -> Span {
-        self.fleet.as_mut().and_then(|fleet| fleet.probe_delay(first)).unwrap_or(CHECK_EVERY)
+    fn probe_delay(&mut self, first: bool) -> Span {
+        self.fleet_policy.as_mut().and_then(|policy| policy.probe_delay(first)).unwrap_or(PROBE_INTERVAL)
     }
 
-    fn check_later(&mut self, host: &mut dyn Host, searcher: Searcher, first: bool) {
-        let wait = self.asks_in(first);
+    fn schedule_probe(&mut self, host: &mut dyn Host, searcher: Searcher, first: bool) {
+        let wait = self.probe_delay(first);
         let due = host.now() + wait;
-        if let Some(seat) = self.roster.seats.get_mut(&searcher) {
-            if seat.down.is_none() {
-                seat.down_since = host.now();
+        if let Some(state) = self.replicas.states.get_mut(&searcher) {
+            if state.next_probe.is_none() {
+                state.down_since = host.now();
             }
-            seat.down = Some(due);
+            state.next_probe = Some(due);
         }
-        self.later(host, wait, move |mixer, host| {
-            let down = mixer.roster.seats.get(&searcher).is_some_and(|seat| seat.down == Some(due));
-            if mixer.roster.may_check && down {
+        self.schedule(host, wait, move |mixer, host| {
+            let down =
+                mixer.replicas.states.get(&searcher).is_some_and(|state| state.next_probe == Some(due));
+            if mixer.replicas.may_probe && down {
                 host.probe(searcher);
-                mixer.check_later(host, searcher, false);
+                mixer.schedule_probe(host, searcher, false);
             }
         });
     }
 }
 
 /// Sums of weights may fall short by half of the rules' figure.
-const SLACK: f64 = 0.00005;
+const WEIGHT_TOLERANCE: f64 = 0.00005;
--- a/src/decaying_count.rs
+++ b/src/decaying_count.rs
@@ -7,17 +7,17 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingCount {
     count: f64,
-    at: Moment,
+    updated_at: Moment,
 }
 
 impl DecayingCount {
     /// The count now, where an event counts 1/e after the time constant `over`.
-    pub fn at(&self, now: Moment, over: Span) -> f64 {
-        self.count * (-now.since(self.at).as_f64() / over.as_f64()).exp()
+    pub fn at(&self, now: Moment, time_constant: Span) -> f64 {
+        self.count * (-now.since(self.updated_at).as_f64() / time_constant.as_f64()).exp()
     }
 
     /// Counts one event.
-    pub fn note(&mut self, now: Moment, over: Span) {
-        *self = Self { count: self.at(now, over) + 1.0, at: now };
+    pub fn note(&mut self, now: Moment, time_constant: Span) {
+        *self = Self { count: self.at(now, time_constant) + 1.0, updated_at: now };
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,6 @@
 //! The module does no I/O and reads no clock. A [`Host`] performs its effects and supplies the time; the
 //! decisions are in [`choice`].
 
-mod chance;
 pub mod choice;
 pub mod decaying_count;
 pub mod load_shedding;
@@ -13,6 +12,7 @@
 mod replica_set;
 pub mod replicas;
 pub mod retry_budget;
+mod rng;
 pub mod slow_start;
 
 use std::ops::{Add, Mul};
--- a/src/replica_set.rs
+++ b/src/replica_set.rs
@@ -9,11 +9,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// At least so many candidates: the least busy of a dozen is hardly busier than the least busy of all.
-const FEWEST: usize = 12;
+const MIN_CANDIDATES: usize = 12;
 /// And no more than this, however few mixers there are: a choice stays cheap.
-const MOST: usize = 64;
+const MAX_CANDIDATES: usize = 64;
 /// Each replica is a candidate of so many mixers in the mean, or hardly any would be left to nobody.
-const COVER: f64 = 4.0;
+const COVERAGE: f64 = 4.0;
 
 /// One cell's replicas.
 #[derive(Default)]
@@ -31,14 +31,14 @@
     cells: BTreeMap<u32, Replicas>,
     /// Cells whose order is to be made anew; emptied as it is.
     changed: BTreeSet<u32>,
-    fleet: f64,
+    mixers: f64,
     seed: u64,
 }
 
 impl ReplicaSets {
     /// For one of so many mixers, whose order follows from the seed.
-    pub fn new(fleet: f64, seed: u64) -> Self {
-        Self { fleet: fleet.max(1.0), seed, ..Self::default() }
+    pub fn new(mixers: f64, seed: u64) -> Self {
+        Self { mixers: mixers.max(1.0), seed, ..Self::default() }
     }
 
     pub fn insert(&mut self, cell: u32, searcher: Searcher) {
@@ -54,15 +54,15 @@
     }
 
     /// Takes up what was inserted and removed.
-    pub fn settle(&mut self) {
+    pub fn rebuild(&mut self) {
         for cell in std::mem::take(&mut self.changed) {
             let Some(replicas) = self.cells.get_mut(&cell) else { continue };
             if replicas.ready.is_empty() {
                 self.cells.remove(&cell);
                 continue;
             }
-            let covering = (COVER * replicas.ready.len() as f64 / self.fleet).ceil() as usize;
-            replicas.candidates = covering.clamp(FEWEST, MOST);
+            let covering = (COVERAGE * replicas.ready.len() as f64 / self.mixers).ceil() as usize;
+            replicas.candidates = covering.clamp(MIN_CANDIDATES, MAX_CANDIDATES);
             replicas.order = replicas.ready.iter().copied().collect();
             if replicas.order.len() > replicas.candidates {
                 let seed = self.seed;
@@ -75,15 +75,15 @@
     pub fn candidates<'a, Replica: Copy + 'a>(
         &'a self,
         cell: u32,
-        look: impl Fn(Searcher) -> Replica + 'a,
+        lookup: impl Fn(Searcher) -> Replica + 'a,
         is_up: impl Fn(Replica) -> bool + 'a,
     ) -> impl Iterator<Item = Replica> + 'a {
         let replicas = self.cells.get(&cell);
-        let most = replicas.map_or(0, |replicas| replicas.candidates);
+        let wanted = replicas.map_or(0, |replicas| replicas.candidates);
         let order = replicas.map_or(&[][..], |replicas| &replicas.order);
         let mut up = 0;
         order.iter().map_while(move |searcher| {
-            let replica = (up < most).then(|| look(*searcher))?;
+            let replica = (up < wanted).then(|| lookup(*searcher))?;
             up += usize::from(is_up(replica));
             Some(replica)
         })
@@ -92,12 +92,12 @@
     /// How many mixers may choose one replica of a cell, as good as never more: what all may send it is shared by so
     /// many.
     pub fn sharers(&self, cell: u32) -> f64 {
-        let Some(replicas) = self.cells.get(&cell) else { return self.fleet };
+        let Some(replicas) = self.cells.get(&cell) else { return self.mixers };
         let share = replicas.candidates as f64 / replicas.order.len().max(1) as f64;
         if share >= 1.0 {
-            return self.fleet;
+            return self.mixers;
         }
-        let mean = self.fleet * share;
-        (mean + 2.0 * mean.sqrt()).clamp(1.0, self.fleet)
+        let mean = self.mixers * share;
+        (mean + 2.0 * mean.sqrt()).clamp(1.0, self.mixers)
     }
 }
--- a/src/retry_budget.rs
+++ b/src/retry_budget.rs
@@ -8,48 +8,50 @@
 #[derive(Default)]
 pub struct RetryBudget {
     /// Attempts at one part, the first included.
-    pub(crate) cap: usize,
-    few: f64,
-    share: f64,
+    pub(crate) max_attempts: usize,
+    free_retries: f64,
+    ratio: f64,
     window: Span,
     /// How long a relay may wait for its connection: it counts as one that goes then, and what was taken counts as
     /// long before as it may wait.
-    held: Span,
+    send_delay: Span,
     /// When scans and parts were taken and further relays made; emptied as they leave the window.
-    taken: VecDeque<Moment>,
-    further: VecDeque<Moment>,
+    requests: VecDeque<Moment>,
+    retries: VecDeque<Moment>,
 }
 
 impl RetryBudget {
     /// Unstated: a fifth, for one searcher lost in five; a hundred, for a scan of dead links; 10 s, a pause.
-    pub fn new(cap: usize, stated: Option<(f64, f64, Span)>) -> Self {
-        let (few, share, window) = stated.unwrap_or((100.0, 0.2, Span::from_millis(10_000)));
-        Self { cap, few, share, window, ..Self::default() }
+    pub fn new(max_attempts: usize, configured: Option<(f64, f64, Span)>) -> Self {
+        let (free_retries, ratio, window) = configured.unwrap_or((100.0, 0.2, Span::from_millis(10_000)));
+        Self { max_attempts, free_retries, ratio, window, ..Self::default() }
     }
 
     /// Relays may wait so long before they go.
-    pub fn with_send_delay(self, held: Span) -> Self {
-        Self { held, ..self }
+    pub fn with_send_delay(self, send_delay: Span) -> Self {
+        Self { send_delay, ..self }
     }
 
-    pub(crate) fn note_taken(&mut self, now: Moment, count: usize) {
-        self.taken.extend(std::iter::repeat_n(now, count));
-        self.forget(now);
+    pub(crate) fn note_requests(&mut self, now: Moment, count: usize) {
+        self.requests.extend(std::iter::repeat_n(now, count));
+        self.expire(now);
     }
 
     pub(crate) fn note_retry(&mut self, now: Moment) {
-        self.further.push_back(now);
+        self.retries.push_back(now);
     }
 
     /// What was taken counts strictly inside the window, what was relayed at its very edge as well.
-    fn forget(&mut self, now: Moment) {
-        let (taken, further) = (&mut self.taken, &mut self.further);
-        taken.drain(..taken.partition_point(|at| now.since(*at) >= self.window.saturating_sub(self.held)));
-        further.drain(..further.partition_point(|at| now.since(*at) > self.window + self.held));
+    fn expire(&mut self, now: Moment) {
+        let (requests, retries) = (&mut self.requests, &mut self.retries);
+        requests.drain(
+            ..requests.partition_point(|at| now.since(*at) >= self.window.saturating_sub(self.send_delay)),
+        );
+        retries.drain(..retries.partition_point(|at| now.since(*at) > self.window + self.send_delay));
     }
 
-    pub(crate) fn has_room(&mut self, now: Moment) -> bool {
-        self.forget(now);
-        (self.further.len() + 1) as f64 <= self.few + self.share * self.taken.len() as f64
+    pub(crate) fn allows_retry(&mut self, now: Moment) -> bool {
+        self.expire(now);
+        (self.retries.len() + 1) as f64 <= self.free_retries + self.ratio * self.requests.len() as f64
     }
 }
--- a/src/chance.rs
+++ b/src/rng.rs
@@ -2,18 +2,18 @@
 
 /// A permuted congruential generator (PCG-XSH-RR 64/32; M. O'Neill, 2014), for ties and turns.
 #[derive(Clone, Debug, Default)]
-pub struct Chance(u64);
+pub struct Rng(u64);
 
-impl Chance {
+impl Rng {
     pub fn new(seed: u64) -> Self {
         Self(seed)
     }
 
     /// One of the numbers under `n`, each as likely; nothing where `n` is nothing.
-    pub fn below(&mut self, n: usize) -> usize {
+    pub fn below(&mut self, bound: usize) -> usize {
         let old = self.0;
         self.0 = old.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
         let mixed = ((((old >> 18) ^ old) >> 27) as u32).rotate_right((old >> 59) as u32);
-        ((u64::from(mixed) * n as u64) >> 32) as usize
+        ((u64::from(mixed) * bound as u64) >> 32) as usize
     }
 }
