--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,21 +1,29 @@
-//! Every decision of a fernglade mixer: where each part of a scan goes, when the scan is answered, and what
-//! is done when searchers fail. A front (`crates/simhost` for the simulator, `crates/mixer` on sockets) calls
-//! the public functions of [`Mixer`] with what it hears; it acts by `Host`. The interface is `src/lib.rs`.
+//! Makes every decision of a fernglade mixer: which searcher each part of a scan is sent to, when the scan is
+//! answered, and how searcher failures are handled.
 //!
-//! The ordinary path is the design's (docs/design.md): all parts go out at once, each to the replica with
-//! the least smoothed latency x (own parts out + 1); the scan is answered when every part has an outcome,
-//! or at its one timer. Each step leaves a closure, and the step's result is handed to it.
+//! A host (`crates/simhost` for the simulator, `crates/mixer` on sockets) reports events by calling the
+//! public methods of [`Mixer`]; the mixer acts through the [`Host`] trait. The shared types are in
+//! `src/lib.rs`.
 //!
-//! Beside the design stand six mechanisms:
-//! 1. failures, silence and parts in vain read as latency (`ReplicaTable::note_landed`, `ReplicaTable::standing`)
-//! 2. a part that failed or is late goes to another replica, in a budget, unless its scan brings searchers
-//!    down; while they die, one part goes ahead (`Mixer::again`, `Mixer::hurry`, `Mixer::send_out`)
-//! 3. a fresh searcher's cap, which grows with its answers, and a count of what it is sent (`slow_start.rs`,
-//!    `ReplicaTable::closed`)
-//! 4. a limit on what is in flight at each searcher; what finds no room is turned away, least credit first,
-//!    by the fleet's one order where it is wanted (`ReplicaTable::room`, `LoadShedding`, `Mixer::send_out`, `FleetPolicy`)
-//! 5. connections that lay idle too long are shut before they are used again (`ReplicaTable::note_sent`)
-//! 6. an early end for a scan that can no longer be answered (`Mixer::settle`)
+//! The basic algorithm is that of docs/design.md: all parts are sent at once, each to the replica with the
+//! least smoothed latency x (own parts in flight + 1). The scan is answered when every part has an outcome,
+//! or when its single timer fires. Asynchronous steps are continued by callbacks: each relay and each timer
+//! stores a closure, which is called with the result.
+//!
+//! Six mechanisms are added to the basic algorithm:
+//! 1. Failures, timeouts and parts that were sent for nothing count as latency
+//!    (`ReplicaTable::note_finished`, `ReplicaTable::effective_latency`).
+//! 2. A part that failed or is late is sent to another replica within a retry budget, unless its scan seems
+//!    to crash searchers. While searchers are crashing, one part of each scan is sent first as a canary
+//!    (`Mixer::retry_part`, `Mixer::check_late_parts`, `Mixer::send_parts`).
+//! 3. Slow start: a searcher that has just started has a limit on parts in flight that grows with its
+//!    answers, and a count of the parts it is sent (`slow_start.rs`, `ReplicaTable::held_back`).
+//! 4. Each searcher has a concurrency limit. What finds no capacity is rejected, least valuable first, in an
+//!    order that the whole fleet shares if the operator enables it (`ReplicaTable::has_capacity`,
+//!    `LoadShedding`, `Mixer::send_parts`, `FleetPolicy`).
+//! 5. Connections that have been idle for too long are closed before they are used again
+//!    (`ReplicaTable::note_sent`).
+//! 6. A scan that can no longer be answered ends early (`Mixer::finish_if_decided`).
 
 use crate::load_shedding::LoadShedding;
 use crate::query::{Part, Scan};
@@ -27,12 +35,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem::take;
 
-/// What to do with a result, left behind by the step that asked for it.
+/// Continues an asynchronous step with its result.
 type Callback<R> = Box<dyn FnOnce(&mut Mixer, &mut dyn Host, R)>;
 
-/// How long a new process waits for discovery's first word: a third of what it may take to be ready.
+/// How long a new process waits for its first update from discovery: a third of the time it may take to
+/// become ready.
 const DISCOVERY_WAIT: Span = Span::from_millis(3_000);
 
+/// The state of a mixer's decisions: open scans, replicas and the limits that apply to them.
 #[derive(Default)]
 pub struct Mixer {
     types: Vec<TrafficType>,
@@ -40,23 +50,24 @@
     retry_budget: RetryBudget,
     shedding: LoadShedding,
     timer_margin: Span,
-    /// Open scans; each leaves with its final answer.
+    /// Open scans, each removed by its final answer.
     scans: BTreeMap<ScanId, Scan>,
-    /// What to do when a relay lands or a time comes; each is taken out by its one result. A wake whose
-    /// scan is over stays until its time, and then finds nobody.
+    /// Callbacks for relays in flight and for timers, each removed when it is called. The timer of a finished
+    /// scan stays until it fires and then does nothing.
     relay_callbacks: Slab<Callback<(RelayOutcome, Span)>>,
     timer_callbacks: Slab<Callback<()>>,
-    /// Searchers answer checks at once, whatever waits there: the operator's word.
+    /// Whether searchers answer health probes at once even when they have a queue; set by the operator.
     pub probes_bypass_queue: bool,
-    /// The drains' grace, where changes of the list are pushed to an agent on this machine.
+    /// The grace period of draining searchers, if list changes are pushed to an agent on this machine.
     pub pushed_drain_grace: Option<Span>,
-    /// Discovery has been heard since this mixer's start.
+    /// Whether discovery has sent a list since this mixer started.
     has_discovery: bool,
-    /// What is done as one of a fleet, where the operator wants it: asked before the mixer's own limits.
+    /// Decisions taken as one of a fleet, if the operator enables them; asked before the mixer's own limits.
     fleet_policy: Option<Box<dyn FleetPolicy>>,
 }
 
 impl Mixer {
+    /// Creates a mixer that knows of no searchers yet. `tick` is the resolution of the host's timers.
     pub fn new(
         types: Vec<TrafficType>,
         replicas: ReplicaTable,
@@ -65,7 +76,8 @@
         tick: Span,
     ) -> Self {
         let least = types.iter().map(|t| t.target_latency).min().unwrap_or(Span::ZERO);
-        // Three ticks: a late timer, the answer, the network. The design's start: a tenth of the quoted time.
+        // Three ticks cover a late timer, sending the answer, and the network. The design initialises the
+        // latencies to a tenth of the target latency.
         let mut mixer =
             Self { types, replicas, retry_budget, shedding, timer_margin: tick * 3.0, ..Self::default() };
         (mixer.replicas.mean_latency, mixer.replicas.min_latency) =
@@ -73,19 +85,24 @@
         mixer
     }
 
-    /// Whether scans are taken. Where changes are pushed to an agent at hand, what that has counts as told from a new
-    /// process's first moment, and the list it starts with may be old: it waits for the agent's word, and no longer
-    /// than an agent that is down can be waited for. Hurts a restart while the agent is away, by that time.
+    /// Whether scans are accepted.
+    ///
+    /// Where list changes are pushed to a local agent, the mixer is held to what the agent knows from its
+    /// first moment, while the list that it starts with may be outdated. So it waits for the agent's first
+    /// update, but no longer than `DISCOVERY_WAIT`, as the agent may be down. A restart while the agent is
+    /// away is delayed by that time.
     pub fn accepts_scans(&self, now: Moment) -> bool {
         let waited = now.since(self.replicas.first_listed.unwrap_or(now));
         self.pushed_drain_grace.is_none() || self.has_discovery || waited >= DISCOVERY_WAIT
     }
 
-    /// Keeps the list watched, which broke so often since it was last heard. Where changes are pushed to an
-    /// agent at hand, what that has counts as told: it is asked anew at once, then by quarters of the drains'
-    /// grace, so that a try in vain and the next fit in it; against all that comes between a break and the
-    /// next word. Hurts an agent that is down by a call each time. Where all ask one service each has its own
-    /// pause.
+    /// Schedules the next attempt to watch the list of searchers after `failures` failures since the last
+    /// update.
+    ///
+    /// Where changes are pushed to a local agent, the mixer is held to what the agent knows. It retries at
+    /// once the first time and then at quarters of the drain grace period, so that a failed attempt and the
+    /// next one fit into it. An agent that is down gets a call each time. Where all mixers ask one central
+    /// service, the delay is random so that they do not ask together.
     pub fn watch(&mut self, host: &mut dyn Host, failures: u32) {
         let delay = match (failures, self.pushed_drain_grace) {
             (0, _) | (1, Some(_)) => Span::ZERO,
@@ -95,17 +112,19 @@
         self.schedule(host, delay, |_, host| host.watch_discovery());
     }
 
-    /// Discovery's word on searchers; with `whole` who is not in it is gone.
+    /// Applies an update from discovery. With `full_list`, searchers that are not in it have been removed.
     pub fn update_searchers(&mut self, host: &mut dyn Host, full_list: bool, entries: &[SearcherEntry]) {
         self.apply_entries(host, full_list, entries);
         self.has_discovery = true;
     }
 
-    /// The list as it was had before this mixer's start: how old it is nobody knows.
+    /// Applies a list of unknown age that was stored before this mixer started.
     pub fn restore_searchers(&mut self, host: &mut dyn Host, entries: &[SearcherEntry]) {
         self.apply_entries(host, true, entries);
     }
 
+    /// Applies list entries, starts the slow start of searchers that have newly started, and removes departed
+    /// ones.
     fn apply_entries(&mut self, host: &mut dyn Host, full_list: bool, entries: &[SearcherEntry]) {
         let now = host.now();
         self.replicas.first_listed.get_or_insert(now);
@@ -132,6 +151,7 @@
         self.replicas.replica_sets.rebuild();
     }
 
+    /// Admits or rejects a scan; sends the parts of an admitted one and sets its timers.
     pub fn start_scan(&mut self, host: &mut dyn Host, id: ScanId, scan: ScanRequest) {
         let now = host.now();
         self.retry_budget.note_requests(now, 1 + scan.parts.len());
@@ -139,8 +159,9 @@
             return host.reject(id, self.shedding.retry_after);
         }
         let Some(kind) = self.types.get(scan.traffic_type) else { return host.fail(id) };
-        // A repeat with less left than its sort has at most has only the rest of the abandon time: its client
-        // counts from its first try, and so does what the scan is worth.
+        // A retry with less time left than the longest of its traffic type is assumed to have used up part of
+        // the client's timeout: the client counts from its first attempt, and so does the value of the
+        // answer.
         let longest = self.shedding.longest_time_left.entry(scan.traffic_type).or_default();
         *longest = scan.time_left.max(*longest);
         let elapsed = if scan.is_retry && scan.time_left < *longest {
@@ -185,7 +206,7 @@
         {
             return host.reject(id, self.shedding.retry_after);
         }
-        // Of two steps, the first may take half of the time.
+        // With a fetch step, the first step may use half of the time.
         let wait = timeout * if kind.has_fetch_step { 0.5 } else { 1.0 };
         let late_after = Span::from_micros(self.replicas.late_after(kind.target_latency) as u64);
         let awaits_canary =
@@ -206,6 +227,7 @@
         self.send_parts(host, id);
     }
 
+    /// Starts the second step of a scan with the parts to fetch.
     pub fn start_fetch(&mut self, host: &mut dyn Host, id: ScanId, parts: &[PartRequest]) {
         self.retry_budget.note_requests(host.now(), parts.len());
         let Some(scan) = self.scans.get_mut(&id) else { return };
@@ -215,14 +237,17 @@
         self.send_parts(host, id);
     }
 
+    /// Sets the policy that is asked before the mixer's own limits.
     pub fn set_fleet_policy(&mut self, policy: Box<dyn FleetPolicy>) {
         self.fleet_policy = Some(policy);
     }
 
+    /// Rejects a scan with the usual pause, without considering it.
     pub fn reject_scan(&self, host: &mut dyn Host, id: ScanId) {
         host.reject(id, self.shedding.retry_after);
     }
 
+    /// Handles the outcome of a relay.
     pub fn relay_finished(
         &mut self,
         host: &mut dyn Host,
@@ -234,6 +259,7 @@
         callback.for_each(|callback| callback(self, host, (outcome, elapsed)));
     }
 
+    /// Handles a timer set by [`Host::set_timer`].
     pub fn timer_fired(&mut self, host: &mut dyn Host, ticket: Ticket) {
         self.timer_callbacks
             .try_remove(ticket.0 as usize)
@@ -241,7 +267,8 @@
             .for_each(|callback| callback(self, host, ()));
     }
 
-    /// A check's result: a searcher that passed is taken for one that has just started, as a dead one has.
+    /// Handles the result of a health probe. A searcher that was down and passes is treated as freshly
+    /// started, as a crashed one has been restarted.
     pub fn probe_finished(&mut self, host: &mut dyn Host, searcher: Searcher, alive: bool) {
         let now = host.now();
         let Some(state) = self.replicas.states.get_mut(&searcher) else { return };
@@ -251,10 +278,12 @@
         }
     }
 
+    /// Drops the scan of a client that has disconnected and cancels its relays.
     pub fn client_disconnected(&mut self, host: &mut dyn Host, id: ScanId) {
         self.scans.remove(&id).iter().for_each(|scan| self.cancel_all(host, scan));
     }
 
+    /// Calls `callback` after `wait`.
     fn schedule(
         &mut self,
         host: &mut dyn Host,
@@ -265,9 +294,14 @@
         host.set_timer(Ticket(ticket as u32), host.now() + wait);
     }
 
-    /// All parts go out at once, heaviest first. Where a searcher is at its limit, light parts of a scan that
-    /// may do without are skipped: against crowding by many. Hurts when the limit is wrong. While searchers
-    /// die, one part goes ahead until it landed or is late: a scan that kills kills one. Hurts by its time.
+    /// Sends all parts at once, those of the largest weight first.
+    ///
+    /// If a searcher is at its concurrency limit, parts of low weight that the scan can do without are
+    /// skipped, which protects against overload; if the limit is wrong, they are skipped needlessly.
+    ///
+    /// While searchers are crashing, one part is sent first as a canary, and the others wait until it has
+    /// finished or twice the mean latency has passed. A scan that crashes searchers then crashes only one.
+    /// This delays every scan by that time.
     fn send_parts(&mut self, host: &mut dyn Host, id: ScanId) {
         let now = host.now();
         let Some(scan) = self.scans.get_mut(&id) else { return };
@@ -275,7 +309,8 @@
         let mut order: Vec<usize> = (scan.step_start..scan.parts.len()).filter(unsent).collect();
         order.sort_by(|a, b| scan.parts[*b].request.weight.total_cmp(&scan.parts[*a].request.weight));
         let class = (scan.traffic_type, self.types[scan.traffic_type].target_latency);
-        // Three quarters of the way to the floor: a quarter is for parts lost on the way.
+        // At most three quarters of the weight above the minimum coverage is skipped; a quarter is left for
+        // parts that fail later.
         let mut skippable = (1.0 - self.types[scan.traffic_type].min_coverage) * 0.75;
         let (priority, rank, time_left) =
             (scan.priority * order.len() as f64, scan.rank, scan.deadline.since(now));
@@ -304,12 +339,14 @@
         self.finish_if_decided(host, id);
     }
 
+    /// Sends the parts that waited for the canary.
     fn send_remaining(&mut self, host: &mut dyn Host, id: ScanId) {
         if self.scans.get_mut(&id).is_some_and(|scan| take(&mut scan.awaits_canary)) {
             self.send_parts(host, id);
         }
     }
 
+    /// Sends one part to a searcher and registers the callback that handles its outcome.
     fn relay(&mut self, host: &mut dyn Host, id: ScanId, index: usize, to: Searcher) {
         let now = host.now();
         let Some(scan) = self.scans.get_mut(&id) else { return };
@@ -353,7 +390,8 @@
         (part.in_flight, part.failed) = (Some((relay, now)), false);
         part.may_have_run = ran_before.or(Some(now));
         host.relay(relay, id, index, to, scan.deadline.since(now));
-        // A repeat may wait for a connection, or behind others, until its label is forgotten.
+        // A retry may wait for a connection or behind other parts until the searchers have forgotten its
+        // idempotency key.
         if let (Idempotency::ByKey(window), Some(first)) =
             (self.types[scan.traffic_type].idempotency, ran_before)
         {
@@ -364,9 +402,11 @@
         }
     }
 
-    /// Sends a part that failed elsewhere. One that was turned away, without which its scan fails, looks for
-    /// room again after an eighth of the time left: given up for one full queue, a scan throws away all that
-    /// is out for it. Hurts a client that would have found room sooner by asking again.
+    /// Sends a failed part to another replica.
+    ///
+    /// A rejected part that its scan cannot be answered without is retried again after an eighth of the
+    /// remaining time: failing the scan for one full queue would waste all its other parts in flight. The
+    /// cost is borne by clients that would have found capacity sooner by asking again.
     fn retry_part(&mut self, host: &mut dyn Host, id: ScanId, index: usize, may_wait: bool) {
         if let Some(to) = self.choose_retry(host.now(), id, index) {
             let cell = self.scans[&id].parts[index].request.shard % self.replicas.cells;
@@ -395,9 +435,12 @@
         }
     }
 
-    /// A part that failed goes at once to a replica it has not been to, as rules 2 and 6 allow: against
-    /// whatever loses single parts. Hurts where all fail together; so it needs room as a scan of no credit
-    /// would. A scan under whose parts two died may be what kills them, and is carried no further.
+    /// Chooses another replica for a failed part, if rules 2 and 6 (idempotency and the retry budget) allow
+    /// it.
+    ///
+    /// Guards against any loss of single parts. Retries do harm when all searchers fail together, so a retry
+    /// needs as much free capacity as a scan of no value. A scan during which two searchers seemed to crash
+    /// may be the cause of it and is not retried.
     fn choose_retry(&mut self, now: Moment, id: ScanId, index: usize) -> Option<Searcher> {
         let scan = self.scans.get(&id)?;
         let (part, kind, time_left) =
@@ -426,13 +469,17 @@
             .filter(|_| self.retry_budget.allows_retry(now))
     }
 
-    /// A late part is given up for another replica, and its connection trusted no more: against parts and
-    /// connections that fall silent alone. Only while as long again is left: where all are slow alike (eight
-    /// times the usual is then most of the quoted time) a second copy comes too late and makes them slower.
-    /// Hurts where a searcher does not stop at what is called off. Where checks pass by the queue, who of a
-    /// scan's last few has told nothing for a quarter of that time is asked whether it is there. Who does not
-    /// say so in as long again is down, and its parts go elsewhere: against machines cut off, whose
-    /// connections stay open. Hurts who stands still for as long.
+    /// Gives up late parts for another replica and retires their connections. Guards against single parts and
+    /// connections that get no answer.
+    ///
+    /// A part is given up only while as much time is left as it takes to be late. If all searchers are
+    /// equally slow (eight times the mean is then most of the target latency), a second copy comes too late
+    /// and adds load. Searchers that do not stop at a cancellation do the work twice.
+    ///
+    /// If probes bypass the searchers' queues, the searcher of one of a scan's last few parts is probed when
+    /// it has sent nothing for a quarter of that time. If it does not reply within as long again, it counts
+    /// as down and its parts are sent elsewhere. Guards against machines that are cut off while their
+    /// connections stay open. A searcher that pauses for that long counts as down, too.
     fn check_late_parts(&mut self, host: &mut dyn Host, id: ScanId, late_after: Span) {
         let (now, check_interval) =
             (host.now(), late_after * if self.probes_bypass_queue { 0.25 } else { 1.0 });
@@ -441,7 +488,7 @@
         let outstanding = |(index, part): (usize, &Part)| Some((index, part.in_flight?, *part.tried.last()?));
         let (outstanding, deadline): (Vec<_>, _) =
             (scan.parts.iter().enumerate().filter_map(outstanding).collect(), scan.deadline);
-        // More are out where all stand.
+        // If more parts are outstanding, all searchers are stalled.
         let few_outstanding =
             self.probes_bypass_queue && scan.suspects.is_empty() && outstanding.len() * 6 <= scan.parts.len();
         for (index, (relay, sent_at), to) in outstanding {
@@ -470,7 +517,8 @@
         self.schedule(host, check_interval, move |mixer, host| mixer.check_late_parts(host, id, late_after));
     }
 
-    /// Ends the scan where all parts have an outcome, enough are in, or what may be answered is out of reach.
+    /// Finishes the scan if all its parts have an outcome, if enough have succeeded, or if the minimum
+    /// coverage is out of reach.
     fn finish_if_decided(&mut self, host: &mut dyn Host, id: ScanId) {
         let Some(scan) = self.scans.get(&id) else { return };
         let (step_parts, kind) = (&scan.parts[scan.step_start..], &self.types[scan.traffic_type]);
@@ -486,9 +534,9 @@
         }
     }
 
-    /// The final answer, or the first of two, from what is in: an answer where the floor is reached; a bounce
-    /// where trying again is harmless and no searchers seem to die of it; else a write-off. What is still out
-    /// is called off first, so that nothing is sent after it.
+    /// Ends the scan, or its first step, with what has arrived: an answer if the minimum coverage is reached;
+    /// a rejection if a retry is safe and the scan does not seem to crash searchers; otherwise a failure.
+    /// Relays still in flight are cancelled first, so that nothing is sent after the answer.
     fn finish(&mut self, host: &mut dyn Host, id: ScanId) {
         let Some(mut scan) = self.scans.remove(&id) else { return };
         self.cancel_all(host, &scan);
@@ -516,17 +564,20 @@
         }
     }
 
+    /// Returns how many of the searchers that a part of this scan was lost at still seem to be dead.
     fn suspected_deaths(&self, now: Moment, scan: &Scan) -> usize {
         let suspects = scan.suspects.iter().filter_map(|searcher| self.replicas.states.get(searcher));
         suspects.filter(|state| state.seems_dead(now)).count()
     }
 
+    /// Cancels all relays of a scan that are in flight.
     fn cancel_all(&self, host: &mut dyn Host, scan: &Scan) {
         scan.parts.iter().filter_map(|part| part.in_flight).for_each(|(relay, _)| host.cancel(relay));
     }
 
-    /// The design's down mark: a connection failure sets it, a check that passes or any word from it lifts
-    /// it. Parts that were out when a connection broke do not: they may have run, and count as failures.
+    /// Updates the design's down mark. A failed connection attempt sets it; a passed probe or any reply from
+    /// the searcher clears it. Parts in flight on a connection that broke do not set it: they may have run,
+    /// and count as failures.
     fn update_reachability(&mut self, host: &mut dyn Host, attempt: &Attempt, outcome: RelayOutcome) {
         let Some(state) = self.replicas.states.get_mut(&attempt.to) else { return };
         match outcome {
@@ -534,8 +585,9 @@
                 self.schedule_probe(host, attempt.to, true)
             }
             RelayOutcome::Succeeded | RelayOutcome::Failed | RelayOutcome::Rejected => {
-                // What was out before the mark came back over a connection that lived on: there was no start, and
-                // the one that failed was late or lost. A slow start would hurt all that need this replica.
+                // A reply to a relay sent before the mark shows that the searcher did not restart and that
+                // the failed connection was late or lost. A slow start here would hurt all scans that need
+                // this replica.
                 if attempt.sent_at < state.down_since {
                     state.next_probe = None;
                 }
@@ -545,11 +597,13 @@
         }
     }
 
-    /// How long until a searcher is asked: first after its loss, then again. All of a fleet add up there.
+    /// Returns the delay before a searcher that is down is probed: the first time after its loss, or later
+    /// ones. The probes of all mixers add up at the searcher.
     fn probe_delay(&mut self, first: bool) -> Span {
         self.fleet_policy.as_mut().and_then(|policy| policy.probe_delay(first)).unwrap_or(PROBE_INTERVAL)
     }
 
+    /// Marks a searcher as down and schedules its next probe.
     fn schedule_probe(&mut self, host: &mut dyn Host, searcher: Searcher, first: bool) {
         let wait = self.probe_delay(first);
         let due = host.now() + wait;
@@ -570,5 +624,5 @@
     }
 }
 
-/// Sums of weights may fall short by half of the rules' figure.
+/// Tolerance for rounding in sums of weights: half of what the rules allow.
 const WEIGHT_TOLERANCE: f64 = 0.00005;
--- a/src/decaying_count.rs
+++ b/src/decaying_count.rs
@@ -1,9 +1,9 @@
-//! A count of events that decays exponentially with time, by which frequent and recent things are told from rare and
+//! A count of events that decays exponentially with time, to tell frequent and recent events from rare and
 //! old ones.
 
 use crate::{Moment, Span};
 
-/// Events noted so far, each counted less the longer ago it was.
+/// The events so far, each weighted less the longer ago it was.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingCount {
     count: f64,
@@ -11,7 +11,7 @@
 }
 
 impl DecayingCount {
-    /// The count now, where an event counts 1/e after the time constant `over`.
+    /// Returns the count at `now`, in which an event has the weight 1/e after `time_constant`.
     pub fn at(&self, now: Moment, time_constant: Span) -> f64 {
         self.count * (-now.since(self.updated_at).as_f64() / time_constant.as_f64()).exp()
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -241,16 +241,16 @@
 /// Performs the effects of the module's decisions. Every call takes effect at once, at [`Host::now`].
 pub trait Host {
     fn now(&self) -> Moment;
-    /// Sends a part to a searcher and waits for its result for `patience` at most; the host reports the
+    /// Sends a part to a searcher and waits for its result for `timeout` at most; the host reports the
     /// outcome by `Mixer::relay_finished`.
-    fn relay(&mut self, ticket: Ticket, scan: ScanId, part: usize, to: Searcher, patience: Span);
+    fn relay(&mut self, ticket: Ticket, scan: ScanId, part: usize, to: Searcher, timeout: Span);
     /// Sets the time by which sending a relay must have begun. A relay that has not begun by then is never
     /// sent; its outcome is reported as usual. Hosts that send at once need not implement this.
     fn set_send_deadline(&mut self, _relay: Ticket, _by: Moment) {}
     /// Stops waiting for a relay, if the host can; its outcome is still reported.
     fn cancel(&mut self, relay: Ticket);
     /// Answers a scan from the parts that succeeded. `last` is false if a fetch step follows.
-    fn answer(&mut self, scan: ScanId, whole: bool, last: bool);
+    fn answer(&mut self, scan: ScanId, complete: bool, last: bool);
     /// Rejects a scan as safe to retry after a pause.
     fn reject(&mut self, scan: ScanId, pause: Span);
     /// Fails a scan, without stating that a retry is safe.
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -1,23 +1,27 @@
-//! What a query is worth where there is no room for all: the less, the less of a replica's limit it may fill
-//! (`ReplicaTable::room`).
+//! The priority of a query under overload: the lower it is, the less of a replica's concurrency limit the
+//! query may fill (`ReplicaTable::has_capacity`).
 
 use crate::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// What queries were worth so far, and how far each tenant is over its share.
+/// The best value of a query so far, and each customer's use of its quota.
 #[derive(Default)]
 pub struct LoadShedding {
+    /// The factor on the credit of a scan whose customer is over its quota.
     pub(crate) over_quota_factor: f64,
     credit_grows_with_work: bool,
     best_value: f64,
-    /// Each customer's scans a second at this mixer, and how far it is ahead of them; one line a customer.
+    /// Each customer's quota at this mixer in scans per second, how far it is ahead of it, and when that was
+    /// updated.
     customers: Vec<(f64, f64, Moment)>,
+    /// The pause that a rejected client is told.
     pub(crate) retry_after: Span,
-    /// The longest that a client gave a try, for each traffic type.
+    /// The longest time that a client has allowed for an attempt, by traffic type.
     pub(crate) longest_time_left: BTreeMap<usize, Span>,
 }
 
 impl LoadShedding {
+    /// Creates the load shedding of one of `mixers` mixers, which share the customers' quotas equally.
     pub fn new(
         mixers: usize,
         quotas: &[f64],
@@ -30,14 +34,17 @@
         Self { over_quota_factor, credit_grows_with_work, customers, retry_after, ..Self::default() }
     }
 
+    /// Counts a scan of a customer, and returns whether the customer is over its quota.
     pub(crate) fn is_over_quota(&mut self, now: Moment, customer: usize) -> bool {
         let Some((rate, ahead, at)) = self.customers.get_mut(customer) else { return false };
         (*ahead, *at) = ((*ahead - *rate * now.since(*at).as_f64() / 1e6).max(0.0) + 1.0, now);
-        // Three seconds' worth: bursts even out over that, true excess does not.
+        // Three seconds' worth of the quota is tolerated: bursts even out over that time, sustained excess
+        // does not.
         *ahead > 3.0 * *rate + 1.0
     }
 
-    /// Credit for work, against the best met: per part where credit does not grow with work.
+    /// Returns the value of a scan relative to the best seen so far. Where credit does not grow with the
+    /// work, the value is the credit per part.
     pub(crate) fn priority(&mut self, credit: f64, parts: usize) -> f64 {
         let value = if self.credit_grows_with_work { credit } else { credit / parts.max(1) as f64 };
         self.best_value = self.best_value.max(value);
--- a/src/replica_set.rs
+++ b/src/replica_set.rs
@@ -1,59 +1,63 @@
-//! The ready replicas of each cell, and the few of them that this mixer chooses among.
+//! The ready replicas of each cell, and the subset of them that this mixer chooses from.
 //!
-//! A choice looks at each candidate several times, so its cost grows with their number, and so do the connections
-//! that a mixer makes. Where a cell is large each mixer keeps to a subset in an order of its own: the subsets of all
-//! mixers cover the cell several times over, and who is down is replaced by the next in the order.
+//! A choice evaluates each candidate several times, so its cost grows with their number, and so does the
+//! number of connections that a mixer opens. In a large cell each mixer therefore keeps to a subset in an
+//! order of its own. The subsets of all mixers cover the cell several times over, and a replica that is down
+//! is replaced by the next one in the order.
 
 use crate::mix::mix;
 use crate::Searcher;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// At least so many candidates: the least busy of a dozen is hardly busier than the least busy of all.
+/// The minimum number of candidates: the least busy of a dozen is hardly busier than the least busy of all.
 const MIN_CANDIDATES: usize = 12;
-/// And no more than this, however few mixers there are: a choice stays cheap.
+/// The maximum number of candidates, however few mixers there are: a choice stays cheap.
 const MAX_CANDIDATES: usize = 64;
-/// Each replica is a candidate of so many mixers in the mean, or hardly any would be left to nobody.
+/// The mean number of mixers that each replica is a candidate of. With fewer, some replicas would be nobody's
+/// candidate.
 const COVERAGE: f64 = 4.0;
 
-/// One cell's replicas.
+/// The replicas of one cell.
 #[derive(Default)]
 struct Replicas {
     ready: BTreeSet<Searcher>,
-    /// All of them in this mixer's order; as they are numbered where they are few.
+    /// All of them in this mixer's order, or in numerical order if they are few.
     order: Vec<Searcher>,
-    /// How many are chosen among.
+    /// How many of them are candidates at a time.
     candidates: usize,
 }
 
-/// All cells' replicas.
+/// The replicas of all cells.
 #[derive(Default)]
 pub struct ReplicaSets {
     cells: BTreeMap<u32, Replicas>,
-    /// Cells whose order is to be made anew; emptied as it is.
+    /// Cells whose order must be rebuilt.
     changed: BTreeSet<u32>,
     mixers: f64,
     seed: u64,
 }
 
 impl ReplicaSets {
-    /// For one of so many mixers, whose order follows from the seed.
+    /// Creates the sets of one of `mixers` mixers, whose order follows from the seed.
     pub fn new(mixers: f64, seed: u64) -> Self {
         Self { mixers: mixers.max(1.0), seed, ..Self::default() }
     }
 
+    /// Adds a ready replica to a cell.
     pub fn insert(&mut self, cell: u32, searcher: Searcher) {
         if self.cells.entry(cell).or_default().ready.insert(searcher) {
             self.changed.insert(cell);
         }
     }
 
+    /// Removes a replica from a cell.
     pub fn remove(&mut self, cell: u32, searcher: Searcher) {
         if self.cells.get_mut(&cell).is_some_and(|replicas| replicas.ready.remove(&searcher)) {
             self.changed.insert(cell);
         }
     }
 
-    /// Takes up what was inserted and removed.
+    /// Applies insertions and removals to the order of candidates.
     pub fn rebuild(&mut self) {
         for cell in std::mem::take(&mut self.changed) {
             let Some(replicas) = self.cells.get_mut(&cell) else { continue };
@@ -71,7 +75,8 @@
         }
     }
 
-    /// The candidates of a cell, as `look` finds them: so many that are up, and the down ones that stand among them.
+    /// Returns the candidates of a cell, as found by `lookup`: the first ones in the order until enough are
+    /// up, including any down ones before the last of these.
     pub fn candidates<'a, Replica: Copy + 'a>(
         &'a self,
         cell: u32,
@@ -89,8 +94,8 @@
         })
     }
 
-    /// How many mixers may choose one replica of a cell, as good as never more: what all may send it is shared by so
-    /// many.
+    /// Returns how many mixers share one replica of a cell, an estimate that is almost never exceeded. The
+    /// load that all of them may send it is divided by this number.
     pub fn sharers(&self, cell: u32) -> f64 {
         let Some(replicas) = self.cells.get(&cell) else { return self.mixers };
         let share = replicas.candidates as f64 / replicas.order.len().max(1) as f64;
--- a/src/replicas.rs
+++ b/src/replicas.rs
@@ -1,5 +1,5 @@
-//! The searchers that are listed, what this mixer has seen of each, and which of them a part goes to: smoothed latency,
-//! failures, health, what is in flight, slow start.
+//! The listed searchers, what this mixer has observed of each (smoothed latency, failures, health, parts in
+//! flight, slow start), and the choice of the replica that a part is sent to.
 
 use crate::decaying_count::DecayingCount;
 use crate::replica_set::ReplicaSets;
@@ -10,17 +10,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem::{replace, take};
 
-/// A traffic type, by its index and its quoted time.
+/// A traffic type: its index and its target latency.
 pub(crate) type TrafficClass = (usize, Span);
 
-/// How often a searcher that is down is checked: the design page's figure.
+/// How often a searcher that is down is probed, as the design page states it.
 pub(crate) const PROBE_INTERVAL: Span = Span::from_millis(5_000);
 
-/// Over how long the parts of a cell are counted: long enough to smooth, and short enough to see a burst in time.
+/// Time constants of the counts of parts sent to a cell: one long enough to smooth, one short enough to see a
+/// burst in time.
 pub(crate) const RATE_WINDOW: Span = Span::from_millis(10_000);
 pub(crate) const BURST_WINDOW: Span = Span::from_millis(2_000);
 
-/// How many parts went to a cell.
+/// The rate of parts sent to a cell.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SendRate {
     pub(crate) smoothed: DecayingCount,
@@ -33,8 +34,9 @@
         self.recent.note(now, BURST_WINDOW);
     }
 
-    /// Parts a microsecond, where all has been counted for so long. Before anything is known one part in
-    /// three seconds is: less would let a mixer that starts from nothing send a fresh searcher all at once.
+    /// Returns the rate in parts per microsecond, where parts have been counted for the time `counted`. It
+    /// starts from one part in three seconds: a lower estimate would let a mixer that has just started send
+    /// everything to a fresh searcher at once.
     pub(crate) fn rate(&self, now: Moment, counted: Span) -> f64 {
         let (long, short) = (self.smoothed.at(now, RATE_WINDOW), self.recent.at(now, BURST_WINDOW));
         let (smooth, burst) = (RATE_WINDOW.as_f64(), BURST_WINDOW.as_f64());
@@ -43,102 +45,124 @@
     }
 }
 
+/// What this mixer has observed of one searcher.
 #[derive(Default)]
 pub(crate) struct ReplicaState {
     pub(crate) entry: SearcherEntry,
-    /// When it started, and its answers since.
+    /// When it started, and the number of its answers since then.
     pub(crate) slow_start: Option<(Moment, usize)>,
-    /// What may be sent to it while it is cold.
+    /// How much may be sent to it during its slow start.
     pub(crate) allowance: Option<SendAllowance>,
+    /// The smoothed latency in microseconds, if there are samples.
     pub(crate) latency: Option<f64>,
-    /// The share of relays that failed, for each traffic type.
+    /// The smoothed share of failed relays, by traffic type.
     pub(crate) failure_rates: Vec<f64>,
-    /// How many relays it may have in flight before scans are turned away.
+    /// How many relays it may have in flight before scans are rejected.
     pub(crate) concurrency_limit: f64,
-    /// When the relays left that are out; emptied as they land.
+    /// When the relays in flight were sent; each entry is removed when its relay ends.
     pub(crate) in_flight: Vec<Moment>,
-    /// When a relay last told or brought anything back; when one last left, and one that came back.
+    /// When a relay last gave a sample of its latency or failures.
     pub(crate) last_heard: Moment,
+    /// The latest send time among the relays that have been answered.
     pub(crate) answered_up_to: Moment,
+    /// When anything last arrived on one of its connections.
     pub(crate) last_reply: Moment,
+    /// When a relay was last sent to it, or its slow start began.
     pub(crate) last_sent: Moment,
-    /// When a part was last lost with its connection, until one sent since is answered.
+    /// When a part was last lost with its connection; cleared when a relay sent later is answered.
     pub(crate) connection_lost: Option<Moment>,
-    /// When it was last asked whether it is there, and whether it has told anything since.
+    /// When it was last probed because it was silent, and whether anything has come from it since.
     pub(crate) last_probe: Option<(Moment, bool)>,
-    /// Down: when it is to be checked next, and since when.
+    /// If it is down, when it is to be probed next.
     pub(crate) next_probe: Option<Moment>,
+    /// Since when it is down.
     pub(crate) down_since: Moment,
 }
 
 impl ReplicaState {
-    /// Own parts out, by call where parts that left together share one.
+    /// Returns the number of this mixer's calls in flight; parts that were sent at the same time share calls.
     pub(crate) fn calls_in_flight(&self, parts_per_call: usize) -> usize {
         self.in_flight.chunk_by(|a, b| a == b).map(|call| call.len().div_ceil(parts_per_call.max(1))).sum()
     }
 
-    /// Parts out that are at work there, as far as can be told: not those that left before `by` and that
-    /// later ones went past. They are lost one by one, and hold no room though they are waited for.
+    /// Returns the number of parts in flight that the searcher is presumably working on. Not counted are
+    /// parts sent before `overtaken_before` that later parts have overtaken: they are single losses, and take
+    /// no capacity though the mixer still waits for them.
     pub(crate) fn active_parts(&self, overtaken_before: Moment) -> usize {
         self.in_flight.iter().filter(|at| **at > overtaken_before || **at > self.answered_up_to).count()
     }
 
-    /// Deaths that come once in a while are one cause: ten seconds outlast the time between them.
+    /// Whether the searcher seems to have died in the last ten seconds. Repeated crashes have one cause; ten
+    /// seconds is longer than the time between them.
     pub(crate) fn seems_dead(&self, now: Moment) -> bool {
         self.connection_lost.is_some_and(|at| now.since(at) < Span::from_millis(10_000))
     }
 }
 
-/// A relay under way; `pause` is how long nothing had come over its connection, by class; `stale` where that
-/// was shut for it.
+/// A relay in flight.
 pub(crate) struct Attempt {
     pub(crate) to: Searcher,
     pub(crate) sent_at: Moment,
+    /// How long nothing had arrived on its connection, as an index in `ReplicaTable::loss_by_idle`.
     pub(crate) idle_class: usize,
+    /// Whether the connection was retired for that before the relay was sent.
     pub(crate) retired: bool,
     pub(crate) class: TrafficClass,
 }
 
-/// Where the share of what went on connections opened anew stands among those by pause.
+/// The index in `ReplicaTable::loss_by_idle` of relays on new connections.
 pub(crate) const NEW_CONNECTION: usize = 7;
 
-/// The searchers and what this mixer has seen of them.
+/// The searchers and what this mixer has observed of them.
 #[derive(Default)]
 pub struct ReplicaTable {
-    /// Who is listed; who is not any more goes with the next news, once all it owes has landed.
+    /// The state of each listed searcher. One that is no longer listed is removed by a later list update,
+    /// once its relays have ended.
     pub(crate) states: FxHashMap<Searcher, ReplicaState>,
-    /// The sum of the latencies known, and their number.
+    /// The sum of the known latencies, and their number.
     pub(crate) known_latencies: (f64, f64),
+    /// The number of cells in the deployment; shard s is held by cell s modulo this and the cells after it.
     pub(crate) cells: u32,
-    /// What went to each cell, and since when that is counted.
+    /// The rate of parts sent to each cell.
     pub(crate) send_rates: BTreeMap<u32, SendRate>,
     pub(crate) replica_sets: ReplicaSets,
-    /// Those that are not listed ready and may owe something; they leave as that has landed.
+    /// Searchers that are not listed as ready and may have relays in flight; removed when these have ended.
     pub(crate) departing: BTreeSet<Searcher>,
-    /// Those at which a part was lost with its connection; they leave as they answer again, or with the list.
+    /// Searchers at which a part was lost with its connection; removed when they answer again or leave the
+    /// list.
     pub(crate) suspects: BTreeSet<Searcher>,
+    /// When the first list was applied; rates are counted from then.
     pub(crate) first_listed: Option<Moment>,
+    /// The number of consecutive cells that hold each shard.
     pub(crate) width: u32,
+    /// The number of parts that one call to a searcher may carry.
     pub(crate) parts_per_call: usize,
+    /// Whether the platform allows health probes.
     pub(crate) may_probe: bool,
     pub(crate) slow_start: SlowStart,
     pub(crate) rng: Rng,
-    /// Where this mixer stands among all in their turns at fresh searchers, from nothing to one: the same for each
-    /// searcher, or hardly one of many parts would find all of them open.
+    /// This mixer's position, from 0 to 1, in the order in which mixers take turns at fresh searchers. It is
+    /// the same for every searcher: otherwise a scan of many parts would hardly ever find all of them open.
     pub(crate) phase: f64,
-    /// Smoothed time of answered parts, over all searchers, and the share of parts that are lost.
+    /// The smoothed latency of answered parts over all searchers.
     pub(crate) mean_latency: f64,
+    /// The smoothed share of parts that are lost.
     pub(crate) loss_rate: f64,
-    /// The shortest that the smoothed time has been of late: what a part is taken to cost, with little queue.
+    /// The lowest value of the smoothed latency in the recent past, taken as the cost of a part when there is
+    /// little queueing.
     pub(crate) min_latency: f64,
-    /// The share of relays lost or in vain, by how long nothing came: under 250 ms, then twice each time;
-    /// last, of those on new connections, opened for doubt of the old or as those are closed by then.
+    /// The share of relays that were lost or sent for nothing, by how long their connection had been idle:
+    /// under 250 ms, then twice as long for each class. The last class is new connections, opened because the
+    /// old ones were in doubt or had been closed for idleness.
     pub(crate) loss_by_idle: [f64; NEW_CONNECTION + 1],
+    /// The idle time after which the platform closes connections.
     pub(crate) idle_close: Span,
+    /// When a connection in doubt was last used on trial.
     pub(crate) last_trial: Moment,
 }
 
 impl ReplicaTable {
+    /// Creates an empty table for one of the mixers that `slow_start` counts.
     pub fn new(
         seed: u64,
         cells: u32,
@@ -148,7 +172,8 @@
         slow_start: SlowStart,
     ) -> Self {
         let (cells, rng, never) = (cells.max(1), Rng::new(seed), Span::from_micros(u64::MAX));
-        // Of a row of its own, so that it changes no other draw; the first few numbers of like seeds are alike.
+        // A generator of its own, so that no other draw changes. Its first few numbers are skipped because
+        // they are alike for similar seeds.
         let mut phase_rng = Rng::new(!seed);
         let phase = (0..8).map(|_| phase_rng.below(1 << 20)).last().unwrap_or(0) as f64 / f64::from(1 << 20);
         let replica_sets = ReplicaSets::new(slow_start.mixers, seed);
@@ -166,16 +191,19 @@
         }
     }
 
-    /// Connections idle for so long are closed by the platform, and the next part goes on a new one.
+    /// Sets the idle time after which the platform closes connections; the next part is then sent on a new
+    /// one.
     pub fn with_idle_close(mut self, after: Span) -> Self {
         self.idle_close = after;
         self
     }
 
+    /// Returns the average of the known latencies, with the overall mean as one more sample.
     pub(crate) fn average_latency(&self) -> f64 {
         (self.known_latencies.0 + self.mean_latency) / (self.known_latencies.1 + 1.0)
     }
 
+    /// Sets the smoothed latency of a searcher and keeps the sum over all of them.
     pub(crate) fn set_latency(&mut self, searcher: Searcher, latency: Option<f64>) {
         let Some(state) = self.states.get_mut(&searcher) else { return };
         let old = replace(&mut state.latency, latency);
@@ -183,8 +211,10 @@
         self.known_latencies.1 += f64::from(latency.is_some()) - f64::from(old.is_some());
     }
 
+    /// Applies a list entry and returns the previous one of that searcher.
     pub(crate) fn apply_entry(&mut self, entry: SearcherEntry) -> SearcherEntry {
-        // A dozen for all mixers together, some for each core of a usual machine; three for each mixer.
+        // Twelve for all mixers together, a few for each core of a usual machine; at least three for each
+        // mixer.
         let limit = (12.0 / self.slow_start.mixers).max(3.0);
         let state = self
             .states
@@ -206,7 +236,7 @@
         previous
     }
 
-    /// The replicas of a shard among which this mixer chooses.
+    /// Returns the replicas of a shard that this mixer chooses from.
     pub(crate) fn replicas_of(&self, shard: u32) -> impl Iterator<Item = &ReplicaState> + '_ {
         let cells = (0..self.width.min(self.cells)).map(move |next| (shard % self.cells + next) % self.cells);
         let state = |searcher: Searcher| &self.states[&searcher];
@@ -215,7 +245,7 @@
         })
     }
 
-    /// Whoever is not ready and owes nothing leaves.
+    /// Removes searchers that are not ready and have no relays in flight.
     pub(crate) fn remove_departed(&mut self) {
         let (states, suspects) = (&mut self.states, &mut self.suspects);
         self.departing.retain(|searcher| {
@@ -232,21 +262,22 @@
         });
     }
 
-    /// It has started anew.
+    /// Starts the slow start of a searcher that started at `since`.
     pub(crate) fn begin_slow_start(&mut self, now: Moment, searcher: Searcher, since: Moment) {
         self.set_latency(searcher, None);
         let phase = self.phase;
         let Some(state) = self.states.get_mut(&searcher) else { return };
-        // What was sent to it before counts on: nobody knows which of it came before the start.
+        // Parts sent earlier still count, as it is unknown which of them came before the start.
         state.allowance.get_or_insert(SendAllowance::new(now, phase));
         if state.slow_start.replace((since, 0)).is_none() {
             state.last_sent = now;
         }
     }
 
-    /// The latency to choose by: the smoothed one, or the age of the oldest part out that no later one went
-    /// past, so that a hang is seen early. What is long unheard drifts to the average, to be tried again; who
-    /// is fresh and unheard counts as the quickest, as its pace already keeps it from harm.
+    /// Returns the latency to choose by: the smoothed one, or the age of the oldest part in flight that no
+    /// later part has overtaken, so that a hang is seen early. As time passes without news, the value drifts
+    /// to the average, so that the searcher is tried again. A fresh searcher without samples counts as the
+    /// fastest, as slow start already protects it.
     pub(crate) fn effective_latency(&self, now: Moment, state: &ReplicaState) -> f64 {
         let oldest = state.in_flight.iter().find(|at| **at > state.answered_up_to);
         let (average, oldest_wait) = (self.average_latency(), oldest.map_or(Span::ZERO, |at| now.since(*at)));
@@ -255,14 +286,16 @@
             .max(oldest_wait.as_f64())
     }
 
-    /// How long a part is out until it is late: a quarter of the quoted time, to have time to go elsewhere,
-    /// and eight times the usual: sooner, who stands still for a while would be taken for a loss.
+    /// Returns how long a part is in flight until it is late: a quarter of the target latency, so that there
+    /// is time to send it elsewhere, but at least eight times the mean latency; with less, a searcher that
+    /// pauses for a moment would be taken for lost.
     pub(crate) fn late_after(&self, target_latency: Span) -> f64 {
         (target_latency.as_f64() / 4.0).max(8.0 * self.mean_latency).min(target_latency.as_f64())
     }
 
-    /// How much of what is known holds: halved over the check interval, and three tenths of the fleet's turn,
-    /// as each of many hears of it less often. None of that lost 0.01, all of it no less.
+    /// Returns the weight of past samples, from 1 down to 0. It halves over the probe interval plus three
+    /// tenths of the time in which the whole fleet takes a turn, as each of many mixers gets samples less
+    /// often.
     pub(crate) fn confidence(&self, now: Moment, state: &ReplicaState) -> f64 {
         let until = if state.in_flight.is_empty() { state.last_heard } else { now };
         (-now.since(until).as_f64()
@@ -270,9 +303,12 @@
             .exp2()
     }
 
-    /// Smooths in what a relay's end tells. An eighth, as in TCP: one odd part tells little, but one in vain
-    /// half, and so does an answer in an eighth of what is known, which shows a stall that is over; and the
-    /// longer nothing was heard, the less the past counts. Hurts where stalls and answers take turns.
+    /// Updates the smoothed latency, failure rate and concurrency limit with the end of a relay.
+    ///
+    /// A sample weighs an eighth, as in TCP, because one outlier means little. It weighs half if the part
+    /// failed, or if the latency is less than an eighth of the known one, which shows that a stall is over.
+    /// The longer there was no sample, the less the past counts. Searchers that alternate between stalls and
+    /// answers are judged badly by this.
     pub(crate) fn record_sample(
         &mut self,
         now: Moment,
@@ -291,8 +327,8 @@
         state.failure_rates[traffic_type] += (f64::from(failed) - state.failure_rates[traffic_type]) * weight;
         if let Some(sample) = sample {
             let latency = state.latency.map_or(sample, |old| old + (sample - old) * weight);
-            // Past one and a half times the shortest a queue stands: 1.25 to 2 did nearly as well, 3.2 worse.
-            // All mixers' limits add up at the searcher, so each grows and starts with its part of the fleet.
+            // Above 1.5 times the minimum latency there is a queue. The limits of all mixers add up at the
+            // searcher, so each starts and grows by its share of the fleet.
             let ratio = (1.5 * min_latency / latency).clamp(0.1, 1.0);
             if ratio < 1.0 || state.in_flight.len() as f64 > state.concurrency_limit / 4.0 {
                 let target =
@@ -304,9 +340,12 @@
         }
     }
 
-    /// The design's choice: least latency x (own parts out + 1), among replicas listed ready, not down, and
-    /// not in `not`; a down one gets a part as its check where there are no probes. Failures read as a late
-    /// part, by their share in the sort, so that who fails fast draws no parts. Hurts bad luck.
+    /// Chooses the replica with the least latency x (own parts in flight + 1), as the design states, among
+    /// those that are listed as ready, are not down and are not in `excluded`. If the platform has no probes,
+    /// a part is sent to a replica that is down in place of a probe.
+    ///
+    /// Failures count as late parts in proportion to their share in the traffic type, so that a searcher that
+    /// fails fast does not attract parts. A replica with a run of bad luck is avoided by this.
     pub(crate) fn choose(
         &mut self,
         now: Moment,
@@ -326,7 +365,8 @@
             let effective = self.effective_latency(now, state);
             let failure_rate =
                 state.failure_rates.get(class.0).map_or(0.0, |rate| rate * self.confidence(now, state));
-            // Within three tenths smoothed latencies are alike: a tie goes to where crossing has no price.
+            // Smoothed latencies within 30 % are equivalent; such a tie goes to a replica that has no
+            // cross-zone cost.
             let zone_factor = if state.entry.cross_zone { 1.3 } else { 1.0 };
             let latency =
                 (effective + failure_rate * (self.late_after(class.1) - effective).max(0.0)) * zone_factor;
@@ -342,9 +382,12 @@
         best
     }
 
-    /// The fresh replicas of a shard that take no part of a scan of this luck: so many are kept off that
-    /// what falls to the others by their latency stays within the pace. Luck is drawn once a scan: if each
-    /// cell drew anew, hardly one of many parts would find all open. Turns were lost where no part came by.
+    /// Returns the fresh replicas of a shard that a scan of this rank is not sent to. As many scans are kept
+    /// from them as it takes for the parts that they attract by their latency to stay within the slow-start
+    /// rate.
+    ///
+    /// The rank is drawn once per scan: if each cell drew again, a scan of many parts would hardly ever find
+    /// all of them open. Fixed turns in time were worse, as a turn is lost when no part comes in it.
     pub(crate) fn held_back(&self, now: Moment, shard: u32, rank: f64) -> Vec<Searcher> {
         let is_up = |state: &&ReplicaState| state.next_probe.is_none();
         if self.replicas_of(shard).all(|state| state.slow_start.is_none()) {
@@ -372,7 +415,7 @@
         self.replicas_of(shard).filter(is_held_back).map(|state| state.entry.searcher).collect()
     }
 
-    /// How many parts may go to a searcher now for its slow start.
+    /// Returns how many parts may be sent to a searcher now under its slow start.
     pub(crate) fn slow_start_allowance(&self, state: &ReplicaState, now: Moment) -> f64 {
         let Some((since, _)) = state.slow_start.filter(|(since, _)| self.slow_start.is_cold(*since, now))
         else {
@@ -385,11 +428,15 @@
         state.allowance.as_ref().map_or(f64::MAX, available)
     }
 
-    /// Whether the replicas of a shard have room under their limits for so many parts; where none is up, that
-    /// is not for the door to say. Little worth may fill less, at slow replicas the least: seven and three
-    /// tenths lost nowhere. Who is too slow for the time left has none; the slowest of a few takes half
-    /// as long again. Where mixers are many, little worth counts on less time. As latencies lag a recovery,
-    /// one part at a time is let in by turns, six times rarer where half are lost.
+    /// Whether the replicas of a shard have capacity for `parts` more parts within their concurrency limits.
+    /// If none is up, this is not a matter of admission and the answer is yes.
+    ///
+    /// A scan of low priority may fill less of a limit, and least at slow replicas. A replica that is too
+    /// slow for the remaining time has no capacity; the slowest of a few takes half as long again as the
+    /// smoothed latency. With many mixers, a scan of low priority counts on less of its time.
+    ///
+    /// As smoothed latencies lag behind a recovery, one part at a time is let through in turns, six times
+    /// less often when half of the parts are lost.
     pub(crate) fn has_capacity(
         &self,
         now: Moment,
@@ -424,11 +471,13 @@
             .is_none_or(|capacity| capacity >= parts as f64)
     }
 
-    /// Notes a relay, and tells whether its connection is to be trusted no more: relays after such pauses or
-    /// less are lost oftener by a quarter than those after none, and oftener than on new ones. Against all
-    /// that closes idle ones unseen: they are shut before use, but for a trial in a check interval. Where new
-    /// ones fail as well, on ways or at searchers too slow for them, what is there is kept: what looks lost
-    /// is then late. Hurts by needless new ones.
+    /// Records a relay, and decides whether the connections of its searcher are to be retired first.
+    ///
+    /// They are, if relays after this idle time or less are lost more often by 0.25 than those after none,
+    /// and more often than those on new connections. Guards against anything on the way that closes idle
+    /// connections without notice: they are closed before use, except for one trial in each probe interval.
+    /// Where new connections fail as well, because of the network or of searchers that are too slow for them,
+    /// the existing ones are kept: what looks lost is then late. The cost is needless new connections.
     pub(crate) fn note_sent(&mut self, now: Moment, searcher: Searcher, class: TrafficClass) -> Attempt {
         let (slow_start, part_latency) = (&self.slow_start, self.min_latency);
         let state = self.states.entry(searcher).or_default();
@@ -457,9 +506,10 @@
         }
     }
 
-    /// What a relay's end tells of its searcher, and whether that seems to have died under the part. A part
-    /// in vain is a sample of its latency only where it took longer than usual, so that calling parts off
-    /// early (a scan that closed without them) does not make a searcher look quick.
+    /// Records the end of a relay, and returns whether its searcher seems to have died while it had the part.
+    ///
+    /// A part that was sent for nothing is a latency sample only if it took longer than usual, so that
+    /// cancelling parts early (when a scan ends without them) does not make a searcher look fast.
     pub(crate) fn note_finished(
         &mut self,
         now: Moment,
@@ -480,16 +530,18 @@
         state.last_probe = state.last_probe.map(|(at, replied)| (at, replied || answered));
         state.answered_up_to =
             if answered { state.answered_up_to.max(attempt.sent_at) } else { state.answered_up_to };
-        // What others went past, and quickly, is lost by itself: its searcher is not slow for it. Read as
-        // latency it would close a sound searcher for seconds; as a failure it weighs as often as it comes.
+        // A part that later ones have overtaken, and which took much longer than usual, is a single loss; its
+        // searcher is not slow. As a latency it would exclude a healthy searcher for seconds; as a failure it
+        // counts as often as it occurs.
         let overtaken = wasted
             && state.answered_up_to > attempt.sent_at
             && elapsed > 8.0 * state.latency.unwrap_or(average);
         if answered || lost {
             self.loss_rate += (f64::from(lost) - self.loss_rate) * 0.05;
         }
-        // Nobody says after what pause connections are closed. So a loss casts doubt on pauses down to a
-        // quarter as long, and an answer clears all shorter ones: else each class costs a scan of its own.
+        // It is unknown after what idle time connections are closed. So a loss also counts for idle times
+        // down to a quarter as long, and an answer counts for all shorter ones; otherwise each class would
+        // cost a scan of its own.
         let affected_class = if outcome == RelayOutcome::Unreachable { NEW_CONNECTION } else { idle_class };
         if answered || lost || outcome == RelayOutcome::Unreachable {
             let lowest = if lost { affected_class.saturating_sub(2).max(1) } else { 1 };
@@ -498,12 +550,14 @@
             let rates = &mut self.loss_by_idle[first_affected..=affected_class];
             rates.iter_mut().for_each(|rate| *rate += (f64::from(!answered) - *rate) / 8.0);
         }
-        // Dropped as soon as it was used again (a twentieth of the least that a part takes), it had been
-        // closed before: that says nothing of the searcher. And who is not listed any more may well go down.
+        // A connection that is lost as soon as it is used again (in a twentieth of the minimum latency) had
+        // been closed before, which says nothing about the searcher. And a searcher that is no longer listed
+        // as ready is expected to go down.
         let immediate = idle_class > 0 && !attempt.retired && elapsed * 20.0 < self.min_latency;
         let closed_while_idle = outcome == RelayOutcome::ConnectionLost && immediate;
         let died = outcome == RelayOutcome::ConnectionLost && !closed_while_idle && state.entry.ready;
-        // It answers what was sent after the loss, and has not started since: its connection broke, no more.
+        // It answered a relay sent after the loss and has not started since then, so only its connection
+        // broke.
         let recovered = |at: &Moment| {
             answered && attempt.sent_at > *at && state.slow_start.is_none_or(|(since, _)| since < *at)
         };
@@ -518,9 +572,10 @@
             RelayOutcome::Succeeded => {
                 state.slow_start.iter_mut().for_each(|(_, answers)| *answers += 1);
                 self.record_sample(now, searcher, traffic_type, Some(elapsed), false);
-                // A twentieth: the last twenty parts or so, some seconds of one mixer's scans.
+                // A weight of 1/20 averages about the last twenty parts, which is some seconds of one mixer's
+                // scans.
                 self.mean_latency += 0.05 * (elapsed - self.mean_latency);
-                // It may rise by half in some hundred answers, should the work itself have grown.
+                // It may rise by half within some hundred answers, in case the work itself has grown.
                 self.min_latency = (self.min_latency * 1.0005).min(self.mean_latency);
             }
             RelayOutcome::Rejected => {
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,62 +1,70 @@
-//! Slow start (rule 4): how much a searcher that has just started may be sent, by all mixers together. Each mixer
-//! keeps to its part of the rule's count by itself, as mixers share nothing.
+//! Slow start (rule 4): how much a searcher that has just started may be sent by all mixers together. Each
+//! mixer keeps to its share of the rule's count on its own, as mixers share no state.
 //!
-//! Two bounds hold at once. [`SlowStart::share`] is a chance for each scan, so that what falls to a fresh searcher
-//! is spread over all of them; [`Allowance`] counts what this mixer has sent, whatever brought it there: first
-//! attempts, retries, hedges. A chance alone bounds no count: a scan that it lets past chooses the least busy
-//! searcher, which the fresh one nearly always is, and a burst or the loss of the other copies multiplies it.
+//! Two bounds apply at once. [`SlowStart::share`] is a probability for each scan, which spreads the parts for
+//! a fresh searcher over all scans. [`SendAllowance`] counts the parts that this mixer has sent, for any
+//! reason: first attempts, retries, hedged requests. A probability alone does not bound a count: a scan that
+//! passes it chooses the least busy searcher, which is nearly always the fresh one, and a burst or the loss
+//! of the other replicas multiplies that.
 
 use crate::{Moment, Span};
 
-/// How far a wall clock is taken to be off at the most: an hour and some.
+/// The largest assumed error of a wall clock: a little over an hour.
 const MAX_CLOCK_SKEW: Span = Span::from_millis(3_700_000);
 
-/// A list that may tell of starts: by the wall clock of another machine, whose distance from this mixer's nobody knows.
+/// The kind of a list that may report starts. Start times are by the wall clock of another machine, whose
+/// offset from this mixer's clock is unknown.
 #[derive(Clone, Copy)]
 pub enum ListKind {
-    /// A list after the first: what it tells anew has happened since the one before. The clock is not asked.
+    /// A list after the first one. A start that it newly reports has happened since the list before; the
+    /// clock is not used.
     Update,
-    /// The first list that is heard: starts are compared with its newest one alone, which may be just now.
+    /// The first list. Starts are compared only with its newest one, which may have been just now.
     Initial { newest: Option<Moment> },
 }
 
-/// The rule's figures, and the number of mixers that share the count.
+/// The parameters of the rule, and the number of mixers that share its count.
 #[derive(Default)]
 pub struct SlowStart {
     pub mixers: f64,
-    /// The share of its capacity with which a searcher starts at the least.
+    /// The share of its capacity that a searcher has at least when it starts.
     pub initial_share: f64,
-    /// It is warm so long after its start.
+    /// How long after its start a searcher reaches its full capacity.
     pub warm_up: Span,
-    /// What it bears: so many times its capacity of the moment, for so long.
+    /// How much load it withstands: this multiple of its current capacity, over the window below.
     pub overload_factor: f64,
+    /// The rule's window.
     pub overload_window: Span,
 }
 
-/// Cores of a searcher: nobody tells them, and no machine of the platforms served has fewer.
+/// Cores of a searcher. They are not reported, and no machine of the platforms served has fewer.
 const CORES: f64 = 2.0;
-/// The part of the count that chance is to send, where mixers are many.
+/// The part of the count that the probability per scan aims at when there are many mixers.
 const RANDOM_SHARE: f64 = 0.9;
-/// The part of the count that comes evenly; the rest may be sent in a burst.
+/// The part of the count that is granted at a steady rate; the rest may be sent in a burst.
 const STEADY_SHARE: f64 = 0.75;
-/// The same where mixers are so many that one part is more than the share of each: there the chance keeps the count
-/// of all, and what one may send bounds how far a burst passes it.
+/// The same when there are so many mixers that one part exceeds each one's share. The probability then bounds
+/// the total count, and the allowance of each mixer bounds how far a burst exceeds it.
 const STEADY_SHARE_OF_MANY: f64 = 3.5;
-/// The part of what the rule adds for chance that is used; the rest is for parts that take more than the mean.
+/// The part of the rule's statistical tolerance that is used; the rest is for parts that take longer than the
+/// mean.
 const TOLERANCE_SHARE: f64 = 0.5;
 
 impl SlowStart {
-    /// Whether a searcher that started then may still be cold. Its window is counted to its end.
+    /// Whether a searcher that started at `since` may still be in slow start. The rule's window is counted to
+    /// its end.
     pub fn is_cold(&self, since: Moment, now: Moment) -> bool {
         now.since(since) <= self.warm_up + self.overload_window
     }
 
-    /// When a searcher started at the latest whose start is told anew; none where it is warm. Guards against clocks
-    /// that were stepped, here or there. Hurts after a mixer's own start, by a slow start of the searchers that came
-    /// last, and where a list comes late, by that time once more.
+    /// Returns the latest possible start of a searcher whose start is newly reported, or `None` if it is past
+    /// its slow start.
+    ///
+    /// Guards against clocks that were stepped on either machine. The cost is a slow start of the newest
+    /// searchers after the mixer's own start, and one that is longer by the delay of a late list.
     pub fn latest_start(&self, reported: Moment, list: ListKind, now: Moment) -> Option<Moment> {
         match list {
-            // Where nothing is said of cold ones none is.
+            // Without a warm-up time there is no slow start.
             _ if self.warm_up == Span::ZERO => None,
             ListKind::Update => Some(now),
             ListKind::Initial { newest } => {
@@ -68,7 +76,8 @@
         }
     }
 
-    /// How many parts of this much work it bears in the rule's window, as it stood when the window began.
+    /// Returns how many parts of this latency the searcher withstands in the rule's window, by its capacity
+    /// when the window began.
     fn max_parts(&self, since: Moment, now: Moment, part_latency: f64) -> f64 {
         let age =
             now.since(since).saturating_sub(self.overload_window).as_f64() / self.warm_up.as_f64().max(1.0);
@@ -76,8 +85,9 @@
         self.overload_factor * capacity_share * CORES * self.overload_window.as_f64() / part_latency.max(1.0)
     }
 
-    /// The share of what would fall to it that keeps it within this mixer's part of the count, where `falls` parts
-    /// a microsecond would and so many mixers send it some. All of it where mixers are so few that each can keep to its part by counting.
+    /// Returns the share of its offered load that keeps a searcher within this mixer's share of the count, if
+    /// `offered_rate` parts per microsecond would be sent to it and `sharers` mixers send it parts. The share
+    /// is 1 if there are so few mixers that each can keep to its part by counting.
     pub fn share(
         &self,
         since: Moment,
@@ -93,14 +103,14 @@
             / (self.overload_window.as_f64() * sharers * offered_rate)
     }
 
-    /// What this mixer may send at once on top of what comes evenly.
+    /// Returns how many parts this mixer may send at once beyond the steady rate.
     fn burst(&self, max_parts: f64, sharers: f64) -> f64 {
         let tolerance =
             if max_parts < 30.0 { 3.0 * (max_parts + 3.0).sqrt() } else { 2.0 * (max_parts + 2.0).sqrt() };
         (max_parts * (1.0 - STEADY_SHARE) + tolerance * TOLERANCE_SHARE) / sharers
     }
 
-    /// What this mixer may send evenly in the rule's window, and at once on top of that.
+    /// Returns how many parts this mixer may send steadily in the rule's window, and at once beyond that.
     fn quota(&self, since: Moment, part_latency: f64, sharers: f64, now: Moment) -> Quota {
         let max_parts = self.max_parts(since, now, part_latency);
         let burst = self.burst(max_parts, sharers);
@@ -109,13 +119,14 @@
     }
 }
 
+/// A mixer's share of the rule's count.
 struct Quota {
     steady: f64,
     burst: f64,
 }
 
-/// How many parts a mixer may send to one fresh searcher now. Guards against a count that no chance bounds; hurts
-/// where the other mixers send nothing, as their parts of the count lapse.
+/// How many parts a mixer may send to one fresh searcher now. Guards against counts that a probability does
+/// not bound. If the other mixers send nothing, their shares of the count go unused.
 #[derive(Clone, Copy)]
 pub struct SendAllowance {
     remaining: f64,
@@ -123,13 +134,13 @@
 }
 
 impl SendAllowance {
-    /// A mixer that may have sent to it in a former life, or is one of many that hear of the start together, begins
-    /// with a part of one turn, by chance; `turn` is from nothing to one.
+    /// Creates the initial allowance, a random fraction `phase` (0 to 1) of one part: this mixer may have
+    /// sent to the searcher before its own restart, and many mixers learn of a start together.
     pub fn new(now: Moment, phase: f64) -> Self {
         Self { remaining: phase, updated_at: now }
     }
 
-    /// The same now, for a searcher that started then.
+    /// Returns the allowance at `now`, for a searcher that started at `since`.
     pub fn at(
         &self,
         slow_start: &SlowStart,
@@ -143,12 +154,12 @@
         Self { remaining: (self.remaining + quota.steady * windows).min(quota.burst), updated_at: now }
     }
 
-    /// How many parts may go now.
+    /// Returns how many parts may be sent now.
     pub fn available(&self) -> f64 {
         self.remaining.max(0.0).floor()
     }
 
-    /// One part goes.
+    /// Counts one part as sent.
     pub fn spend(&mut self) {
         self.remaining -= 1.0;
     }
