--- a/src/lib.rs
+++ b/src/lib.rs
@@ -222,9 +222,9 @@
 /// policy unless its operator enables one. Parts of the policy that the operator leaves out return `None`, or
 /// allow.
 pub trait FleetPolicy {
-    /// Decides on admission. For an admitted scan, returns its position among the admitted ones, from 0 to 1,
-    /// which is the same at every mixer and cell. For a rejected scan, returns the fraction of the longest
-    /// pause that its client is told.
+    /// Decides on admission, or returns `None` to leave the decision to the mixer. For an admitted scan,
+    /// returns its position among the admitted ones, from 0 to 1, which is the same at every mixer and cell.
+    /// For a rejected scan, returns the fraction of the longest pause that its client is told.
     fn admit(&mut self, now: Moment, request: &AdmissionRequest) -> Option<Result<f64, f64>>;
     /// Records the result of a relay.
     fn note_result(&mut self, now: Moment, result: &PartResult);
@@ -233,8 +233,8 @@
     fn may_retry(&self, now: Moment, cell: u32) -> bool;
     /// Records that such a retry was sent.
     fn note_retry(&mut self, now: Moment, cell: u32);
-    /// Returns the delay before a searcher that is down is probed: the first time after its loss, or later
-    /// ones.
+    /// Returns the delay before a searcher that is down is probed (`first` after its loss, or a later time),
+    /// or `None` for the mixer's own interval.
     fn probe_delay(&mut self, first: bool) -> Option<Span>;
 }
 
--- a/src/replicas.rs
+++ b/src/replicas.rs
@@ -287,8 +287,8 @@
     }
 
     /// Returns how long a part is in flight until it is late: a quarter of the target latency, so that there
-    /// is time to send it elsewhere, but at least eight times the mean latency; with less, a searcher that
-    /// pauses for a moment would be taken for lost.
+    /// is time to send it elsewhere, but at least eight times the mean latency, up to the whole target
+    /// latency. With less, a searcher that pauses for a moment would be taken for lost.
     pub(crate) fn late_after(&self, target_latency: Span) -> f64 {
         (target_latency.as_f64() / 4.0).max(8.0 * self.mean_latency).min(target_latency.as_f64())
     }
@@ -342,7 +342,7 @@
 
     /// Chooses the replica with the least latency x (own parts in flight + 1), as the design states, among
     /// those that are listed as ready, are not down and are not in `excluded`. If the platform has no probes,
-    /// a part is sent to a replica that is down in place of a probe.
+    /// a part is sent to a replica that is down once its probe would be due.
     ///
     /// Failures count as late parts in proportion to their share in the traffic type, so that a searcher that
     /// fails fast does not attract parts. A replica with a run of bad luck is avoided by this.
@@ -473,8 +473,8 @@
 
     /// Records a relay, and decides whether the connections of its searcher are to be retired first.
     ///
-    /// They are, if relays after this idle time or less are lost more often by 0.25 than those after none,
-    /// and more often than those on new connections. Guards against anything on the way that closes idle
+    /// They are, if relays after this idle time or less are lost more often, by at least 0.25, than both
+    /// those after none and those on new connections. Guards against anything on the way that closes idle
     /// connections without notice: they are closed before use, except for one trial in each probe interval.
     /// Where new connections fail as well, because of the network or of searchers that are too slow for them,
     /// the existing ones are kept: what looks lost is then late. The cost is needless new connections.
@@ -575,7 +575,7 @@
                 // A weight of 1/20 averages about the last twenty parts, which is some seconds of one mixer's
                 // scans.
                 self.mean_latency += 0.05 * (elapsed - self.mean_latency);
-                // It may rise by half within some hundred answers, in case the work itself has grown.
+                // It may rise by half within several hundred answers, in case the work itself has grown.
                 self.min_latency = (self.min_latency * 1.0005).min(self.mean_latency);
             }
             RelayOutcome::Rejected => {
