--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -100,7 +100,7 @@
     traffic_type: TrafficType,
     outcome: RelayOutcome,
     after: u64,
-    again: bool,
+    retried: bool,
 ) {
     let idempotent = traffic_type.idempotency == Idempotency::Idempotent;
     let mut scenario = scenario(traffic_type);
@@ -109,13 +109,13 @@
     scenario.host.now = scenario.host.now + Span::from_millis(after);
     scenario.finish(first, outcome);
     let out = scenario.in_flight(id);
-    assert_eq!(out.len(), usize::from(again));
-    if again {
+    assert_eq!(out.len(), usize::from(retried));
+    if retried {
         assert_ne!(out[0].to, first.to);
         scenario.finish(out[0], RelayOutcome::Succeeded);
     }
-    let given_up = Some(if idempotent { Ending::Rejected } else { Ending::Failed });
-    assert_eq!(scenario.host.ending(id), if again { Some(Ending::Complete) } else { given_up });
+    let failure = Some(if idempotent { Ending::Rejected } else { Ending::Failed });
+    assert_eq!(scenario.host.ending(id), if retried { Some(Ending::Complete) } else { failure });
 }
 
 #[test_case(complete_only(), RelayOutcome::Failed, Ending::Rejected; "idempotent")]
@@ -154,14 +154,14 @@
 fn retries_stay_within_the_configured_budget() {
     let budget = RetryBudget::new(3, Some((1.0, 0.25, Span::from_millis(10_000))));
     let mut scenario = scenario_with(complete_only(), budget, true);
-    for taken in 1..=40usize {
+    for received in 1..=40usize {
         let id = scenario.scan(1);
         scenario.advance(50);
         scenario.in_flight(id).into_iter().for_each(|relay| scenario.finish(relay, RelayOutcome::Failed));
         scenario.finish_all(id, RelayOutcome::Succeeded);
         let scans: std::collections::BTreeSet<_> = scenario.host.relays.iter().map(|r| r.scan).collect();
-        let further = scenario.host.relays.len() - scans.len();
-        assert!(further as f64 <= 1.0 + 0.25 * (2 * taken) as f64, "{further} after {taken}");
+        let retries = scenario.host.relays.len() - scans.len();
+        assert!(retries as f64 <= 1.0 + 0.25 * (2 * received) as f64, "{retries} after {received}");
     }
 }
 
@@ -310,9 +310,9 @@
     let scans: Vec<_> = (0..4).map(|_| scenario.scan_with_weights(&weights, 4000, false)).collect();
     let parts = |id| scenario.in_flight(id).iter().map(|relay| relay.part).collect::<Vec<_>>();
     assert_eq!(parts(scans[0]), [0, 1, 2, 3, 4, 5]);
-    let spared = |id: &&_| parts(**id).starts_with(&[0, 1]) && parts(**id).len() < 6;
+    let skipped = |id: &&_| parts(**id).starts_with(&[0, 1]) && parts(**id).len() < 6;
     assert!(
-        scans.iter().any(|id| spared(&id)),
+        scans.iter().any(|id| skipped(&id)),
         "parts of high weight are sent, some of low weight are skipped"
     );
     assert!(scans.iter().any(|id| parts(*id).is_empty()), "in the end scans are rejected");
@@ -369,7 +369,7 @@
 #[test_case(partial(), false; "not a part that its scan can do without")]
 fn a_rejected_part_waits_for_capacity_elsewhere_while_other_parts_are_in_flight(
     traffic_type: TrafficType,
-    waits: bool,
+    retried: bool,
 ) {
     let mut scenario = scenario(traffic_type);
     scenario.warm_up(100);
@@ -385,12 +385,12 @@
     scenario.advance(50);
     others.into_iter().for_each(|other| scenario.finish_all(other, RelayOutcome::Succeeded));
     scenario.advance(300);
-    let again: Vec<u32> =
+    let retries: Vec<u32> =
         scenario.in_flight(id).iter().filter(|r| r.part == first.part).map(|r| r.to).collect();
-    assert_eq!(again.len(), usize::from(waits));
-    assert!(!again.contains(&first.to));
+    assert_eq!(retries.len(), usize::from(retried));
+    assert!(!retries.contains(&first.to));
     scenario.finish_all(id, RelayOutcome::Succeeded);
-    assert_eq!(scenario.host.ending(id), Some(if waits { Ending::Complete } else { Ending::Partial }));
+    assert_eq!(scenario.host.ending(id), Some(if retried { Ending::Complete } else { Ending::Partial }));
 }
 
 /// Nothing else is in flight that would be wasted, so the client is answered at once.
@@ -447,16 +447,16 @@
 fn full_queues_cause_rejections_until_a_probe_interval_has_passed() {
     let mut scenario = scenario(complete_only());
     scenario.warm_up(100);
-    let mut taken = 0;
+    let mut admitted = 0;
     for _ in 0..60 {
         let id = scenario.scan(1);
-        taken += usize::from(!scenario.in_flight(id).is_empty());
+        admitted += usize::from(!scenario.in_flight(id).is_empty());
         scenario.advance(5);
         while !scenario.in_flight(id).is_empty() {
             scenario.finish_all(id, RelayOutcome::Rejected);
         }
     }
-    assert!(taken <= 30, "{taken}");
+    assert!(admitted <= 30, "{admitted}");
     scenario.advance(5000);
     let id = scenario.scan(1);
     assert_eq!(scenario.in_flight(id).len(), 1);
@@ -481,15 +481,15 @@
         scenario.warm_up(100);
     }
     scenario.advance(3000);
-    let shut = scenario.host.retired.len();
+    let retired_before = scenario.host.retired.len();
     let late = scenario.scan(3);
-    assert!(scenario.host.retired.len() >= shut + 2, "all but one, which is on trial");
-    let shut = scenario.host.retired.len();
+    assert!(scenario.host.retired.len() >= retired_before + 2, "all but one, which is on trial");
+    let retired_before = scenario.host.retired.len();
     scenario.advance(100);
     scenario.finish_all(late, RelayOutcome::Succeeded);
     scenario.advance(100);
     scenario.scan(3);
-    assert_eq!(scenario.host.retired.len(), shut, "not if it was idle for less time");
+    assert_eq!(scenario.host.retired.len(), retired_before, "not if it was idle for less time");
 }
 
 /// A scenario in which connections that had been idle for three seconds were lost seven times.
@@ -549,18 +549,19 @@
 fn a_searcher_whose_connections_fail_gets_fewer_parts_though_its_probes_pass() {
     let mut scenario = scenario(complete_only());
     let lost = make_one_unreachable(&mut scenario);
-    let mut met = 0;
+    let mut attempts = 0;
     for _ in 0..12 {
         scenario.advance(5000);
         scenario.mixer.probe_finished(&mut scenario.host, Searcher(lost.to), true);
         let id = scenario.scan(2);
-        let again: Vec<_> = scenario.in_flight(id).into_iter().filter(|relay| relay.to == lost.to).collect();
-        met += again.len();
-        again.into_iter().for_each(|relay| scenario.finish(relay, RelayOutcome::Unreachable));
+        let failing: Vec<_> =
+            scenario.in_flight(id).into_iter().filter(|relay| relay.to == lost.to).collect();
+        attempts += failing.len();
+        failing.into_iter().for_each(|relay| scenario.finish(relay, RelayOutcome::Unreachable));
         scenario.advance(150);
         scenario.finish_all(id, RelayOutcome::Succeeded);
     }
-    assert!((1..=4).contains(&met), "{met} of 12");
+    assert!((1..=4).contains(&attempts), "{attempts} of 12");
 }
 
 /// Some scans crash every searcher that starts one of their parts.
@@ -616,16 +617,16 @@
     lost.iter().for_each(|relay| scenario.finish(*relay, RelayOutcome::ConnectionLost));
     assert_eq!(scenario.in_flight(first).len(), 12, "one connection is one loss: all parts are retried");
     others.iter().for_each(|relay| scenario.finish(*relay, RelayOutcome::Succeeded));
-    let held = scenario.scan(3);
-    assert_eq!(scenario.in_flight(held).len(), 1);
+    let canaried = scenario.scan(3);
+    assert_eq!(scenario.in_flight(canaried).len(), 1);
     for _ in 0..12 {
         scenario.advance(50);
         let id = scenario.scan(1);
-        let at_it = scenario.in_flight(id)[0].to == to;
+        let sent_there = scenario.in_flight(id)[0].to == to;
         scenario.finish_all(id, RelayOutcome::Succeeded);
         let next = scenario.scan(3);
-        assert_eq!(scenario.in_flight(next).len(), if at_it { 3 } else { 1 });
-        if at_it {
+        assert_eq!(scenario.in_flight(next).len(), if sent_there { 3 } else { 1 });
+        if sent_there {
             return;
         }
     }
@@ -643,20 +644,20 @@
 fn a_late_part_is_cancelled_and_sent_to_another_replica(
     traffic_type: TrafficType,
     after: u64,
-    usual: u64,
-    again: bool,
+    latency: u64,
+    resent: bool,
 ) {
     let mut scenario = scenario(traffic_type);
-    scenario.warm_up(usual);
+    scenario.warm_up(latency);
     scenario.advance(5_000);
     let id = scenario.scan(2);
     let (late, other) = (scenario.in_flight(id)[0], scenario.in_flight(id)[1]);
-    scenario.advance(usual);
+    scenario.advance(latency);
     scenario.finish(other, RelayOutcome::Succeeded);
-    scenario.advance(after - usual);
-    assert_eq!(scenario.host.cancelled.contains(&late.ticket), again);
-    assert_eq!(scenario.host.retired.contains(&late.to), again, "its connections are retired");
-    if again {
+    scenario.advance(after - latency);
+    assert_eq!(scenario.host.cancelled.contains(&late.ticket), resent);
+    assert_eq!(scenario.host.retired.contains(&late.to), resent, "its connections are retired");
+    if resent {
         scenario.finish(late, RelayOutcome::Cancelled);
         let next = scenario.in_flight(id);
         assert_eq!((next.len(), next[0].part), (1, late.part));
@@ -669,7 +670,7 @@
 /// The loss of one part in eight at some searchers made them look slow, and scans were rejected.
 #[test_case(true, true; "later parts overtook them")]
 #[test_case(false, false; "all parts are slow there")]
-fn single_lost_parts_do_not_make_their_searcher_look_slow(passed: bool, taken: bool) {
+fn single_lost_parts_do_not_make_their_searcher_look_slow(overtaken: bool, admitted: bool) {
     let mut scenario = scenario(complete_only());
     scenario.warm_up(5);
     for _ in 0..3 {
@@ -677,13 +678,13 @@
         scenario.advance(5);
         let other = scenario.scan(3);
         scenario.advance(5);
-        if passed {
+        if overtaken {
             scenario.finish_all(other, RelayOutcome::Succeeded);
         }
         scenario.advance(500);
         scenario.finish_all(other, RelayOutcome::Cancelled);
         scenario.finish_all(lost, RelayOutcome::Cancelled);
-        if passed {
+        if overtaken {
             scenario.finish_all(lost, RelayOutcome::Succeeded);
         }
     }
@@ -691,8 +692,8 @@
     for _ in 0..3 {
         scenario.scan(3);
     }
-    let hurried = scenario.scan_with_weights(&[1.0], 200, false);
-    assert_eq!(scenario.host.ending(hurried).is_none(), taken);
+    let urgent = scenario.scan_with_weights(&[1.0], 200, false);
+    assert_eq!(scenario.host.ending(urgent).is_none(), admitted);
 }
 
 /// Searchers that lost parts but answered others had no capacity left, because a lost part counted against
@@ -737,8 +738,8 @@
     for _ in 0..3 {
         scenario.scan(3);
     }
-    let hurried = scenario.scan_with_weights(&[1.0], 200, false);
-    assert_eq!(scenario.host.ending(hurried), None);
+    let urgent = scenario.scan_with_weights(&[1.0], 200, false);
+    assert_eq!(scenario.host.ending(urgent), None);
 }
 
 /// When a failure counted as the whole target latency, a few failures at half of the searchers left the
@@ -772,8 +773,8 @@
     scenario.finish_all(other, RelayOutcome::Succeeded);
     scenario.advance(400);
     assert_eq!(scenario.in_flight(stuck).len(), 3);
-    let hurried = scenario.scan_with_weights(&[1.0], 200, false);
-    assert_eq!(scenario.host.ending(hurried), None);
+    let urgent = scenario.scan_with_weights(&[1.0], 200, false);
+    assert_eq!(scenario.host.ending(urgent), None);
 }
 
 #[test]
@@ -819,25 +820,25 @@
     scenario.mixer = host::mixer(vec![complete_only()], 100.0, RetryBudget::new(3, None), true);
     scenario.list(true, &[(0, true), (1, true), (2, true)], None);
     scenario.warm_up(200);
-    let mut taken = 0;
+    let mut admitted = 0;
     for round in 0..80 {
         let id = scenario.scan(1);
-        taken += usize::from(round >= 40 && !scenario.in_flight(id).is_empty());
+        admitted += usize::from(round >= 40 && !scenario.in_flight(id).is_empty());
         scenario.advance(1990);
         scenario.finish_all(id, RelayOutcome::Cancelled);
     }
-    assert!((1..=6).contains(&taken), "{taken}");
+    assert!((1..=6).contains(&admitted), "{admitted}");
 }
 
 /// Clients that give up before their parts can finish: the parts would be run for nothing.
 #[test_case(140, false; "less time than the parts need")]
 #[test_case(400, true; "enough time")]
-fn a_scan_with_little_time_is_admitted_only_if_the_searchers_are_fast_enough(left: u64, taken: bool) {
+fn a_scan_with_little_time_is_admitted_only_if_the_searchers_are_fast_enough(time_left: u64, admitted: bool) {
     let mut scenario = scenario(complete_only());
     scenario.warm_up(100);
     scenario.scan(3);
-    let id = scenario.scan_with_weights(&[0.5, 0.5], left, false);
-    assert_eq!(scenario.host.ending(id), (!taken).then_some(Ending::Rejected));
+    let id = scenario.scan_with_weights(&[0.5, 0.5], time_left, false);
+    assert_eq!(scenario.host.ending(id), (!admitted).then_some(Ending::Rejected));
 }
 
 /// One of six parts is at a searcher that is cut off: its connection is open but silent. When the part is
@@ -845,7 +846,7 @@
 /// elsewhere.
 #[test_case(false, true; "no reply to the probe")]
 #[test_case(true, false; "it replies to the probe: it has a queue")]
-fn a_searcher_that_is_cut_off_is_probed_and_marked_down_before_its_part_is_late(there: bool, goes: bool) {
+fn a_searcher_that_is_cut_off_is_probed_and_marked_down_before_its_part_is_late(replies: bool, resent: bool) {
     let mut scenario = scenario(complete_only());
     scenario.mixer.probes_bypass_queue = true;
     scenario.warm_up(20);
@@ -871,13 +872,13 @@
         [silent.to],
         "probed after a quarter of the time until the part is late"
     );
-    if there {
+    if replies {
         scenario.mixer.probe_finished(&mut scenario.host, Searcher(silent.to), true);
     }
     scenario.advance(130);
-    assert_eq!(scenario.host.cancelled.contains(&silent.ticket), goes, "long before half a second");
+    assert_eq!(scenario.host.cancelled.contains(&silent.ticket), resent, "long before half a second");
     assert_eq!(scenario.host.probes.len(), 1);
-    if goes {
+    if resent {
         scenario.finish(silent, RelayOutcome::Cancelled);
         assert_ne!(scenario.in_flight(id)[0].to, silent.to);
         scenario.finish_all(id, RelayOutcome::Succeeded);
@@ -1014,8 +1015,8 @@
         results: shared_results,
         ..ScriptedPolicy::default()
     }));
-    let shed = scenario.scan(4);
-    assert_eq!(scenario.host.ending(shed), Some(Ending::Rejected));
+    let rejected = scenario.scan(4);
+    assert_eq!(scenario.host.ending(rejected), Some(Ending::Rejected));
     assert!(scenario.host.relays.is_empty() && results.borrow().is_empty());
     assert_eq!(
         scenario.host.pauses,
@@ -1048,23 +1049,23 @@
     scenario.list(true, &[(0, true), (1, true), (2, true)], None);
     scenario.warm_up(100);
     let early = scenario.scan(3);
-    let out = scenario.in_flight(early)[0];
+    let earlier = scenario.in_flight(early)[0];
     scenario.advance(10);
     let late = loop {
         let id = scenario.scan(3);
-        if let Some(relay) = scenario.in_flight(id).into_iter().find(|relay| relay.to == out.to) {
+        if let Some(relay) = scenario.in_flight(id).into_iter().find(|relay| relay.to == earlier.to) {
             break relay;
         }
     };
     scenario.advance(50);
     scenario.finish(late, RelayOutcome::Unreachable);
     if kept_running {
-        scenario.finish(out, RelayOutcome::Succeeded);
+        scenario.finish(earlier, RelayOutcome::Succeeded);
     } else {
-        scenario.finish(out, RelayOutcome::ConnectionLost);
-        scenario.mixer.probe_finished(&mut scenario.host, Searcher(out.to), true);
+        scenario.finish(earlier, RelayOutcome::ConnectionLost);
+        scenario.mixer.probe_finished(&mut scenario.host, Searcher(earlier.to), true);
     }
     let others: Vec<_> = scenario.host.relays.iter().filter(|relay| !relay.finished).copied().collect();
     others.into_iter().for_each(|relay| scenario.finish(relay, RelayOutcome::Succeeded));
-    sent_to(&mut scenario, out.to, 18)
+    sent_to(&mut scenario, earlier.to, 18)
 }
