--- a/crates/fronts/tests/passed_on.rs
+++ b/crates/fronts/tests/passed_on.rs
@@ -3,7 +3,7 @@
 
 use fernglade::choice::Mixer;
 use fernglade::{
-    Host, Moment, PartRequest, RelayOutcome, ScanId, ScanRequest, Searcher, SearcherEntry, Span, Ticket,
+    Host, ListedSearcher, Moment, PartSpec, RelayOutcome, ScanId, ScanSpec, Searcher, Span, Ticket,
 };
 use fernglade_fronts::Readings;
 use std::collections::VecDeque;
@@ -63,16 +63,16 @@
         let mut mixer = readings.mixer(7).unwrap();
         let mut scene = Scene { now: Moment::from_micros(100_000_000), ..Scene::default() };
         let of =
-            |number| SearcherEntry { searcher: Searcher(number), ready: true, ..SearcherEntry::default() };
+            |number| ListedSearcher { searcher: Searcher(number), ready: true, ..ListedSearcher::default() };
         mixer.update_searchers(&mut scene, true, &[of(0), of(1), of(2)]);
         Self { mixer, scene, scans: 0 }
     }
 
     fn scan(&mut self, parts: usize) {
         self.scans += 1;
-        let part = PartRequest { shard: 0, weight: 1.0 / parts as f64 };
+        let part = PartSpec { shard: 0, weight: 1.0 / parts as f64 };
         let (left, parts) = (Span::from_millis(4_000), vec![part; parts]);
-        let scan = ScanRequest {
+        let scan = ScanSpec {
             traffic_type: 0,
             customer: 0,
             time_left: left,
@@ -162,11 +162,11 @@
         play.land(RelayOutcome::Succeeded);
     }
     let started = Some(play.scene.now);
-    let of = |number| SearcherEntry {
+    let of = |number| ListedSearcher {
         searcher: Searcher(number),
         ready: true,
         started,
-        ..SearcherEntry::default()
+        ..ListedSearcher::default()
     };
     play.mixer.update_searchers(&mut play.scene, true, &[of(3), of(4)]);
     play.scene.did.clear();
--- a/crates/mixer/src/routing/roll.rs
+++ b/crates/mixer/src/routing/roll.rs
@@ -2,7 +2,7 @@
 
 use super::{Effect, Tongue};
 use crate::protocol::lists::{News, Row};
-use fernglade::{Searcher, SearcherEntry};
+use fernglade::{ListedSearcher, Searcher};
 use fernglade_fronts::Numbers;
 use fernglade_orders::Dialect;
 use std::collections::{BTreeMap, BTreeSet};
@@ -51,7 +51,7 @@
 
     /// Takes news in, and gives what the module is to hear. Of changes that are older than what was told before
     /// nothing is taken, as they might have a searcher ready again that drains: the whole list is to be had.
-    pub fn take(&mut self, news: &News) -> Vec<SearcherEntry> {
+    pub fn take(&mut self, news: &News) -> Vec<ListedSearcher> {
         let back = !news.whole && self.version.is_some_and(|version| news.version < version);
         (self.version, self.unheard) = ((!back).then_some(news.version), false);
         if back {
@@ -74,14 +74,14 @@
         self.lines.retain(|searcher, _| self.numbers.name(*searcher).is_some());
     }
 
-    fn list(&mut self, row: &Row) -> SearcherEntry {
+    fn list(&mut self, row: &Row) -> ListedSearcher {
         let searcher = self.numbers.number(&row.name);
         let tongue = if self.dialect.speaks(&row.name) { Tongue::Dialect } else { Tongue::Frames };
         let known = self.lines.get(&searcher).filter(|line| line.address == row.address);
         let version = known.and_then(|line| line.version.clone());
         self.lines.insert(searcher, Line { tongue, version, address: row.address, ready: row.ready });
         let dear = self.dear_outside.as_ref().is_some_and(|home| *home != row.zone);
-        SearcherEntry { searcher, cell: row.cell, ready: row.ready, started: row.started, cross_zone: dear }
+        ListedSearcher { searcher, cell: row.cell, ready: row.ready, started: row.started, cross_zone: dear }
     }
 
     pub fn address(&self, searcher: Searcher) -> Option<SocketAddr> {
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -12,9 +12,7 @@
 use crate::protocol::scans::{Ask, Blame, PART_FRAME};
 use crate::protocol::MOST_BODY;
 use fernglade::choice::Mixer;
-use fernglade::{
-    Host, Idempotency, Moment, PartRequest, RelayOutcome, ScanRequest, Span, Ticket, TrafficType,
-};
+use fernglade::{Host, Idempotency, Moment, PartSpec, RelayOutcome, ScanSpec, Span, Ticket, TrafficType};
 use fernglade_admission::{Act, Descriptors, Guest};
 use fernglade_dialect::request::{health, root, table, Request, What};
 use fernglade_fronts::{Misread, Readings};
@@ -308,7 +306,7 @@
     }
 
     /// The scan in the module's terms, if it makes sense here.
-    fn taken(&self, ask: &Ask, began: Moment) -> Result<ScanRequest, Blame> {
+    fn taken(&self, ask: &Ask, began: Moment) -> Result<ScanSpec, Blame> {
         let wrong = |what: String| Err(Blame::Request(what));
         let Some(traffic_type) = self.types.iter().position(|(name, _)| *name == ask.traffic_type) else {
             return Err(Blame::Path);
@@ -335,9 +333,8 @@
         if (sum - 1.0).abs() > 0.01 {
             return wrong("the portions are not a whole".into());
         }
-        let parts =
-            ask.parts.iter().map(|p| PartRequest { shard: p.shard, weight: p.weight / sum }).collect();
-        Ok(ScanRequest {
+        let parts = ask.parts.iter().map(|p| PartSpec { shard: p.shard, weight: p.weight / sum }).collect();
+        Ok(ScanSpec {
             traffic_type,
             customer: customer.unwrap_or(0),
             time_left: ask.left.saturating_sub(self.desk.now.since(began)),
--- a/crates/shedding/tests/fleet.rs
+++ b/crates/shedding/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Many mixers before one queue in made-up time: each hears only of its own parts, and the sums are judged.
 
-use fernglade::{AdmissionRequest, Moment, PartRequest, PartResult, RelayOutcome, Span};
+use fernglade::{AdmissionRequest, Moment, PartResult, PartSpec, RelayOutcome, Span};
 use fernglade_shedding::Shedder;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
@@ -52,7 +52,7 @@
             fleet[mixer].landed(Moment::from_micros(at), &heard);
         }
         let mixer = if chance.random_bool(first) { 0 } else { chance.random_range(0..mixers) };
-        let parts = [PartRequest { shard: chance.random_range(0..1 << 20), weight: 1.0 }];
+        let parts = [PartSpec { shard: chance.random_range(0..1 << 20), weight: 1.0 }];
         let knock = AdmissionRequest { priority: 1.0, is_retry: false, parts: &parts, cells: 1 };
         let line = &mut seconds[second];
         line.offered += 1;
--- a/crates/shedding/tests/order.rs
+++ b/crates/shedding/tests/order.rs
@@ -1,17 +1,17 @@
 //! The order of shedding, and what holds of levels whatever is heard.
 
-use fernglade::{AdmissionRequest, Moment, PartRequest, PartResult, RelayOutcome, Span};
+use fernglade::{AdmissionRequest, Moment, PartResult, PartSpec, RelayOutcome, Span};
 use fernglade_shedding::{Level, Loop, Order, Shedder, Strain, MOST};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 const BEGAN: u64 = 100_000_000;
 
-fn parts(shards: &[u32]) -> Vec<PartRequest> {
-    shards.iter().map(|shard| PartRequest { shard: *shard, weight: 1.0 }).collect()
+fn parts(shards: &[u32]) -> Vec<PartSpec> {
+    shards.iter().map(|shard| PartSpec { shard: *shard, weight: 1.0 }).collect()
 }
 
-fn knock(worth: f64, repeat: bool, parts: &[PartRequest]) -> AdmissionRequest<'_> {
+fn knock(worth: f64, repeat: bool, parts: &[PartSpec]) -> AdmissionRequest<'_> {
     AdmissionRequest { priority: worth, is_retry: repeat, parts, cells: 4 }
 }
 
@@ -84,7 +84,7 @@
 }
 
 /// Asked of a copy, so that asking changes nothing.
-fn takes(mixer: &Shedder, now: Moment, parts: &[PartRequest]) -> bool {
+fn takes(mixer: &Shedder, now: Moment, parts: &[PartSpec]) -> bool {
     mixer.clone().lets_in(now, &knock(1.0, false, parts)).is_ok()
 }
 
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -3,7 +3,7 @@
 use crate::wire::{Fields, Malformed, Reply};
 use fernglade::choice::Mixer;
 use fernglade::{
-    Host, Moment, PartRequest, RelayOutcome, ScanId, ScanRequest, Searcher, SearcherEntry, Span, Ticket,
+    Host, ListedSearcher, Moment, PartSpec, RelayOutcome, ScanId, ScanSpec, Searcher, Span, Ticket,
 };
 use fernglade_fronts::{Numbers, Readings, Slots};
 use std::collections::{BTreeSet, HashMap};
@@ -148,8 +148,8 @@
 struct Arriving {
     id: ScanId,
     /// None for the parts of a second step.
-    scan: Option<ScanRequest>,
-    parts: Vec<PartRequest>,
+    scan: Option<ScanSpec>,
+    parts: Vec<PartSpec>,
 }
 
 /// The status of a searcher that has left the list.
@@ -186,7 +186,7 @@
     pub fn hand_over(&mut self, now: Moment, reply: &mut Reply) {
         let Some(Arriving { id, scan, parts }) = self.arriving.take() else { return };
         self.with(now, reply, |mixer, host| match scan {
-            Some(scan) => mixer.start_scan(host, id, ScanRequest { parts, ..scan }),
+            Some(scan) => mixer.start_scan(host, id, ScanSpec { parts, ..scan }),
             None => mixer.start_fetch(host, id, &parts),
         });
     }
@@ -201,7 +201,7 @@
         let work = (options & 1 != 0).then(|| Span::from_micros(hint.into()));
         if shard < 0.0 {
             self.hand_over(now, reply);
-            let scan = ScanRequest {
+            let scan = ScanSpec {
                 traffic_type: class.into(),
                 customer: team.into(),
                 time_left: Span::from_micros(left.into()),
@@ -218,7 +218,7 @@
             self.hand_over(now, reply);
             self.arriving = Some(Arriving { id, scan: None, parts: Vec::new() });
         }
-        let part = PartRequest { shard: shard as u32, weight: f64::from(weight) };
+        let part = PartSpec { shard: shard as u32, weight: f64::from(weight) };
         self.arriving.iter_mut().for_each(|a| a.parts.push(part));
         self.books.open.get_mut(id).into_iter().for_each(|held| held.parts.push((corr, 0)));
         Ok(())
@@ -230,14 +230,14 @@
         }
         let entries = entries.map_or(&[][..], Vec::as_slice);
         let dear_outside = self.dear_outside;
-        let listing = |entry: &Entry| SearcherEntry {
+        let listing = |entry: &Entry| ListedSearcher {
             searcher: self.books.searchers.number(&entry.wire_id),
             cell: entry.cell.into(),
             ready: entry.status == 0,
             started: (entry.started != 0).then(|| Moment::from_micros(entry.started)),
             cross_zone: dear_outside.is_some_and(|home| entry.zone != home),
         };
-        let listings: Vec<SearcherEntry> = entries.iter().map(listing).collect();
+        let listings: Vec<ListedSearcher> = entries.iter().map(listing).collect();
         self.with(now, reply, |mixer, host| mixer.update_searchers(host, how != 0, &listings));
         let (gone, here): (Vec<&Entry>, Vec<&Entry>) = entries.iter().partition(|entry| entry.status == GONE);
         let ids = |entries: Vec<&Entry>| entries.iter().map(|entry| entry.wire_id).collect::<BTreeSet<u32>>();
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -113,19 +113,19 @@
     }
 
     /// Applies an update from discovery. With `full_list`, searchers that are not in it have been removed.
-    pub fn update_searchers(&mut self, host: &mut dyn Host, full_list: bool, entries: &[SearcherEntry]) {
+    pub fn update_searchers(&mut self, host: &mut dyn Host, full_list: bool, entries: &[ListedSearcher]) {
         self.apply_entries(host, full_list, entries);
         self.has_discovery = true;
     }
 
     /// Applies a list of unknown age that was stored before this mixer started.
-    pub fn restore_searchers(&mut self, host: &mut dyn Host, entries: &[SearcherEntry]) {
+    pub fn restore_searchers(&mut self, host: &mut dyn Host, entries: &[ListedSearcher]) {
         self.apply_entries(host, true, entries);
     }
 
     /// Applies list entries, starts the slow start of searchers that have newly started, and removes departed
     /// ones.
-    fn apply_entries(&mut self, host: &mut dyn Host, full_list: bool, entries: &[SearcherEntry]) {
+    fn apply_entries(&mut self, host: &mut dyn Host, full_list: bool, entries: &[ListedSearcher]) {
         let now = host.now();
         self.replicas.first_listed.get_or_insert(now);
         let listed: BTreeSet<Searcher> = entries.iter().map(|entry| entry.searcher).collect();
@@ -134,8 +134,9 @@
             .states
             .values()
             .filter(|_| full_list)
-            .map(|s| SearcherEntry { ready: false, ..s.entry });
-        let mut removed: Vec<SearcherEntry> = all.filter(|entry| !listed.contains(&entry.searcher)).collect();
+            .map(|s| ListedSearcher { ready: false, ..s.entry });
+        let mut removed: Vec<ListedSearcher> =
+            all.filter(|entry| !listed.contains(&entry.searcher)).collect();
         removed.sort_by_key(|entry| entry.searcher);
         let list = match self.has_discovery {
             true => ListKind::Update,
@@ -152,7 +153,7 @@
     }
 
     /// Admits or rejects a scan; sends the parts of an admitted one and sets its timers.
-    pub fn start_scan(&mut self, host: &mut dyn Host, id: ScanId, scan: ScanRequest) {
+    pub fn start_scan(&mut self, host: &mut dyn Host, id: ScanId, scan: ScanSpec) {
         let now = host.now();
         self.retry_budget.note_requests(now, 1 + scan.parts.len());
         if !self.accepts_scans(now) {
@@ -193,10 +194,9 @@
             Some(Ok(position)) => position,
             None => self.replicas.rng.below(1 << 20) as f64 / f64::from(1 << 20),
         };
-        let (mut parts_per_cell, cell_of) =
-            (BTreeMap::new(), |p: &PartRequest| p.shard % self.replicas.cells);
+        let (mut parts_per_cell, cell_of) = (BTreeMap::new(), |p: &PartSpec| p.shard % self.replicas.cells);
         scan.parts.iter().for_each(|p| *parts_per_cell.entry(cell_of(p)).or_insert(0) += 1);
-        let fits = |p: &&PartRequest| {
+        let fits = |p: &&PartSpec| {
             self.replicas.has_capacity(now, timeout, p.shard, priority, rank, parts_per_cell[&cell_of(p)])
         };
         let capacity: f64 = scan.parts.iter().filter(fits).map(|p| p.weight).sum();
@@ -228,7 +228,7 @@
     }
 
     /// Starts the second step of a scan with the parts to fetch.
-    pub fn start_fetch(&mut self, host: &mut dyn Host, id: ScanId, parts: &[PartRequest]) {
+    pub fn start_fetch(&mut self, host: &mut dyn Host, id: ScanId, parts: &[PartSpec]) {
         self.retry_budget.note_requests(host.now(), parts.len());
         let Some(scan) = self.scans.get_mut(&id) else { return };
         scan.parts.extend(parts.iter().map(|request| Part { request: *request, ..Part::default() }));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -124,9 +124,9 @@
     NotSent,
 }
 
-/// One searcher as service discovery reports it.
+/// A searcher as listed by service discovery.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SearcherEntry {
+pub struct ListedSearcher {
     pub searcher: Searcher,
     /// The group of searchers that it belongs to; all searchers of a cell hold the same shards.
     pub cell: u32,
@@ -138,17 +138,17 @@
     pub cross_zone: bool,
 }
 
-/// One part of a scan as the client requested it.
+/// Specifies one part of a scan: its shard and its weight.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PartRequest {
+pub struct PartSpec {
     pub shard: u32,
     /// The share of the whole answer that the part contributes.
     pub weight: f64,
 }
 
-/// A scan as the client requested it.
+/// Specifies a scan that a client requested: its traffic type, its limits and its parts.
 #[derive(Clone, Debug)]
-pub struct ScanRequest {
+pub struct ScanSpec {
     /// Index of its traffic type in the deployment's settings.
     pub traffic_type: usize,
     /// Index of the customer in the deployment's settings.
@@ -159,7 +159,7 @@
     pub work_hint: Option<Span>,
     /// Whether the client states that this is a retry.
     pub is_retry: bool,
-    pub parts: Vec<PartRequest>,
+    pub parts: Vec<PartSpec>,
 }
 
 /// Whether a part of a traffic type may be sent more than once.
@@ -201,7 +201,7 @@
     /// The scan's value for its work relative to the best seen so far, at most 1.
     pub priority: f64,
     pub is_retry: bool,
-    pub parts: &'a [PartRequest],
+    pub parts: &'a [PartSpec],
     /// Number of cells in the deployment.
     pub cells: u32,
 }
--- a/src/query.rs
+++ b/src/query.rs
@@ -5,7 +5,7 @@
 /// One part of an open scan.
 #[derive(Default)]
 pub(crate) struct Part {
-    pub(crate) request: PartRequest,
+    pub(crate) request: PartSpec,
     /// The searchers that it has been sent to, in order.
     pub(crate) tried: Vec<Searcher>,
     /// The relay in flight, and when it was sent.
--- a/src/replicas.rs
+++ b/src/replicas.rs
@@ -48,7 +48,7 @@
 /// What this mixer has observed of one searcher.
 #[derive(Default)]
 pub(crate) struct ReplicaState {
-    pub(crate) entry: SearcherEntry,
+    pub(crate) entry: ListedSearcher,
     /// When it started, and the number of its answers since then.
     pub(crate) slow_start: Option<(Moment, usize)>,
     /// How much may be sent to it during its slow start.
@@ -212,7 +212,7 @@
     }
 
     /// Applies a list entry and returns the previous one of that searcher.
-    pub(crate) fn apply_entry(&mut self, entry: SearcherEntry) -> SearcherEntry {
+    pub(crate) fn apply_entry(&mut self, entry: ListedSearcher) -> ListedSearcher {
         // Twelve for all mixers together, a few for each core of a usual machine; at least three for each
         // mixer.
         let limit = (12.0 / self.slow_start.mixers).max(3.0);
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -6,7 +6,7 @@
 use fernglade::retry_budget::RetryBudget;
 use fernglade::slow_start::SlowStart;
 use fernglade::{
-    Host, Idempotency, Moment, PartRequest, RelayOutcome, ScanId, ScanRequest, Searcher, SearcherEntry, Span,
+    Host, Idempotency, ListedSearcher, Moment, PartSpec, RelayOutcome, ScanId, ScanSpec, Searcher, Span,
     Ticket, TrafficType,
 };
 
@@ -165,25 +165,25 @@
     /// Lists `replicas` searchers for each cell, numbered consecutively; the first `fresh` of each cell
     /// started now.
     pub fn list_cells(&mut self, cells: u32, replicas: u32, fresh: u32) {
-        let entry = |id: u32| SearcherEntry {
+        let entry = |id: u32| ListedSearcher {
             searcher: Searcher(id),
             cell: id / replicas,
             ready: true,
             started: Some(self.host.now).filter(|_| id % replicas < fresh),
-            ..SearcherEntry::default()
+            ..ListedSearcher::default()
         };
-        let entries: Vec<SearcherEntry> = (0..cells * replicas).map(entry).collect();
+        let entries: Vec<ListedSearcher> = (0..cells * replicas).map(entry).collect();
         self.mixer.update_searchers(&mut self.host, true, &entries);
     }
 
     pub fn list(&mut self, full_list: bool, searchers: &[(u32, bool)], started: Option<Moment>) {
-        let entry = |&(id, ready): &(u32, bool)| SearcherEntry {
+        let entry = |&(id, ready): &(u32, bool)| ListedSearcher {
             searcher: Searcher(id),
             ready,
             started,
-            ..SearcherEntry::default()
+            ..ListedSearcher::default()
         };
-        let entries: Vec<SearcherEntry> = searchers.iter().map(entry).collect();
+        let entries: Vec<ListedSearcher> = searchers.iter().map(entry).collect();
         self.mixer.update_searchers(&mut self.host, full_list, &entries);
     }
 
@@ -205,10 +205,10 @@
     ) -> ScanId {
         let id = ScanId { slot: self.scans, generation: 1 };
         self.scans += 1;
-        let request = |(shard, weight): (usize, &f64)| PartRequest { shard: shard as u32, weight: *weight };
+        let request = |(shard, weight): (usize, &f64)| PartSpec { shard: shard as u32, weight: *weight };
         let parts = weights.iter().enumerate().map(request).collect();
         let time_left = Span::from_millis(time_left);
-        let scan = ScanRequest { traffic_type, customer: 0, time_left, work_hint: None, is_retry, parts };
+        let scan = ScanSpec { traffic_type, customer: 0, time_left, work_hint: None, is_retry, parts };
         self.mixer.start_scan(&mut self.host, id, scan);
         id
     }
--- a/tests/slow_start/mod.rs
+++ b/tests/slow_start/mod.rs
@@ -3,7 +3,7 @@
 
 use crate::host::{complete_only, mixer_of, without_searchers, Relay, Scenario};
 use fernglade::retry_budget::RetryBudget;
-use fernglade::{RelayOutcome, Searcher, SearcherEntry, Span};
+use fernglade::{ListedSearcher, RelayOutcome, Searcher, Span};
 use test_case::test_case;
 
 /// The time that a part takes on one of two cores, in milliseconds.
@@ -95,11 +95,11 @@
                 Fault::ClockBehind => now + Span::from_millis(3_600_000),
                 _ => now,
             };
-            let entry = |id: u32| SearcherEntry {
+            let entry = |id: u32| ListedSearcher {
                 searcher: Searcher(id),
                 ready: true,
                 started: Some(started).filter(|_| fresh.contains(&id)),
-                ..SearcherEntry::default()
+                ..ListedSearcher::default()
             };
             scenario.mixer.update_searchers(&mut scenario.host, true, &[entry(0), entry(1), entry(2)]);
         }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -7,8 +7,8 @@
 
 use fernglade::retry_budget::RetryBudget;
 use fernglade::{
-    AdmissionRequest, FleetPolicy, Idempotency, Moment, PartRequest, PartResult, RelayOutcome, ScanId,
-    Searcher, SearcherEntry, Span, TrafficType,
+    AdmissionRequest, FleetPolicy, Idempotency, ListedSearcher, Moment, PartResult, PartSpec, RelayOutcome,
+    ScanId, Searcher, Span, TrafficType,
 };
 use host::{
     complete_only, mixer_of, scenario, scenario_of, scenario_with, without_searchers, Ending, Scenario,
@@ -345,7 +345,7 @@
     scenario.advance(100);
     scenario.finish_all(id, RelayOutcome::Succeeded);
     assert_eq!(scenario.host.endings, [(id, Ending::FirstStep)]);
-    let parts = [PartRequest { shard: 0, weight: 1.0 }];
+    let parts = [PartSpec { shard: 0, weight: 1.0 }];
     scenario.mixer.start_fetch(&mut scenario.host, id, &parts);
     scenario.advance(100);
     scenario.finish_all(id, RelayOutcome::Succeeded);
@@ -781,11 +781,11 @@
 fn among_equal_replicas_the_one_without_cross_zone_cost_is_chosen() {
     let mut scenario = scenario(complete_only());
     scenario.warm_up(100);
-    let told = |id| SearcherEntry {
+    let told = |id| ListedSearcher {
         searcher: Searcher(id),
         ready: true,
         cross_zone: id != 1,
-        ..SearcherEntry::default()
+        ..ListedSearcher::default()
     };
     scenario.mixer.update_searchers(&mut scenario.host, true, &[told(0), told(1), told(2)]);
     assert_eq!(sent_to_with_parts(&mut scenario, 1, 10, 1), 10);
