--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -26,19 +26,19 @@
 /// A connection that was just admitted, was just answered or just began to send a request is not evicted,
 /// unless the client that needs the slot holds far fewer connections: a usual request is complete within
 /// milliseconds.
-pub const EVICTION_GRACE: Span = Span::of_millis(100);
+pub const EVICTION_GRACE: Span = Span::from_millis(100);
 /// How long a connection may be queued. A client that connects must get a response or a close within three
 /// seconds, of which two are for sending the request and half a second is for waiting to be accepted.
-pub const MAX_QUEUE_WAIT: Span = Span::of_millis(400);
+pub const MAX_QUEUE_WAIT: Span = Span::from_millis(400);
 /// How long accepting pauses while the queue is full. A burst then waits in the listen backlog, which costs
 /// it nothing. Under lasting overload connections are accepted again and rejected, or those behind them would
 /// wait for the whole backlog.
-pub const MAX_ACCEPT_PAUSE: Span = Span::of_millis(500);
+pub const MAX_ACCEPT_PAUSE: Span = Span::from_millis(500);
 /// Overload ends when the queue has not been full for this long: twice the time for which a burst may wait in
 /// the backlog. With less, clients that get their slots by turns would pause accepting over and over.
-const OVERLOAD_CLEARS_AFTER: Span = Span::of_millis(1_000);
+const OVERLOAD_CLEARS_AFTER: Span = Span::from_millis(1_000);
 /// Slots withheld after descriptors ran out are returned one at a time, at this interval.
-const SLOT_RECOVERY_INTERVAL: Span = Span::of_millis(100);
+const SLOT_RECOVERY_INTERVAL: Span = Span::from_millis(100);
 /// The queue takes an eighth of the descriptors for clients. At a hundred milliseconds a slot, the slots
 /// together admit several queues' worth of connections within the maximum wait.
 const QUEUE_DIVISOR: usize = 8;
--- a/crates/admission/src/rate_limits.rs
+++ b/crates/admission/src/rate_limits.rs
@@ -18,12 +18,12 @@
 }
 
 /// One second's worth of connections may come at once: a page with a player opens half a dozen together.
-const BURST_WINDOW: Span = Span::of_millis(1_000);
+const BURST_WINDOW: Span = Span::from_millis(1_000);
 
 /// When a bucket is full again after one more connection is taken from it; `None` if it has no token. A
 /// bucket for less than one connection a second still has room for one.
 fn full_after_one_more(full_at: Moment, now: Moment, rate: f64) -> Option<Moment> {
-    let interval = Span::of_micros((1e6 / rate.max(1e-6)) as u64);
+    let interval = Span::from_micros((1e6 / rate.max(1e-6)) as u64);
     let next = full_at.max(now) + interval;
     (next.since(now) <= BURST_WINDOW.max(interval)).then_some(next)
 }
@@ -82,7 +82,7 @@
     use fernglade::Moment;
 
     fn at(millis: u64) -> Moment {
-        Moment::at_micros(1_000_000_000 + millis * 1000)
+        Moment::from_micros(1_000_000_000 + millis * 1000)
     }
 
     #[test]
--- a/crates/admission/src/shortage.rs
+++ b/crates/admission/src/shortage.rs
@@ -20,7 +20,7 @@
 }
 
 /// The first pause; each further one is twice as long.
-const FIRST_PAUSE: Span = Span::of_millis(1);
+const FIRST_PAUSE: Span = Span::from_millis(1);
 /// After this many pauses, 31 ms in total, the shortage is persistent: far less than any client's timeout,
 /// and longer than another process takes to release its descriptors.
 const PAUSES: u32 = 5;
--- a/crates/admission/tests/house.rs
+++ b/crates/admission/tests/house.rs
@@ -49,7 +49,7 @@
 
 impl CheckedController {
     fn new(policy: AdmissionPolicy, capacity: usize) -> Self {
-        let now = Moment::at_micros(1_764_000_000_000_000);
+        let now = Moment::from_micros(1_764_000_000_000_000);
         let (queued, admitted, closing) = Default::default();
         let controller = AdmissionController::new(policy, capacity);
         Self {
@@ -152,7 +152,7 @@
     }
 
     fn advance(&mut self, millis: u64) {
-        let until = self.now + Span::of_millis(millis);
+        let until = self.now + Span::from_millis(millis);
         while let Some(due) = self.controller.next_tick(self.now).filter(|due| *due <= until) {
             assert!(due > self.now, "the next tick lies in the future");
             self.now = due;
@@ -411,7 +411,7 @@
     assert_eq!(checked.admitted.len(), 9, "it is queued: there is no descriptor for it");
     checked.advance(400);
     assert_eq!(checked.admitted.len(), 10);
-    assert_eq!(checked.controller.slots(checked.now + Span::of_millis(10_000)), 28);
+    assert_eq!(checked.controller.slots(checked.now + Span::from_millis(10_000)), 28);
 }
 
 #[test]
--- a/crates/admission/tests/shortage.rs
+++ b/crates/admission/tests/shortage.rs
@@ -7,7 +7,7 @@
 fn a_momentary_failure_is_retried_and_a_persistent_one_frees_descriptors() {
     let mut shortage = ResourceShortage::default();
     let pauses: Vec<FailureResponse> = (0..5).map(|_| shortage.record_failure()).collect();
-    let millis = [1, 2, 4, 8, 16].map(|millis| FailureResponse::Retry(Span::of_millis(millis)));
+    let millis = [1, 2, 4, 8, 16].map(|millis| FailureResponse::Retry(Span::from_millis(millis)));
     assert_eq!(pauses, millis);
     assert_eq!(shortage.record_failure(), FailureResponse::FreeDescriptors);
     assert!(shortage.is_persistent());
--- a/crates/fronts/src/ids.rs
+++ b/crates/fronts/src/ids.rs
@@ -25,22 +25,22 @@
         }
         let (turn, entry) = &mut self.slots[slot as usize];
         (*turn, *entry) = (turn.wrapping_add(1), Some(value));
-        ScanId { slot, turn: *turn }
+        ScanId { slot, generation: *turn }
     }
 
     /// The scan with this id, if it is open.
     pub fn get(&self, id: ScanId) -> Option<&T> {
-        self.slots.get(id.slot as usize).filter(|(turn, _)| *turn == id.turn)?.1.as_ref()
+        self.slots.get(id.slot as usize).filter(|(turn, _)| *turn == id.generation)?.1.as_ref()
     }
 
     /// The scan with this id, if it is open.
     pub fn get_mut(&mut self, id: ScanId) -> Option<&mut T> {
-        self.slots.get_mut(id.slot as usize).filter(|(turn, _)| *turn == id.turn)?.1.as_mut()
+        self.slots.get_mut(id.slot as usize).filter(|(turn, _)| *turn == id.generation)?.1.as_mut()
     }
 
     /// Removes a scan and frees its slot.
     pub fn remove(&mut self, id: ScanId) -> Option<T> {
-        let entry = self.slots.get_mut(id.slot as usize).filter(|(turn, _)| *turn == id.turn);
+        let entry = self.slots.get_mut(id.slot as usize).filter(|(turn, _)| *turn == id.generation);
         let value = entry.and_then(|(_, value)| value.take())?;
         self.free.push(id.slot);
         Some(value)
--- a/crates/fronts/src/settings.rs
+++ b/crates/fronts/src/settings.rs
@@ -6,7 +6,7 @@
 use fernglade::replicas::ReplicaTable;
 use fernglade::retry_budget::RetryBudget;
 use fernglade::slow_start::SlowStart;
-use fernglade::{Effect, Span, TrafficType};
+use fernglade::{Idempotency, Span, TrafficType};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -56,7 +56,7 @@
 
     /// The time at `path`, stated in microseconds; zero if it is missing.
     pub fn span(&self, path: &str) -> Result<Span, SettingsError> {
-        Ok(Span::of_micros(self.number(path, 0.0)? as u64))
+        Ok(Span::from_micros(self.number(path, 0.0)? as u64))
     }
 
     /// The mixer's own zone if traffic to other zones has a cost, otherwise `None`.
@@ -108,12 +108,12 @@
         let fetch_parts = self.number_list("family_info.fetch_parts")?;
         let traffic_type = |i: usize| {
             let path = |name: &str| format!("services.{i}.{name}");
-            let whole_from = complete_from.get(i).copied().unwrap_or(1.0);
+            let complete_from = complete_from.get(i).copied().unwrap_or(1.0);
             let repeat = self.0.get(&path("repeat")).map(String::as_str);
-            let effect = match repeat {
-                Some("pure") => Effect::Redoable,
-                Some("token") => Effect::Labelled(self.span(&path("window"))?),
-                Some("side_effect") | None => Effect::Irreversible,
+            let idempotency = match repeat {
+                Some("pure") => Idempotency::Idempotent,
+                Some("token") => Idempotency::ByKey(self.span(&path("window"))?),
+                Some("side_effect") | None => Idempotency::NonIdempotent,
                 Some(other) => {
                     return Err(SettingsError(format!(
                         "settings: {}: unknown word {other:.40}",
@@ -122,15 +122,15 @@
                 }
             };
             Ok(TrafficType {
-                quoted: self.span(&path("aim"))?,
-                stretch: self.number(&path("aim_stretch"), 0.0)?,
-                abandon: self.span(&path("give_up"))?,
+                target_latency: self.span(&path("aim"))?,
+                target_per_work: self.number(&path("aim_stretch"), 0.0)?,
+                client_timeout: self.span(&path("give_up"))?,
                 credit: self.number(&path("points"), 1.0)?,
                 late_credit: self.number(&path("late_worth"), 0.0)?,
-                effect,
-                floor: floors.get(i).copied().unwrap_or(whole_from),
-                whole_from,
-                second_step: fetch_parts.get(i).is_some_and(|parts| *parts > 0.0),
+                idempotency,
+                min_coverage: floors.get(i).copied().unwrap_or(complete_from),
+                complete_from,
+                has_fetch_step: fetch_parts.get(i).is_some_and(|parts| *parts > 0.0),
             })
         };
         (0..self.object_count("services")?).map(traffic_type).collect()
@@ -140,11 +140,11 @@
     pub fn build_mixer(&self, seed: u64) -> Result<Mixer, SettingsError> {
         let fleet = self.number("fleet_size", 1.0)?.max(1.0);
         let slow_start = SlowStart {
-            fleet,
-            from: self.number("invariants.cold_from", 1.0)?,
-            cold: self.span("invariants.cold")?,
-            multiple: self.number("invariants.fall_multiple", 1.0)?,
-            fall: self.span("invariants.fall")?,
+            mixers: fleet,
+            initial_share: self.number("invariants.cold_from", 1.0)?,
+            warm_up: self.span("invariants.cold")?,
+            overload_factor: self.number("invariants.fall_multiple", 1.0)?,
+            overload_window: self.span("invariants.fall")?,
         };
         let replicas = ReplicaTable::new(
             seed,
@@ -155,7 +155,8 @@
             slow_start,
         );
         let idle_timeout = self.span("limits.idle_close")?;
-        let replicas = if idle_timeout > Span::ZERO { replicas.closing_idle(idle_timeout) } else { replicas };
+        let replicas =
+            if idle_timeout > Span::ZERO { replicas.with_idle_close(idle_timeout) } else { replicas };
         let retry_ratio = self.number("invariants.further_ratio", -1.0)?;
         let free_retries = self.number("invariants.free_resends", 0.0)?;
         let window = self.span("invariants.resend_span")?;
@@ -164,7 +165,7 @@
         let dial_timeout = self.span("limits.dial_timeout")?;
         let budget =
             RetryBudget::new(max_attempts, has_budget.then_some((free_retries, retry_ratio, window)))
-                .holding(dial_timeout);
+                .with_send_delay(dial_timeout);
         let quota = |i| self.number(&format!("customers.{i}.quota_per_s"), f64::MAX);
         let shedding = LoadShedding::new(
             fleet as usize,
@@ -179,7 +180,7 @@
         );
         let mut mixer = Mixer::new(self.traffic_types()?, replicas, budget, shedding, self.span("tick")?);
         let drain_grace = self.span("invariants.drain_grace")?;
-        mixer.pushed = self.equals("discovery", "pushed").then_some(drain_grace);
+        mixer.pushed_drain_grace = self.equals("discovery", "pushed").then_some(drain_grace);
         Ok(mixer)
     }
 }
--- a/crates/fronts/tests/passed_on.rs
+++ b/crates/fronts/tests/passed_on.rs
@@ -2,7 +2,9 @@
 //! has to act differently. This guards against a setting that is parsed and then not passed on.
 
 use fernglade::choice::Mixer;
-use fernglade::{Host, Landing, Listing, Moment, PartTaken, ScanId, ScanTaken, Searcher, Span, Ticket};
+use fernglade::{
+    Host, ListedSearcher, Moment, PartSpec, RelayOutcome, ScanId, ScanSpec, Searcher, Span, Ticket,
+};
 use fernglade_fronts::Settings;
 use std::collections::VecDeque;
 use test_case::test_case;
@@ -28,24 +30,24 @@
         self.actions.push(format!("part {part} to {}", to.0));
         self.in_flight.push_back(ticket);
     }
-    fn call_off(&mut self, _: Ticket) {}
+    fn cancel(&mut self, _: Ticket) {}
     fn answer(&mut self, _: ScanId, whole: bool, last: bool) {
         self.actions.push(format!("answers, whole {whole}, last {last}"));
     }
-    fn bounce(&mut self, _: ScanId, pause: Span) {
+    fn reject(&mut self, _: ScanId, pause: Span) {
         self.actions.push(format!("bounces, come back after {} ms", pause.micros() / 1_000));
     }
-    fn write_off(&mut self, _: ScanId) {
+    fn fail(&mut self, _: ScanId) {
         self.actions.push("writes off".into());
     }
-    fn wake(&mut self, ticket: Ticket, at: Moment) {
+    fn set_timer(&mut self, ticket: Ticket, at: Moment) {
         self.timers.push((at, ticket));
     }
-    fn check(&mut self, searcher: Searcher) {
+    fn probe(&mut self, searcher: Searcher) {
         self.actions.push(format!("checks {}", searcher.0));
     }
-    fn hang_up(&mut self, _: Searcher) {}
-    fn watch_list(&mut self) {}
+    fn retire_connections(&mut self, _: Searcher) {}
+    fn watch_discovery(&mut self) {}
 }
 
 /// A mixer with the given settings and three searchers.
@@ -59,25 +61,33 @@
     fn with(settings: &str) -> Self {
         let parsed = Settings::parse(format!("{BASE_SETTINGS}\n{settings}").as_bytes()).unwrap();
         let mut mixer = parsed.build_mixer(7).unwrap();
-        let mut host = RecordingHost { now: Moment::at_micros(100_000_000), ..RecordingHost::default() };
-        let of = |number| Listing { searcher: Searcher(number), ready: true, ..Listing::default() };
-        mixer.listed(&mut host, true, &[of(0), of(1), of(2)]);
+        let mut host = RecordingHost { now: Moment::from_micros(100_000_000), ..RecordingHost::default() };
+        let of =
+            |number| ListedSearcher { searcher: Searcher(number), ready: true, ..ListedSearcher::default() };
+        mixer.update_searchers(&mut host, true, &[of(0), of(1), of(2)]);
         Self { mixer, host, scans: 0 }
     }
 
     fn take_scan(&mut self, parts: usize) {
         self.scans += 1;
-        let part = PartTaken { shard: 0, weight: 1.0 / parts as f64 };
-        let (left, parts) = (Span::of_millis(4_000), vec![part; parts]);
-        let scan = ScanTaken { traffic_type: 0, customer: 0, left, work: None, repeat: false, parts };
-        self.mixer.taken(&mut self.host, ScanId { slot: self.scans, turn: 1 }, scan);
+        let part = PartSpec { shard: 0, weight: 1.0 / parts as f64 };
+        let (left, parts) = (Span::from_millis(4_000), vec![part; parts]);
+        let scan = ScanSpec {
+            traffic_type: 0,
+            customer: 0,
+            time_left: left,
+            work_hint: None,
+            is_retry: false,
+            parts,
+        };
+        self.mixer.start_scan(&mut self.host, ScanId { slot: self.scans, generation: 1 }, scan);
     }
 
     /// Ends every relay in flight, and those sent in reaction, with the given result after 20 ms each.
-    fn finish_relays(&mut self, landing: Landing) {
+    fn finish_relays(&mut self, landing: RelayOutcome) {
         while let Some(ticket) = self.host.in_flight.pop_front() {
-            self.host.now = self.host.now + Span::of_millis(20);
-            self.mixer.landed(&mut self.host, ticket, landing, Span::of_millis(20));
+            self.host.now = self.host.now + Span::from_millis(20);
+            self.mixer.relay_finished(&mut self.host, ticket, landing, Span::from_millis(20));
         }
     }
 
@@ -88,7 +98,7 @@
         while let Some(next) = next(&self.host.timers).filter(|next| self.host.timers[*next].0 <= end) {
             let (at, ticket) = self.host.timers.swap_remove(next);
             self.host.now = at;
-            self.mixer.woken(&mut self.host, ticket);
+            self.mixer.timer_fired(&mut self.host, ticket);
         }
         self.host.now = end;
     }
@@ -96,14 +106,14 @@
 
 /// Runs one scan and returns the mixer's actions. Of several parts the first relay of the last one succeeds;
 /// every other relay ends with `landing`. Then six seconds pass.
-fn run_scan(settings: &str, parts: usize, landing: Landing) -> Vec<String> {
+fn run_scan(settings: &str, parts: usize, landing: RelayOutcome) -> Vec<String> {
     let mut scenario = Scenario::with(settings);
     scenario.take_scan(parts);
     let last = if parts > 1 { scenario.host.in_flight.pop_back() } else { None };
     scenario.finish_relays(landing);
     scenario.host.in_flight.extend(last);
-    scenario.finish_relays(Landing::Honoured);
-    scenario.advance(Span::of_millis(6_000));
+    scenario.finish_relays(RelayOutcome::Succeeded);
+    scenario.advance(Span::from_millis(6_000));
     scenario.host.actions
 }
 
@@ -119,20 +129,20 @@
 #[test_case("services.0.repeat=token\nservices.0.window=10000", 1; "the window of an idempotency key is over")]
 #[test_case("services.0.repeat=token\nservices.0.window=2000000", 3; "the window of an idempotency key is open")]
 fn a_failed_part_is_retried_as_often_as_settings_allow(settings: &str, attempts: usize) {
-    let actions = run_scan(settings, 2, Landing::Erred);
+    let actions = run_scan(settings, 2, RelayOutcome::Failed);
     assert_eq!(count_relays(&actions), attempts, "{actions:?}");
 }
 
-#[test_case("", Landing::Erred, "bounces, come back after 0 ms"; "no pause")]
-#[test_case("limits.retry_after=true\nlimits.max_retry_after=1500000", Landing::Erred, "bounces, come back after 1500 ms"; "the longest pause")]
-#[test_case("services.0.repeat=side_effect", Landing::Erred, "writes off"; "a part that may have run is not retried")]
-#[test_case("services.0.repeat=side_effect", Landing::TurnedAway, "bounces, come back after 0 ms"; "a part that never ran may be retried")]
-#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.9", Landing::Erred, "answers, whole false, last true"; "half exceeds the floor")]
-#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.5", Landing::Erred, "answers, whole true, last true"; "half counts as whole")]
-#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.5\nfamily_info.fetch_parts=3", Landing::Erred, "answers, whole true, last false"; "a fetch step follows")]
-fn a_scan_ends_as_its_traffic_type_requires(settings: &str, landing: Landing, expected: &str) {
+#[test_case("", RelayOutcome::Failed, "bounces, come back after 0 ms"; "no pause")]
+#[test_case("limits.retry_after=true\nlimits.max_retry_after=1500000", RelayOutcome::Failed, "bounces, come back after 1500 ms"; "the longest pause")]
+#[test_case("services.0.repeat=side_effect", RelayOutcome::Failed, "writes off"; "a part that may have run is not retried")]
+#[test_case("services.0.repeat=side_effect", RelayOutcome::Rejected, "bounces, come back after 0 ms"; "a part that never ran may be retried")]
+#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.9", RelayOutcome::Failed, "answers, whole false, last true"; "half exceeds the floor")]
+#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.5", RelayOutcome::Failed, "answers, whole true, last true"; "half counts as whole")]
+#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.5\nfamily_info.fetch_parts=3", RelayOutcome::Failed, "answers, whole true, last false"; "a fetch step follows")]
+fn a_scan_ends_as_its_traffic_type_requires(settings: &str, landing: RelayOutcome, expected: &str) {
     // For a scan that never ran there must not be a second part that succeeds.
-    let parts = if landing == Landing::TurnedAway { 1 } else { 2 };
+    let parts = if landing == RelayOutcome::Rejected { 1 } else { 2 };
     let actions = run_scan(&format!("{settings}\nlimits.attempts_cap=1"), parts, landing);
     assert!(actions.iter().any(|action| action == expected), "{actions:?}");
 }
@@ -140,7 +150,7 @@
 #[test_case("limits.may_probe=true", true; "probes allowed")]
 #[test_case("", false; "probes not allowed")]
 fn an_unreachable_searcher_is_probed(settings: &str, is_probed: bool) {
-    let actions = run_scan(settings, 2, Landing::Unreached);
+    let actions = run_scan(settings, 2, RelayOutcome::Unreachable);
     assert_eq!(actions.iter().any(|action| action.starts_with("checks")), is_probed, "{actions:?}");
 }
 
@@ -152,16 +162,21 @@
     let mut scenario = Scenario::with(settings);
     for _ in 0..30 {
         scenario.take_scan(1);
-        scenario.finish_relays(Landing::Honoured);
+        scenario.finish_relays(RelayOutcome::Succeeded);
     }
     let started = Some(scenario.host.now);
-    let of = |number| Listing { searcher: Searcher(number), ready: true, started, ..Listing::default() };
-    scenario.mixer.listed(&mut scenario.host, true, &[of(3), of(4)]);
+    let of = |number| ListedSearcher {
+        searcher: Searcher(number),
+        ready: true,
+        started,
+        ..ListedSearcher::default()
+    };
+    scenario.mixer.update_searchers(&mut scenario.host, true, &[of(3), of(4)]);
     scenario.host.actions.clear();
     for _ in 0..40 {
         scenario.take_scan(1);
-        scenario.finish_relays(Landing::Honoured);
-        scenario.advance(Span::of_millis(80));
+        scenario.finish_relays(RelayOutcome::Succeeded);
+        scenario.advance(Span::from_millis(80));
     }
     let sent = count_relays(&scenario.host.actions);
     assert!((min..=max).contains(&sent), "{sent}");
@@ -171,9 +186,9 @@
 fn a_pushed_list_has_the_drain_grace() {
     let of = |settings: &str| {
         let parsed = Settings::parse(format!("{BASE_SETTINGS}\n{settings}").as_bytes()).unwrap();
-        parsed.build_mixer(7).unwrap().pushed
+        parsed.build_mixer(7).unwrap().pushed_drain_grace
     };
-    assert_eq!(of("discovery=pushed\ninvariants.drain_grace=250000"), Some(Span::of_millis(250)));
+    assert_eq!(of("discovery=pushed\ninvariants.drain_grace=250000"), Some(Span::from_millis(250)));
     assert_eq!(of("discovery=on_request\ninvariants.drain_grace=250000"), None);
 }
 
--- a/crates/mixer/src/protocol/discovery.rs
+++ b/crates/mixer/src/protocol/discovery.rs
@@ -61,7 +61,7 @@
         // Any other state, known or not, takes no new work.
         ready: text("lifecycle")? == "SERVING",
         removed: text("lifecycle")? == "DELETED",
-        started_at: started_ms.map(|ms| Moment::at_micros(ms.saturating_mul(1000))),
+        started_at: started_ms.map(|ms| Moment::from_micros(ms.saturating_mul(1000))),
     })
 }
 
@@ -102,9 +102,9 @@
             assert_eq!((entry.ready, entry.removed), (false, word == "DELETED"));
         }
         let started = read(&PAGE.replace("Ms\":0", "Ms\":1764598377123")).unwrap().entries[0].started_at;
-        assert_eq!(started, Some(Moment::at_micros(1_764_598_377_123_000)));
+        assert_eq!(started, Some(Moment::from_micros(1_764_598_377_123_000)));
         let started = read(&PAGE.replace("Ms\":0", "Ms\":1764598377123.5")).unwrap().entries[0].started_at;
-        assert_eq!(started, Some(Moment::at_micros(1_764_598_377_123_000)), "with decimals");
+        assert_eq!(started, Some(Moment::from_micros(1_764_598_377_123_000)), "with decimals");
     }
 
     #[test_case("\"generation\":41", "\"generation\":-1", "generation is not a whole number")]
--- a/crates/mixer/src/protocol/scans.rs
+++ b/crates/mixer/src/protocol/scans.rs
@@ -124,7 +124,7 @@
     Ok(ScanPart {
         shard: shard.ok_or_else(|| invalid("a range has no number"))?,
         weight: weight.ok_or_else(|| invalid("a range has no sensible portion"))?,
-        work: work.map(|price| Span::of_micros(price as u64)),
+        work: work.map(|price| Span::from_micros(price as u64)),
     })
 }
 
@@ -139,7 +139,7 @@
 fn parse_seconds(text: &str) -> Option<Span> {
     let is_decimal = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     let seconds: f64 = text.parse().ok().filter(|_| is_decimal)?;
-    (seconds > 0.0 && seconds <= 86_400.0).then(|| Span::of_micros((seconds * 1e6) as u64))
+    (seconds > 0.0 && seconds <= 86_400.0).then(|| Span::from_micros((seconds * 1e6) as u64))
 }
 
 /// Bytes of a response per part in addition to the part's value.
@@ -233,9 +233,9 @@
             panic!("no scan")
         };
         assert_eq!((scan.request_id.as_str(), scan.customer.as_str(), scan.is_retry), ("9b1f", "acme", true));
-        assert_eq!((scan.time_left, scan.idempotency_key.as_deref()), (Span::of_millis(480), Some("5c0f")));
+        assert_eq!((scan.time_left, scan.idempotency_key.as_deref()), (Span::from_millis(480), Some("5c0f")));
         assert_eq!(scan.text, "cé\n", "escapes are decoded once");
-        let work = Some(Span::of_millis(9));
+        let work = Some(Span::from_millis(9));
         assert_eq!(scan.parts[0], ScanPart { shard: 3, weight: 0.5, work });
         assert_eq!(scan.parts[1], ScanPart { shard: 9, weight: 0.5, work: None });
     }
--- a/crates/mixer/src/routing/any_order.rs
+++ b/crates/mixer/src/routing/any_order.rs
@@ -113,7 +113,7 @@
         let state = State::new(&parsed_settings, 7, descriptors, &OperatorConfig::default(), "n0").unwrap();
         let mut world = Self {
             state,
-            now: Moment::at_micros(1_764_000_000_000_000),
+            now: Moment::from_micros(1_764_000_000_000_000),
             timer: None,
             cancel,
             ready: [true; SEARCHERS as usize],
@@ -318,7 +318,7 @@
     }
 
     fn advance(&mut self, millis: u64) {
-        let until = self.now + Span::of_millis(millis);
+        let until = self.now + Span::from_millis(millis);
         while let Some(at) = self.timer.take_if(|at| *at <= until) {
             self.now = at.max(self.now);
             self.feed(Event::TimerFired);
@@ -350,7 +350,7 @@
             request_id: name,
             traffic_type: TYPES[kind].into(),
             customer: "any".into(),
-            time_left: Span::of_millis(900),
+            time_left: Span::from_millis(900),
             is_retry: false,
             idempotency_key: Some("k".into()),
             text: "c41e".into(),
--- a/crates/mixer/src/routing/api_equivalence.rs
+++ b/crates/mixer/src/routing/api_equivalence.rs
@@ -195,7 +195,7 @@
         };
         let operator = OperatorConfig::parse(INDICES).unwrap();
         let mut state = State::new(&settings, 7, descriptors, &operator, "n0").unwrap();
-        let now = Moment::at_micros(1_764_000_000_000_000);
+        let now = Moment::from_micros(1_764_000_000_000_000);
         let searcher_entry = |number: u16| {
             let address: SocketAddr = ([127, 0, 0, 1], 9000 + number).into();
             SearcherEntry {
@@ -236,7 +236,7 @@
 
     fn schedule(&mut self, millis: u64, due: ScheduledEvent) {
         self.count += 1;
-        self.scheduled.insert((self.now + Span::of_millis(millis), self.count), due);
+        self.scheduled.insert((self.now + Span::from_millis(millis), self.count), due);
     }
 
     fn feed(&mut self, event: Event) {
@@ -397,7 +397,7 @@
         request_id: format!("r{number}"),
         traffic_type: traffic_type.into(),
         customer: "acme".into(),
-        time_left: Span::of_millis(time_left_ms),
+        time_left: Span::from_millis(time_left_ms),
         is_retry: false,
         idempotency_key: (line.kind == Kind::Fix).then(|| format!("k{number}")),
         text: "c41e".into(),
--- a/crates/mixer/src/routing/clients.rs
+++ b/crates/mixer/src/routing/clients.rs
@@ -11,7 +11,7 @@
 /// Time limit for a request from its first byte, and for the first request of a connection from when it was
 /// admitted; clients send a request in one piece. A client is owed an answer or a close within three seconds
 /// of connecting, one of which is reserved for waiting for admission.
-pub const REQUEST_TIMEOUT: Span = Span::of_millis(2_000);
+pub const REQUEST_TIMEOUT: Span = Span::from_millis(2_000);
 
 /// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/mixer/src/routing/close_reason.rs
+++ b/crates/mixer/src/routing/close_reason.rs
@@ -1,6 +1,6 @@
 //! Why a link was closed, and what that means for the parts sent over it.
 
-use fernglade::Landing;
+use fernglade::RelayOutcome;
 
 /// Why a link was closed, or why it could not be connected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,19 +32,19 @@
 impl CloseReason {
     /// The outcome of a part whose link closed for this reason; `written` tells whether the last byte of its
     /// call had been written.
-    pub fn landing(self, written: bool) -> Landing {
+    pub fn landing(self, written: bool) -> RelayOutcome {
         match (self, written) {
             (CloseReason::OutOfResources, _)
-            | (CloseReason::WriteBacklogFull | CloseReason::ClosedLocally, false) => Landing::Unsent,
+            | (CloseReason::WriteBacklogFull | CloseReason::ClosedLocally, false) => RelayOutcome::NotSent,
             (CloseReason::ConnectionRefused | CloseReason::ConnectTimedOut | CloseReason::Unreachable, _)
-            | (_, false) => Landing::Unreached,
-            (CloseReason::ClosedLocally, true) => Landing::CalledOff,
-            (CloseReason::WriteBacklogFull, true) => Landing::Silent,
+            | (_, false) => RelayOutcome::Unreachable,
+            (CloseReason::ClosedLocally, true) => RelayOutcome::Cancelled,
+            (CloseReason::WriteBacklogFull, true) => RelayOutcome::TimedOut,
             // The searcher is alive and responds: the part failed and may have run, but this isn't a lost
             // connection.
-            (CloseReason::ProtocolError | CloseReason::RejectedByPeer, true) => Landing::Erred,
+            (CloseReason::ProtocolError | CloseReason::RejectedByPeer, true) => RelayOutcome::Failed,
             (CloseReason::ClosedIdle | CloseReason::ClosedByPeer | CloseReason::ConnectionBroken, true) => {
-                Landing::Dropped
+                RelayOutcome::ConnectionLost
             }
         }
     }
--- a/crates/mixer/src/routing/connection_attempts.rs
+++ b/crates/mixer/src/routing/connection_attempts.rs
@@ -113,7 +113,7 @@
             }
             None => fraction(DEFAULT_DELAY_DIVISOR),
         };
-        Span::of_micros(delay)
+        Span::from_micros(delay)
     }
 }
 
--- a/crates/mixer/src/routing/connection_attempts/tests.rs
+++ b/crates/mixer/src/routing/connection_attempts/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-const DIAL_TIMEOUT: Span = Span::of_millis(250);
+const DIAL_TIMEOUT: Span = Span::from_millis(250);
 
 fn at(millis: u64) -> Moment {
-    Moment::default() + Span::of_millis(millis)
+    Moment::default() + Span::from_millis(millis)
 }
 
 fn link(number: u64) -> LinkId {
@@ -85,7 +85,7 @@
         }
         attempts.start(link(99), at(0), DIAL_TIMEOUT).since(at(0))
     };
-    assert_eq!(hedge_delay(10), Span::of_millis(40));
-    assert_eq!(hedge_delay(0), Span::of_micros(250_000 / 32));
-    assert_eq!(hedge_delay(100), Span::of_micros(250_000 / 4));
+    assert_eq!(hedge_delay(10), Span::from_millis(40));
+    assert_eq!(hedge_delay(0), Span::from_micros(250_000 / 32));
+    assert_eq!(hedge_delay(100), Span::from_micros(250_000 / 4));
 }
--- a/crates/mixer/src/routing/host.rs
+++ b/crates/mixer/src/routing/host.rs
@@ -10,7 +10,7 @@
 use super::timers::{Timer, Timers};
 use super::{CallId, ClientId, Effect, LinkId, Reply, SearcherProtocol};
 use crate::protocol::frames::{NodeRequest, PartRequest};
-use fernglade::{Host, Landing, Moment, ScanId, Searcher, Span, Ticket};
+use fernglade::{Host, Moment, RelayOutcome, ScanId, Searcher, Span, Ticket};
 use fernglade_fronts::SlotMap;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -27,7 +27,7 @@
     /// The shard of each part, and its value once answered.
     pub parts: Vec<(u32, Option<String>)>,
     /// The last unsuccessful outcome of each part, if any.
-    pub last_failures: Vec<Option<Landing>>,
+    pub last_failures: Vec<Option<RelayOutcome>>,
     /// Bytes that the values received so far take in the answer.
     pub answer_bytes: usize,
     /// The original request of the query API, if it was one, and the request sent to its nodes.
@@ -66,7 +66,7 @@
     /// Relays started by the current event that have no link yet.
     unassigned: Vec<Ticket>,
     /// Finished relays that the routing logic hasn't been told of yet.
-    pub landed: VecDeque<(Ticket, Landing, Span)>,
+    pub landed: VecDeque<(Ticket, RelayOutcome, Span)>,
     /// Health probe results that the routing logic hasn't been told of yet.
     pub probe_results: VecDeque<(Searcher, bool)>,
     /// Multi-search requests by client, removed when answered or when the client disconnects.
@@ -84,19 +84,19 @@
 
 impl MixerHost {
     /// Records the outcome of a relay.
-    pub fn land_relay(&mut self, ticket: Ticket, landing: Landing) -> Option<Relay> {
+    pub fn land_relay(&mut self, ticket: Ticket, landing: RelayOutcome) -> Option<Relay> {
         let relay = self.relays.remove(&ticket)?;
         if let Some(last_failure) =
             self.scans.get_mut(relay.scan).and_then(|open| open.last_failures.get_mut(relay.part))
         {
-            *last_failure = Some(landing).filter(|landing| *landing != Landing::Honoured);
+            *last_failure = Some(landing).filter(|landing| *landing != RelayOutcome::Succeeded);
         }
         self.landed.push_back((ticket, landing, self.now.since(relay.started_at)));
         Some(relay)
     }
 
     /// Stops waiting for a relay. If it has not been written, it never will be.
-    pub fn abandon_relay(&mut self, ticket: Ticket, landing: Landing) {
+    pub fn abandon_relay(&mut self, ticket: Ticket, landing: RelayOutcome) {
         let Some(relay) = self.land_relay(ticket, landing) else { return };
         let (Some((link_id, call_id)), id) = (relay.location, relay.part_request.id) else { return };
         let Some(link) = self.pool.links.get_mut(&link_id) else { return };
@@ -172,7 +172,7 @@
     /// Tickets are reused: only the relay with this very deadline is meant.
     pub fn relay_deadline_passed(&mut self, ticket: Ticket, deadline: Moment) {
         if self.relays.get(&ticket).is_some_and(|relay| relay.deadline == deadline) {
-            self.abandon_relay(ticket, Landing::Silent);
+            self.abandon_relay(ticket, RelayOutcome::TimedOut);
         }
     }
 
@@ -185,7 +185,7 @@
         match self.call_state(ticket) {
             Some(CallState::Written) => {}
             Some(CallState::Submitted | CallState::Withdrawing) => self.withdraw_relay(ticket),
-            Some(CallState::AwaitingLink) | None => self.abandon_relay(ticket, Landing::Unsent),
+            Some(CallState::AwaitingLink) | None => self.abandon_relay(ticket, RelayOutcome::NotSent),
         }
     }
 
@@ -246,11 +246,11 @@
         let ready = self.registry.is_ready(link.to);
         for ticket in call.parts {
             if self.relays.get(&ticket).is_some_and(|relay| relay.cancelled) {
-                self.land_relay(ticket, Landing::CalledOff);
+                self.land_relay(ticket, RelayOutcome::Cancelled);
             } else if ready {
                 self.unassigned.push(ticket);
             } else {
-                self.land_relay(ticket, Landing::Unsent);
+                self.land_relay(ticket, RelayOutcome::NotSent);
             }
         }
     }
@@ -325,7 +325,7 @@
         if self.relays.get(&ticket).is_some_and(|relay| relay.part_request.node_request.is_some()) {
             self.assign(to, &[ticket]);
         } else {
-            self.land_relay(ticket, Landing::Unsent);
+            self.land_relay(ticket, RelayOutcome::NotSent);
         }
     }
 
@@ -334,7 +334,7 @@
         let found = address
             .and_then(|address| self.pool.find_available(to, address).or_else(|| self.dial(to, address)));
         let Some(link_id) = found else {
-            tickets.iter().for_each(|ticket| drop(self.land_relay(*ticket, Landing::Unsent)));
+            tickets.iter().for_each(|ticket| drop(self.land_relay(*ticket, RelayOutcome::NotSent)));
             return;
         };
         let call_id = CallId(self.pool.next_id());
@@ -418,7 +418,7 @@
     fn relay(&mut self, ticket: Ticket, scan: ScanId, part: usize, to: Searcher, timeout: Span) {
         let deadline = self.now + timeout;
         let Some(open) = self.scans.get(scan) else {
-            self.landed.push_back((ticket, Landing::Unsent, Span::ZERO));
+            self.landed.push_back((ticket, RelayOutcome::NotSent, Span::ZERO));
             return;
         };
         let shard = open.parts[part].0;
@@ -449,7 +449,7 @@
         self.timers.set(deadline, Timer::RelayDeadline(ticket, deadline));
     }
 
-    fn begin_by(&mut self, relay: Ticket, by: Moment) {
+    fn set_send_deadline(&mut self, relay: Ticket, by: Moment) {
         if let Some(started_at) = self.relays.get(&relay).map(|relay| relay.started_at) {
             self.timers.set(by, Timer::SendDeadline(relay, started_at));
         }
@@ -457,13 +457,13 @@
 
     /// A written relay is cancelled only where the platform allows it. An unwritten one is always withdrawn,
     /// because no searcher has it yet.
-    fn call_off(&mut self, ticket: Ticket) {
+    fn cancel(&mut self, ticket: Ticket) {
         match self.call_state(ticket) {
             Some(CallState::Written) if !self.may_cancel => {}
             Some(CallState::Submitted | CallState::Withdrawing) if !self.may_cancel => {
                 self.withdraw_relay(ticket)
             }
-            _ => self.abandon_relay(ticket, Landing::CalledOff),
+            _ => self.abandon_relay(ticket, RelayOutcome::Cancelled),
         }
     }
 
@@ -480,25 +480,25 @@
         self.finish_scan(scan, ScanOutcome::Served, values);
     }
 
-    fn bounce(&mut self, scan: ScanId, retry_after: Span) {
+    fn reject(&mut self, scan: ScanId, retry_after: Span) {
         self.finish_scan(scan, ScanOutcome::Refused, |open| match &open.query {
             Some(query) => query::reply(Err(query.rejection()), retry_after, query.opaque_id()),
             None => Reply::Rejected(retry_after),
         });
     }
 
-    fn write_off(&mut self, scan: ScanId) {
+    fn fail(&mut self, scan: ScanId) {
         self.finish_scan(scan, ScanOutcome::Failed, |open| match &open.query {
             Some(query) => query::reply(Err(query.failure()), Span::ZERO, query.opaque_id()),
             None => Reply::Failed,
         });
     }
 
-    fn wake(&mut self, ticket: Ticket, at: Moment) {
+    fn set_timer(&mut self, ticket: Ticket, at: Moment) {
         self.timers.set(at, Timer::Wake(ticket));
     }
 
-    fn check(&mut self, searcher: Searcher) {
+    fn probe(&mut self, searcher: Searcher) {
         let Some(address) = self.registry.address(searcher).filter(|_| self.registry.is_ready(searcher))
         else {
             return;
@@ -515,7 +515,7 @@
         }
     }
 
-    fn hang_up(&mut self, searcher: Searcher) {
+    fn retire_connections(&mut self, searcher: Searcher) {
         self.close_idle_links(|_, link| link.to == searcher);
         self.pool
             .links
@@ -524,7 +524,7 @@
             .for_each(|link| link.unresponsive = true);
     }
 
-    fn watch_list(&mut self) {
+    fn watch_discovery(&mut self) {
         self.effects.extend(self.registry.watch_effect());
     }
 }
--- a/crates/mixer/src/routing/pool.rs
+++ b/crates/mixer/src/routing/pool.rs
@@ -56,7 +56,7 @@
 }
 
 /// Links unused for this long are evicted first. Also the window over which uses are counted.
-const RECENT_USE_WINDOW: Span = Span::of_millis(10_000);
+const RECENT_USE_WINDOW: Span = Span::from_millis(10_000);
 
 /// A full pool evicts up to this fraction (1/n) of its capacity.
 const EVICTION_DIVISOR: usize = 3;
--- a/crates/mixer/src/routing/pool/tests.rs
+++ b/crates/mixer/src/routing/pool/tests.rs
@@ -8,7 +8,7 @@
 /// Capacity of the pool: what is left of 256 descriptors.
 const MAX_LINKS: usize = 92;
 /// Time between two calls.
-const CALL_INTERVAL: Span = Span::of_millis(2);
+const CALL_INTERVAL: Span = Span::from_millis(2);
 
 /// Calls searchers over a pool and counts the calls that needed a new connection.
 struct Caller {
@@ -25,7 +25,7 @@
             max_parts_per_call: 1,
             ..LinkPool::default()
         };
-        Self { pool, now: Moment::at_micros(1), dials: 0 }
+        Self { pool, now: Moment::from_micros(1), dials: 0 }
     }
 
     /// Makes a call that is answered at once.
--- a/crates/mixer/src/routing/query.rs
+++ b/crates/mixer/src/routing/query.rs
@@ -5,7 +5,7 @@
 use super::Reply;
 use crate::protocol::frames::NodeRequest;
 use crate::protocol::scans::{RequestError, ScanPart, ScanRequest};
-use fernglade::{Effect as Redoing, Landing, Moment, TrafficType};
+use fernglade::{Idempotency, Moment, RelayOutcome, TrafficType};
 use fernglade_dialect::answer::{bounced, counted, found, written_off, Missing, Shards};
 use fernglade_dialect::endpoint::Line;
 use fernglade_dialect::errand::errand;
@@ -118,7 +118,7 @@
             let Some(searches) = kind(&index.searches) else {
                 return invalid(format!("searches: unknown traffic type {}", index.searches));
             };
-            if searches.effect != Redoing::Redoable {
+            if searches.idempotency != Idempotency::Idempotent {
                 return invalid(format!(
                     "searches: traffic type {} is not safe to repeat, but searches may be repeated",
                     index.searches
@@ -126,7 +126,7 @@
             }
             match index.edits.as_ref().map(|edits| (edits, kind(edits))) {
                 Some((edits, None)) => return invalid(format!("edits: unknown traffic type {edits}")),
-                Some((edits, Some(kind))) if kind.effect == Redoing::Redoable => {
+                Some((edits, Some(kind))) if kind.idempotency == Idempotency::Idempotent => {
                     return invalid(format!(
                         "edits: traffic type {edits} may be repeated freely, but edits must not be"
                     ));
@@ -167,7 +167,7 @@
         let Some((_, kind)) = types.iter().find(|(known, _)| known == traffic_type) else {
             return Err(no_index(name));
         };
-        if matches!(kind.effect, Redoing::Labelled(_)) && idempotency_key.is_none() {
+        if matches!(kind.idempotency, Idempotency::ByKey(_)) && idempotency_key.is_none() {
             return Err(Fault::argument("an edit of this index needs an Idempotency-Key"));
         }
         if shards.is_empty() {
@@ -179,7 +179,9 @@
             request_id: format!("q{:x}-{}", self.nonce, self.count),
             traffic_type: traffic_type.clone(),
             customer: index.customer.clone(),
-            time_left: request.timeout.map_or(kind.abandon, |timeout| timeout.min(kind.abandon)),
+            time_left: request
+                .timeout
+                .map_or(kind.client_timeout, |timeout| timeout.min(kind.client_timeout)),
             is_retry: false,
             idempotency_key,
             text,
@@ -191,7 +193,7 @@
             scan_request,
             QueryContext {
                 allow_partial,
-                not_repeatable: kind.effect != Redoing::Redoable,
+                not_repeatable: kind.idempotency != Idempotency::Idempotent,
                 request,
                 started_at: now,
             },
@@ -220,7 +222,7 @@
         match &self.request.what {
             What::Search { index, search } | What::Count { index, search } => {
                 let found = NodeReply::read(200, value.as_bytes(), index, &node_search(search));
-                found.landing() == Landing::Honoured
+                found.landing() == RelayOutcome::Succeeded
             }
             _ => true,
         }
@@ -308,11 +310,11 @@
 }
 
 /// The reason reported for a shard that is missing from the response.
-fn missing_reason(last_failure: Option<Landing>) -> Missing {
+fn missing_reason(last_failure: Option<RelayOutcome>) -> Missing {
     match last_failure {
-        Some(Landing::TurnedAway) => Missing::TurnedAway,
-        Some(Landing::Silent | Landing::CalledOff) => Missing::Late,
-        None | Some(Landing::Unsent) => Missing::Skipped,
+        Some(RelayOutcome::Rejected) => Missing::TurnedAway,
+        Some(RelayOutcome::TimedOut | RelayOutcome::Cancelled) => Missing::Late,
+        None | Some(RelayOutcome::NotSent) => Missing::Skipped,
         Some(_) => Missing::Failed,
     }
 }
--- a/crates/mixer/src/routing/searcher_registry.rs
+++ b/crates/mixer/src/routing/searcher_registry.rs
@@ -2,7 +2,7 @@
 
 use super::{Effect, SearcherProtocol};
 use crate::protocol::discovery::{ListUpdate, SearcherEntry};
-use fernglade::{Listing, Searcher};
+use fernglade::{ListedSearcher, Searcher};
 use fernglade_fronts::SearcherIds;
 use fernglade_orders::Dialect;
 use std::collections::{BTreeMap, BTreeSet};
@@ -55,7 +55,7 @@
     /// Applies a discovery update, and returns the listings for the routing logic. Changes older than the
     /// current version are ignored and the whole list is requested, because they could mark a draining
     /// searcher as ready again.
-    pub fn apply(&mut self, update: &ListUpdate) -> Vec<Listing> {
+    pub fn apply(&mut self, update: &ListUpdate) -> Vec<ListedSearcher> {
         let older = !update.is_full && self.version.is_some_and(|version| update.version < version);
         (self.version, self.stale) = ((!older).then_some(update.version), false);
         if older {
@@ -78,7 +78,7 @@
         self.searchers.retain(|searcher, _| self.ids.name(*searcher).is_some());
     }
 
-    fn upsert(&mut self, entry: &SearcherEntry) -> Listing {
+    fn upsert(&mut self, entry: &SearcherEntry) -> ListedSearcher {
         let searcher = self.ids.get_or_assign(&entry.name);
         let protocol = if self.query_api.is_node(&entry.name) {
             SearcherProtocol::QueryApi
@@ -92,7 +92,13 @@
             RegisteredSearcher { protocol, version, address: entry.address, ready: entry.ready },
         );
         let dear = self.costly_outside_zone.as_ref().is_some_and(|home| *home != entry.zone);
-        Listing { searcher, cell: entry.cell, ready: entry.ready, started: entry.started_at, dear }
+        ListedSearcher {
+            searcher,
+            cell: entry.cell,
+            ready: entry.ready,
+            started: entry.started_at,
+            cross_zone: dear,
+        }
     }
 
     /// The address of a listed searcher.
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -12,28 +12,28 @@
 use crate::protocol::scans::{RequestError, ScanRequest, PART_OVERHEAD_BYTES};
 use crate::protocol::MAX_BODY_BYTES;
 use fernglade::choice::Mixer;
-use fernglade::{Effect as Redoing, Host, Landing, Moment, PartTaken, ScanTaken, Span, Ticket, TrafficType};
+use fernglade::{Host, Idempotency, Moment, PartSpec, RelayOutcome, ScanSpec, Span, Ticket, TrafficType};
 use fernglade_admission::{AdmissionAction, ClientConnectionId, DescriptorBudget};
 use fernglade_dialect::request::{health, root, table, Request, What};
 use fernglade_fronts::{Settings, SettingsError};
 use fernglade_orders::OperatorConfig;
-use fernglade_shedding::{FleetPolicy, FleetRetryBudget, LoadShedder, ProbeSchedule};
+use fernglade_shedding::{FleetLimits, FleetRetryBudget, LoadShedder, ProbeSchedule};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 /// How long clients are still accepted after a shutdown request. New clients may arrive for up to 0.4 s
 /// (PROTOCOL.md); clients that arrive after 0.7 s need not be served.
-const ACCEPT_GRACE: Span = Span::of_millis(600);
+const ACCEPT_GRACE: Span = Span::from_millis(600);
 /// How long clients from the listen backlog have to send a request once the listener is closed.
-const BACKLOG_GRACE: Span = Span::of_millis(50);
+const BACKLOG_GRACE: Span = Span::from_millis(50);
 
 /// How long a frame may stay partially written. The operators' terms let an attempt start at most 0.1 s after
 /// its client has gone, and claim at most 0.15 s more than the time left.
-const PARTIAL_WRITE_TIMEOUT: Span = Span::of_millis(100);
+const PARTIAL_WRITE_TIMEOUT: Span = Span::from_millis(100);
 
 /// How long a newly admitted client counts as about to send a request.
-const NEW_CLIENT_GRACE: Span = Span::of_millis(100);
+const NEW_CLIENT_GRACE: Span = Span::from_millis(100);
 
 /// The complete state of one mixer.
 pub struct State {
@@ -60,13 +60,13 @@
 }
 
 /// The policies that act on the load of the whole fleet of mixers, as far as the operator enables them.
-fn fleet_policies(
+fn fleet_limits(
     settings: &Settings,
     seed: u64,
     operator: &OperatorConfig,
-) -> Result<FleetPolicy, SettingsError> {
+) -> Result<FleetLimits, SettingsError> {
     let fleet = settings.number("fleet_size", 1.0)?.max(1.0);
-    Ok(FleetPolicy {
+    Ok(FleetLimits {
         load_shedder: operator.sheds_fleet_wide().then(LoadShedder::default),
         retry_budget: operator.limits_retries_fleet_wide().then(|| FleetRetryBudget::new(fleet, seed)),
         probe_schedule: operator.limits_probes_fleet_wide().then(|| ProbeSchedule::new(fleet, seed)),
@@ -97,7 +97,7 @@
         require_settings(settings)?;
         let types: Vec<_> =
             settings.object_names("services")?.into_iter().zip(settings.traffic_types()?).collect();
-        if let Some((name, _)) = types.iter().find(|(_, kind)| kind.second_step) {
+        if let Some((name, _)) = types.iter().find(|(_, kind)| kind.has_fetch_step) {
             return Err(SettingsError(format!(
                 "settings: {name}: a second step is not supported over sockets"
             )));
@@ -124,8 +124,8 @@
             host.counters = ScanCounters::for_traffic_types(types.len());
         }
         let mut mixer = settings.build_mixer(seed)?;
-        mixer.beside_queue = operator.probes_bypass_queue();
-        mixer.join(Box::new(fleet_policies(settings, seed, operator)?));
+        mixer.probes_bypass_queue = operator.probes_bypass_queue();
+        mixer.set_fleet_policy(Box::new(fleet_limits(settings, seed, operator)?));
         Ok(Self {
             mixer,
             host,
@@ -144,7 +144,7 @@
     }
 
     fn is_ready(&self) -> bool {
-        self.host.registry.any_ready() && !self.host.shutting_down && self.mixer.takes_scans(self.host.now)
+        self.host.registry.any_ready() && !self.host.shutting_down && self.mixer.accepts_scans(self.host.now)
     }
 
     /// The metrics known here; the program adds those of the process.
@@ -162,7 +162,7 @@
     pub fn begin(&mut self, known: &ListUpdate, discovery: SocketAddr, now: Moment) -> Vec<Effect> {
         self.host.now = now;
         let listings = self.host.registry.apply(known);
-        self.mixer.remembered(&mut self.host, &listings);
+        self.mixer.restore_searchers(&mut self.host, &listings);
         self.host.release_unready_links();
         self.host.registry.move_to(discovery);
         self.mixer.watch(&mut self.host, 0);
@@ -180,9 +180,9 @@
     fn process_pending(&mut self) -> Vec<Effect> {
         loop {
             if let Some((ticket, landing, took)) = self.host.landed.pop_front() {
-                self.mixer.landed(&mut self.host, ticket, landing, took);
+                self.mixer.relay_finished(&mut self.host, ticket, landing, took);
             } else if let Some((searcher, healthy)) = self.host.probe_results.pop_front() {
-                self.mixer.checked(&mut self.host, searcher, healthy);
+                self.mixer.probe_finished(&mut self.host, searcher, healthy);
             } else if let Some(client) = self.host.resumable.pop_front() {
                 self.resume_multi_search(client);
             } else if !self.host.assign_relays() {
@@ -230,7 +230,7 @@
 
     fn apply_discovery(&mut self, update: &ListUpdate) {
         let listings = self.host.registry.apply(update);
-        self.mixer.listed(&mut self.host, update.is_full, &listings);
+        self.mixer.update_searchers(&mut self.host, update.is_full, &listings);
         self.host.release_unready_links();
     }
 
@@ -347,13 +347,13 @@
         self.host.clients.set_activity(client, ClientActivity::AwaitingAnswer(id), self.host.now);
         // The benchmark harness rejects such scans before they reach a mixer; real clients are rejected here.
         if self.host.open_items > self.max_open_items || self.draining {
-            return self.mixer.turn_away(&mut self.host, id);
+            return self.mixer.reject_scan(&mut self.host, id);
         }
-        self.mixer.taken(&mut self.host, id, scan);
+        self.mixer.start_scan(&mut self.host, id, scan);
     }
 
     /// Validates a scan and translates it for the routing logic.
-    fn validate(&self, scan_request: &ScanRequest, request_start: Moment) -> Result<ScanTaken, RequestError> {
+    fn validate(&self, scan_request: &ScanRequest, request_start: Moment) -> Result<ScanSpec, RequestError> {
         let invalid = |what: String| Err(RequestError::Invalid(what));
         let Some(traffic_type) = self.types.iter().position(|(name, _)| *name == scan_request.traffic_type)
         else {
@@ -363,7 +363,7 @@
         if customer.is_none() && !self.customers.is_empty() {
             return invalid("an unknown X-Tenant-Id".into());
         }
-        if matches!(self.types[traffic_type].1.effect, Redoing::Labelled(_))
+        if matches!(self.types[traffic_type].1.idempotency, Idempotency::ByKey(_))
             && scan_request.idempotency_key.is_none()
         {
             return invalid("no Idempotency-Key".into());
@@ -384,13 +384,13 @@
             return invalid("the portions are not a whole".into());
         }
         let parts =
-            scan_request.parts.iter().map(|p| PartTaken { shard: p.shard, weight: p.weight / sum }).collect();
-        Ok(ScanTaken {
+            scan_request.parts.iter().map(|p| PartSpec { shard: p.shard, weight: p.weight / sum }).collect();
+        Ok(ScanSpec {
             traffic_type,
             customer: customer.unwrap_or(0),
-            left: scan_request.time_left.less(self.host.now.since(request_start)),
-            work: scan_request.parts.iter().filter_map(|part| part.work).reduce(|a, b| a + b),
-            repeat: scan_request.is_retry,
+            time_left: scan_request.time_left.saturating_sub(self.host.now.since(request_start)),
+            work_hint: scan_request.parts.iter().filter_map(|part| part.work).reduce(|a, b| a + b),
+            is_retry: scan_request.is_retry,
             parts,
         })
     }
@@ -401,7 +401,7 @@
             self.host.clients.disconnected(client, self.host.now)
         {
             self.host.close_scan(id, ScanOutcome::Failed);
-            self.mixer.client_left(&mut self.host, id);
+            self.mixer.client_disconnected(&mut self.host, id);
         }
     }
 
@@ -425,21 +425,21 @@
         }
         let landing = match outcome {
             PartOutcome::Succeeded => self.store_value(ticket, value),
-            PartOutcome::Failed => Landing::Erred,
-            PartOutcome::Rejected => Landing::TurnedAway,
+            PartOutcome::Failed => RelayOutcome::Failed,
+            PartOutcome::Rejected => RelayOutcome::Rejected,
         };
         self.host.land_relay(ticket, landing);
     }
 
     /// Stores the value of a part. A value that doesn't fit into the answer fails its part.
-    fn store_value(&mut self, ticket: Ticket, value: String) -> Landing {
-        let Some(relay) = self.host.relays.get(&ticket) else { return Landing::Erred };
-        let Some(open) = self.host.scans.get_mut(relay.scan) else { return Landing::Honoured };
+    fn store_value(&mut self, ticket: Ticket, value: String) -> RelayOutcome {
+        let Some(relay) = self.host.relays.get(&ticket) else { return RelayOutcome::Failed };
+        let Some(open) = self.host.scans.get_mut(relay.scan) else { return RelayOutcome::Succeeded };
         // An escaped byte may take up to six bytes; most values need no escaping.
         let escaped = value.bytes().filter(|b| *b < b' ' || matches!(b, b'"' | b'\\')).count();
         let size = open.answer_bytes + value.len() + 5 * escaped + PART_OVERHEAD_BYTES;
         if size > MAX_BODY_BYTES - PART_OVERHEAD_BYTES {
-            return Landing::Erred;
+            return RelayOutcome::Failed;
         }
         let from_query_node = self.host.registry.protocol(relay.to) == SearcherProtocol::QueryApi;
         let accepts = |context: &QueryContext| {
@@ -450,11 +450,11 @@
             }
         };
         if open.query.as_ref().is_some_and(|context| !accepts(context)) {
-            return Landing::Erred;
+            return RelayOutcome::Failed;
         }
         open.answer_bytes = size;
         open.parts[relay.part].1 = Some(value);
-        Landing::Honoured
+        RelayOutcome::Succeeded
     }
 
     fn node_version_received(&mut self, link_id: LinkId, version: String) {
@@ -536,7 +536,7 @@
             let landing = reason.landing(call.state == CallState::Written);
             for ticket in call.parts {
                 if !(link.connected
-                    && landing == Landing::Unreached
+                    && landing == RelayOutcome::Unreachable
                     && self.host.reassign_after_break(ticket))
                 {
                     self.host.land_relay(ticket, landing);
@@ -557,7 +557,7 @@
         self.host.timers.fired();
         while let Some(timer) = self.host.timers.next(self.host.now) {
             match timer {
-                Timer::Wake(ticket) => self.mixer.woken(&mut self.host, ticket),
+                Timer::Wake(ticket) => self.mixer.timer_fired(&mut self.host, ticket),
                 Timer::RelayDeadline(ticket, deadline) => self.host.relay_deadline_passed(ticket, deadline),
                 Timer::SendDeadline(ticket, started_at) => self.host.send_deadline_passed(ticket, started_at),
                 Timer::RequestTimeout(client, since) => {
@@ -594,7 +594,7 @@
         if !self.host.shutting_down {
             self.host.shutting_down = true;
             // Clients that have just connected are about to send a request.
-            self.close_idle_clients(self.host.now.less(NEW_CLIENT_GRACE));
+            self.close_idle_clients(self.host.now.saturating_sub(NEW_CLIENT_GRACE));
             self.host.timers.set(self.host.now + ACCEPT_GRACE, Timer::CloseListener);
         }
     }
@@ -606,7 +606,7 @@
     match event {
         Event::ClientAccepted(client, from) => state.host.clients.accepted(client, from, now),
         Event::RequestStarted(client, unread_for) => {
-            state.host.clients.request_started(client, now.less(unread_for), now);
+            state.host.clients.request_started(client, now.saturating_sub(unread_for), now);
             state.start_request_timeout(client, now);
         }
         Event::ScanRequested(client, scan_request) => state.scan_requested(client, scan_request),
@@ -635,11 +635,11 @@
         Event::DiscoveryUpdated(update) => {
             state.apply_discovery(&update);
             state.watch_failures = 0;
-            state.host.watch_list();
+            state.host.watch_discovery();
         }
         Event::DiscoveryMoved(discovery) => {
             state.host.registry.move_to(discovery);
-            state.host.watch_list();
+            state.host.watch_discovery();
         }
         Event::DiscoveryWatchFailed => {
             state.host.registry.watch_failed();
--- a/crates/mixer/src/routing/tests.rs
+++ b/crates/mixer/src/routing/tests.rs
@@ -5,7 +5,7 @@
 use crate::protocol::discovery::{ListUpdate, SearcherEntry};
 use crate::protocol::frames::{PartOutcome, PartRequest};
 use crate::protocol::scans::{RequestError, ScanPart, ScanRequest};
-use fernglade::{Landing, Moment, Span};
+use fernglade::{Moment, RelayOutcome, Span};
 use fernglade_admission::DescriptorBudget;
 use fernglade_fronts::Settings;
 use fernglade_orders::OperatorConfig;
@@ -79,7 +79,7 @@
 fn test_mixer_with(searchers: u16, more: &str, descriptors: DescriptorBudget) -> TestMixer {
     let settings = Settings::parse(format!("{SETTINGS}{more}").as_bytes()).unwrap();
     let state = State::new(&settings, 7, descriptors, &OperatorConfig::default(), "n0").unwrap();
-    let now = Moment::at_micros(1_764_000_000_000_000);
+    let now = Moment::from_micros(1_764_000_000_000_000);
     let mut mixer = TestMixer { state, now, timer: None, effects: Vec::new(), clients: 0 };
     let known = list_update(5, true, (0..searchers).map(|number| searcher_entry(number, true)).collect());
     let effects = mixer.state.begin(&known, DISCOVERY, now);
@@ -97,7 +97,7 @@
         request_id: name.into(),
         traffic_type: traffic_type.into(),
         customer: "acme".into(),
-        time_left: Span::of_millis(4000),
+        time_left: Span::from_millis(4000),
         is_retry: false,
         idempotency_key: Some("k1".into()),
         text: "c41e".into(),
@@ -121,7 +121,7 @@
     }
 
     fn advance(&mut self, millis: u64) {
-        let until = self.now + Span::of_millis(millis);
+        let until = self.now + Span::from_millis(millis);
         while let Some(at) = self.timer.take_if(|at| *at <= until) {
             self.now = at.max(self.now);
             self.feed(Event::TimerFired);
@@ -220,22 +220,22 @@
     assert_eq!(mixer.take_replies(), [(client, Reply::Answer { complete: true, values }, false)]);
 }
 
-#[test_case(CloseReason::ConnectionRefused, false, Landing::Unreached)]
-#[test_case(CloseReason::ConnectTimedOut, false, Landing::Unreached)]
-#[test_case(CloseReason::Unreachable, false, Landing::Unreached)]
-#[test_case(CloseReason::OutOfResources, false, Landing::Unsent; "a local shortage says nothing about the searcher")]
-#[test_case(CloseReason::ClosedByPeer, true, Landing::Dropped)]
-#[test_case(CloseReason::ClosedByPeer, false, Landing::Unreached; "closed before its last byte it never ran")]
-#[test_case(CloseReason::ClosedIdle, true, Landing::Dropped)]
-#[test_case(CloseReason::ConnectionBroken, true, Landing::Dropped)]
-#[test_case(CloseReason::ConnectionBroken, false, Landing::Unreached)]
-#[test_case(CloseReason::ProtocolError, true, Landing::Erred; "it responds so it is alive")]
-#[test_case(CloseReason::RejectedByPeer, true, Landing::Erred)]
-#[test_case(CloseReason::WriteBacklogFull, true, Landing::Silent)]
-#[test_case(CloseReason::WriteBacklogFull, false, Landing::Unsent)]
-#[test_case(CloseReason::ClosedLocally, true, Landing::CalledOff)]
-#[test_case(CloseReason::ClosedLocally, false, Landing::Unsent)]
-fn each_close_reason_maps_to_one_outcome(reason: CloseReason, written: bool, landing: Landing) {
+#[test_case(CloseReason::ConnectionRefused, false, RelayOutcome::Unreachable)]
+#[test_case(CloseReason::ConnectTimedOut, false, RelayOutcome::Unreachable)]
+#[test_case(CloseReason::Unreachable, false, RelayOutcome::Unreachable)]
+#[test_case(CloseReason::OutOfResources, false, RelayOutcome::NotSent; "a local shortage says nothing about the searcher")]
+#[test_case(CloseReason::ClosedByPeer, true, RelayOutcome::ConnectionLost)]
+#[test_case(CloseReason::ClosedByPeer, false, RelayOutcome::Unreachable; "closed before its last byte it never ran")]
+#[test_case(CloseReason::ClosedIdle, true, RelayOutcome::ConnectionLost)]
+#[test_case(CloseReason::ConnectionBroken, true, RelayOutcome::ConnectionLost)]
+#[test_case(CloseReason::ConnectionBroken, false, RelayOutcome::Unreachable)]
+#[test_case(CloseReason::ProtocolError, true, RelayOutcome::Failed; "it responds so it is alive")]
+#[test_case(CloseReason::RejectedByPeer, true, RelayOutcome::Failed)]
+#[test_case(CloseReason::WriteBacklogFull, true, RelayOutcome::TimedOut)]
+#[test_case(CloseReason::WriteBacklogFull, false, RelayOutcome::NotSent)]
+#[test_case(CloseReason::ClosedLocally, true, RelayOutcome::Cancelled)]
+#[test_case(CloseReason::ClosedLocally, false, RelayOutcome::NotSent)]
+fn each_close_reason_maps_to_one_outcome(reason: CloseReason, written: bool, landing: RelayOutcome) {
     assert_eq!(reason.landing(written), landing);
 }
 
@@ -678,10 +678,10 @@
 fn the_time_a_request_was_unread_counts_against_its_timeout() {
     let mut mixer = test_mixer(1);
     let client = mixer.connect_client();
-    mixer.feed(Event::RequestStarted(client, Span::of_millis(300)));
+    mixer.feed(Event::RequestStarted(client, Span::from_millis(300)));
     mixer.feed(Event::ScanRequested(
         client,
-        ScanRequest { time_left: Span::of_millis(800), ..scan_request("a", "look", &[0]) },
+        ScanRequest { time_left: Span::from_millis(800), ..scan_request("a", "look", &[0]) },
     ));
     assert_eq!(mixer.send_calls()[0].part_requests[0].timeout_ms, 800 - 300 - 15);
 }
@@ -1002,7 +1002,7 @@
         OperatorConfig::parse("{ dialect: { indices: { cues: { searches: 'look', customer: 'acme' } } } }")
             .unwrap();
     let state = State::new(&settings, 7, descriptors_for(10, 10), &operator, "n0").unwrap();
-    let now = Moment::at_micros(1_764_000_000_000_000);
+    let now = Moment::from_micros(1_764_000_000_000_000);
     let mut mixer = TestMixer { state, now, timer: None, effects: Vec::new(), clients: 0 };
     let known = list_update(5, true, (0..searchers).map(|number| searcher_entry(number, true)).collect());
     let effects = mixer.state.begin(&known, DISCOVERY, now);
--- a/crates/orders/src/units.rs
+++ b/crates/orders/src/units.rs
@@ -10,7 +10,7 @@
     let duration = humantime::parse_duration(&text);
     let duration = duration
         .map_err(|_| Error::invalid_value(Unexpected::Str(&text), &"a time such as \"250ms\" or \"2s\""))?;
-    Ok(Some(Span::of_micros(duration.as_micros().min(u128::from(u64::MAX)) as u64)))
+    Ok(Some(Span::from_micros(duration.as_micros().min(u128::from(u64::MAX)) as u64)))
 }
 
 /// A share from 0 to 1.
--- a/crates/shedding/src/fleet.rs
+++ b/crates/shedding/src/fleet.rs
@@ -3,11 +3,11 @@
 use crate::load_shedder::LoadShedder;
 use crate::probe_schedule::ProbeSchedule;
 use crate::retry_budget::FleetRetryBudget;
-use fernglade::{Fleet, Heard, Knock, Moment, Span};
+use fernglade::{AdmissionRequest, FleetPolicy, Moment, PartResult, Span};
 
 /// A policy that is `None` is disabled: the decision module then uses its own.
 #[derive(Clone, Debug, Default)]
-pub struct FleetPolicy {
+pub struct FleetLimits {
     /// Which scans are rejected under overload.
     pub load_shedder: Option<LoadShedder>,
     /// Which lost parts are relayed to another replica.
@@ -16,25 +16,27 @@
     pub probe_schedule: Option<ProbeSchedule>,
 }
 
-impl Fleet for FleetPolicy {
-    fn lets_in(&mut self, now: Moment, scan: &Knock) -> Option<Result<f64, f64>> {
+impl FleetPolicy for FleetLimits {
+    fn admit(&mut self, now: Moment, scan: &AdmissionRequest) -> Option<Result<f64, f64>> {
         self.load_shedder.as_mut().map(|shedder| shedder.admit(now, scan))
     }
 
-    fn landed(&mut self, now: Moment, outcome: &Heard) {
+    fn note_result(&mut self, now: Moment, outcome: &PartResult) {
         self.load_shedder.iter_mut().for_each(|shedder| shedder.record_outcome(now, outcome));
-        self.retry_budget.iter_mut().for_each(|budget| budget.record_outcome(now, outcome.cell, outcome.how));
+        self.retry_budget
+            .iter_mut()
+            .for_each(|budget| budget.record_outcome(now, outcome.cell, outcome.outcome));
     }
 
-    fn may_relay(&self, now: Moment, cell: u32) -> bool {
+    fn may_retry(&self, now: Moment, cell: u32) -> bool {
         self.retry_budget.as_ref().is_none_or(|budget| budget.may_relay(now, cell))
     }
 
-    fn relayed(&mut self, now: Moment, cell: u32) {
+    fn note_retry(&mut self, now: Moment, cell: u32) {
         self.retry_budget.iter_mut().for_each(|budget| budget.record_relay(now, cell));
     }
 
-    fn asks_in(&mut self, first: bool) -> Option<Span> {
+    fn probe_delay(&mut self, first: bool) -> Option<Span> {
         self.probe_schedule
             .as_mut()
             .map(|schedule| if first { schedule.first_delay() } else { schedule.interval() })
--- a/crates/shedding/src/lib.rs
+++ b/crates/shedding/src/lib.rs
@@ -4,7 +4,7 @@
 //! Mixers do not communicate. What one sheds the others shed too, because they order scans alike and see the
 //! same searchers; of relays and probes each takes its share.
 //!
-//! Called by the decision module (`src/choice.rs`) through the trait [`fernglade::Fleet`], before the parts
+//! Called by the decision module (`src/choice.rs`) through the trait [`fernglade::FleetPolicy`], before the parts
 //! of a scan are placed and after each part ends. The operator's file enables it; without that nothing is
 //! shed here.
 //!
@@ -14,7 +14,7 @@
 //! - [`LoadShedder`]: one controller for all cells and one for each cell
 //! - [`FleetRetryBudget`]: limits relays of lost parts to a share, summed over the fleet
 //! - [`ProbeSchedule`]: how often all mixers together probe a searcher that is down
-//! - [`FleetPolicy`]: those of the three that the operator enabled
+//! - [`FleetLimits`]: those of the three that the operator enabled
 //!
 //! How each table is bounded: the bands of the order are a fixed number and decay; there is one controller
 //! and one budget for each cell of the deployment.
@@ -31,7 +31,7 @@
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
 
-pub use fleet::FleetPolicy;
+pub use fleet::FleetLimits;
 pub use load_shedder::{overload_signal, LoadShedder};
 pub use priority_order::PriorityOrder;
 pub use probe_schedule::{ProbeSchedule, PROBES_PER_SECOND};
--- a/crates/shedding/src/load_shedder.rs
+++ b/crates/shedding/src/load_shedder.rs
@@ -2,15 +2,17 @@
 
 use crate::priority_order::PriorityOrder;
 use crate::shed_controller::{ControlParameters, OverloadSignal, ShedController};
-use fernglade::{Heard, Knock, Landing, Moment, Span};
+use fernglade::{AdmissionRequest, Moment, PartResult, RelayOutcome, Span};
 use std::collections::BTreeMap;
 
 /// The target of the queue, which is also the latency unit of the loop: half of a part's latency without a
 /// queue. The limits on in-flight parts aim at one and a half times the shortest latency, so that scans are
 /// shed in order of priority before those limits reject any. At most a quarter of the time left beside the
 /// work, where that is short.
-fn queue_target(outcome: &Heard) -> Span {
-    (outcome.shortest * 0.5).min(outcome.quoted.less(outcome.shortest) * 0.25).max(Span::of_micros(1))
+fn queue_target(outcome: &PartResult) -> Span {
+    (outcome.min_latency * 0.5)
+        .min(outcome.target_latency.saturating_sub(outcome.min_latency) * 0.25)
+        .max(Span::from_micros(1))
 }
 
 /// Sheds by one controller for all cells, which sees many parts and reacts quickly, and by one for each cell,
@@ -26,16 +28,17 @@
 }
 
 /// The signal in the outcome of a part; `None` if it says nothing about a queue.
-pub fn overload_signal(outcome: &Heard) -> Option<OverloadSignal> {
+pub fn overload_signal(outcome: &PartResult) -> Option<OverloadSignal> {
     // In latency units, the first of which is the target.
-    let queue_units = outcome.took.less(outcome.shortest).as_f64() / queue_target(outcome).as_f64();
+    let queue_units =
+        outcome.elapsed.saturating_sub(outcome.min_latency).as_f64() / queue_target(outcome).as_f64();
     let signal = |queue_excess, saturation| Some(OverloadSignal { queue_excess, saturation });
-    match outcome.how {
-        Landing::TurnedAway => signal(1.0, 1.0),
+    match outcome.outcome {
+        RelayOutcome::Rejected => signal(1.0, 1.0),
         // From half of the target down to an empty queue, the queue says less and less about how much more
         // work fits.
-        Landing::Honoured => signal((queue_units - 1.0).min(1.0), (2.0 * queue_units - 1.0).min(0.0)),
-        Landing::Silent | Landing::CalledOff if queue_units >= 2.0 => signal(1.0, 0.0),
+        RelayOutcome::Succeeded => signal((queue_units - 1.0).min(1.0), (2.0 * queue_units - 1.0).min(0.0)),
+        RelayOutcome::TimedOut | RelayOutcome::Cancelled if queue_units >= 2.0 => signal(1.0, 0.0),
         _ => None,
     }
 }
@@ -56,7 +59,7 @@
 
     /// `Ok` with the position of a scan among the admitted ones, or `Err` with the share of the longest pause
     /// that its client is told.
-    pub fn admit(&mut self, now: Moment, scan: &Knock) -> Result<f64, f64> {
+    pub fn admit(&mut self, now: Moment, scan: &AdmissionRequest) -> Result<f64, f64> {
         let position = self.priority_order.position(now, scan);
         let level = self.shed_level(now, scan.parts.iter().map(|part| part.shard % scan.cells.max(1)));
         let share = (-level).exp();
@@ -71,11 +74,11 @@
     }
 
     /// Records how a part ended.
-    pub fn record_outcome(&mut self, now: Moment, outcome: &Heard) {
+    pub fn record_outcome(&mut self, now: Moment, outcome: &PartResult) {
         let Some(signal) = overload_signal(outcome) else { return };
         let observed = ControlParameters {
             latency_unit: queue_target(outcome),
-            target_latency: outcome.shortest + queue_target(outcome),
+            target_latency: outcome.min_latency + queue_target(outcome),
         };
         // The traffic type with the shortest time has the smallest latency unit, and all types use that.
         let parameters = *self.parameters.get_or_insert(observed);
--- a/crates/shedding/src/priority_order.rs
+++ b/crates/shedding/src/priority_order.rs
@@ -3,7 +3,7 @@
 //! content.
 
 use crate::unit_fraction;
-use fernglade::{Knock, Moment};
+use fernglade::{AdmissionRequest, Moment};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Bands of worth, each half as much as the one before: eight of them, as a credit over its customer's share
@@ -32,9 +32,9 @@
     /// Counts a scan and returns its position: from 0, which is shed last, to just under 1. As each band
     /// takes up its share of the offered load, admitting all positions below a share admits that share of the
     /// work.
-    pub fn position(&mut self, now: Moment, scan: &Knock) -> f64 {
+    pub fn position(&mut self, now: Moment, scan: &AdmissionRequest) -> f64 {
         self.decay(now);
-        let band = band(scan.worth, scan.repeat);
+        let band = band(scan.priority, scan.is_retry);
         self.offered[band] += scan.parts.len() as f64;
         let before: f64 = self.offered[..band].iter().sum();
         let total: f64 = self.offered.iter().sum();
@@ -56,7 +56,7 @@
 
 /// Maps a scan's content to a number from 0 to 1: the same at every mixer and for a retry, within one hash
 /// epoch.
-fn content_fraction(now: Moment, scan: &Knock) -> f64 {
+fn content_fraction(now: Moment, scan: &AdmissionRequest) -> f64 {
     let mut shards: Vec<u32> = scan.parts.iter().map(|part| part.shard).collect();
     shards.sort_unstable();
     let bytes: Vec<u8> = shards.iter().flat_map(|shard| shard.to_le_bytes()).collect();
--- a/crates/shedding/src/probe_schedule.rs
+++ b/crates/shedding/src/probe_schedule.rs
@@ -27,7 +27,7 @@
     /// twice as often.
     pub fn new(fleet_size: f64, seed: u64) -> Self {
         let interval =
-            Span::of_micros((1e6 * (fleet_size / PROBES_PER_SECOND).max(MIN_INTERVAL_SECONDS)) as u64);
+            Span::from_micros((1e6 * (fleet_size / PROBES_PER_SECOND).max(MIN_INTERVAL_SECONDS)) as u64);
         Self { interval, seed, draws: 0 }
     }
 
--- a/crates/shedding/src/retry_budget.rs
+++ b/crates/shedding/src/retry_budget.rs
@@ -4,7 +4,7 @@
 //! of a relay each, one in ten grants one.
 
 use crate::unit_fraction;
-use fernglade::{Landing, Moment};
+use fernglade::{Moment, RelayOutcome};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -86,8 +86,8 @@
     }
 
     /// Records the outcome of a part. A successful one earns tokens.
-    pub fn record_outcome(&mut self, now: Moment, cell: u32, outcome: Landing) {
-        self.add(now, cell, if outcome == Landing::Honoured { RETRY_SHARE } else { 0.0 });
+    pub fn record_outcome(&mut self, now: Moment, cell: u32, outcome: RelayOutcome) {
+        self.add(now, cell, if outcome == RelayOutcome::Succeeded { RETRY_SHARE } else { 0.0 });
     }
 
     fn add(&mut self, now: Moment, cell: u32, amount: f64) {
--- a/crates/shedding/tests/fleet.rs
+++ b/crates/shedding/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Simulates many mixers in front of one queue in virtual time: each sees the outcomes of its own parts only,
 //! and the totals are checked.
 
-use fernglade::{Heard, Knock, Landing, Moment, PartTaken, Span};
+use fernglade::{AdmissionRequest, Moment, PartResult, PartSpec, RelayOutcome, Span};
 use fernglade_shedding::LoadShedder;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
@@ -41,17 +41,23 @@
             completions.peek().copied().filter(|l| l.0 .0 <= now)
         {
             completions.pop();
-            let how = if served { Landing::Honoured } else { Landing::TurnedAway };
-            let (took, quoted) = (Span::of_micros(took), Span::of_micros(TIMEOUT));
-            let outcome = Heard { cell: 0, how, took, quoted, shortest: Span::of_micros(WORK_LATENCY) };
-            fleet[mixer].record_outcome(Moment::at_micros(at), &outcome);
+            let how = if served { RelayOutcome::Succeeded } else { RelayOutcome::Rejected };
+            let (took, quoted) = (Span::from_micros(took), Span::from_micros(TIMEOUT));
+            let outcome = PartResult {
+                cell: 0,
+                outcome: how,
+                elapsed: took,
+                target_latency: quoted,
+                min_latency: Span::from_micros(WORK_LATENCY),
+            };
+            fleet[mixer].record_outcome(Moment::from_micros(at), &outcome);
         }
         let mixer = if rng.random_bool(first_mixer_share) { 0 } else { rng.random_range(0..mixers) };
-        let parts = [PartTaken { shard: rng.random_range(0..1 << 20), weight: 1.0 }];
-        let scan = Knock { worth: 1.0, repeat: false, parts: &parts, cells: 1 };
+        let parts = [PartSpec { shard: rng.random_range(0..1 << 20), weight: 1.0 }];
+        let scan = AdmissionRequest { priority: 1.0, is_retry: false, parts: &parts, cells: 1 };
         let counts = &mut seconds[second];
         counts.offered += 1;
-        if fleet[mixer].admit(Moment::at_micros(now), &scan).is_err() {
+        if fleet[mixer].admit(Moment::from_micros(now), &scan).is_err() {
             continue;
         }
         counts.admitted += 1;
--- a/crates/shedding/tests/order.rs
+++ b/crates/shedding/tests/order.rs
@@ -1,6 +1,6 @@
 //! Tests the priority order, the bounds of the shed level, and that mixers shed alike.
 
-use fernglade::{Heard, Knock, Landing, Moment, PartTaken, Span};
+use fernglade::{AdmissionRequest, Moment, PartResult, PartSpec, RelayOutcome, Span};
 use fernglade_shedding::{
     ControlParameters, LoadShedder, OverloadSignal, PriorityOrder, ShedController, MAX_SHED,
 };
@@ -9,23 +9,29 @@
 
 const START_MICROS: u64 = 100_000_000;
 
-fn parts(shards: &[u32]) -> Vec<PartTaken> {
-    shards.iter().map(|shard| PartTaken { shard: *shard, weight: 1.0 }).collect()
+fn parts(shards: &[u32]) -> Vec<PartSpec> {
+    shards.iter().map(|shard| PartSpec { shard: *shard, weight: 1.0 }).collect()
 }
 
-fn scan(worth: f64, repeat: bool, parts: &[PartTaken]) -> Knock<'_> {
-    Knock { worth, repeat, parts, cells: 4 }
+fn scan(worth: f64, repeat: bool, parts: &[PartSpec]) -> AdmissionRequest<'_> {
+    AdmissionRequest { priority: worth, is_retry: repeat, parts, cells: 4 }
 }
 
-fn outcome(cell: u32, how: Landing, took: u64) -> Heard {
-    let (quoted, shortest) = (Span::of_millis(500), Span::of_millis(20));
-    Heard { cell, how, took: Span::of_millis(took), quoted, shortest }
+fn outcome(cell: u32, how: RelayOutcome, took: u64) -> PartResult {
+    let (quoted, shortest) = (Span::from_millis(500), Span::from_millis(20));
+    PartResult {
+        cell,
+        outcome: how,
+        elapsed: Span::from_millis(took),
+        target_latency: quoted,
+        min_latency: shortest,
+    }
 }
 
 #[test]
 fn scans_are_ordered_by_worth_then_first_attempts_alike_at_every_mixer() {
     let mut fleet = [PriorityOrder::default(), PriorityOrder::default(), PriorityOrder::default()];
-    let at = |step: u64| Moment::at_micros(START_MICROS + step * 10_000);
+    let at = |step: u64| Moment::from_micros(START_MICROS + step * 10_000);
     // Each of the three mixers sees different scans of the same mix.
     for step in 0..600 {
         for (mixer, order) in fleet.iter_mut().enumerate() {
@@ -63,11 +69,11 @@
 #[test]
 fn a_scan_is_admitted_for_all_of_its_cells_or_for_none() {
     let mut fleet = [LoadShedder::default(), LoadShedder::default()];
-    let at = |step: u64| Moment::at_micros(START_MICROS + step * 5_000);
+    let at = |step: u64| Moment::from_micros(START_MICROS + step * 5_000);
     for step in 0..1_500 {
         for mixer in &mut fleet {
             for cell in 0..4 {
-                let how = if cell == 2 { Landing::TurnedAway } else { Landing::Honoured };
+                let how = if cell == 2 { RelayOutcome::Rejected } else { RelayOutcome::Succeeded };
                 mixer.record_outcome(at(step), &outcome(cell, how, 20));
             }
             let shards = parts(&[step as u32 % 50]);
@@ -91,18 +97,18 @@
 }
 
 /// Uses a copy, so that the question does not count as a scan.
-fn admits(mixer: &LoadShedder, now: Moment, parts: &[PartTaken]) -> bool {
+fn admits(mixer: &LoadShedder, now: Moment, parts: &[PartSpec]) -> bool {
     mixer.clone().admit(now, &scan(1.0, false, parts)).is_ok()
 }
 
 #[test]
 fn at_most_shedding_a_trickle_is_admitted_and_pauses_are_spread() {
     let mut mixer = LoadShedder::default();
-    let at = |step: u64| Moment::at_micros(START_MICROS + step * 5_000);
-    (0..6_000).for_each(|step| mixer.record_outcome(at(step), &outcome(0, Landing::TurnedAway, 1)));
+    let at = |step: u64| Moment::from_micros(START_MICROS + step * 5_000);
+    (0..6_000).for_each(|step| mixer.record_outcome(at(step), &outcome(0, RelayOutcome::Rejected, 1)));
     let (mut admitted, mut pauses) = (0, Vec::new());
     for step in 6_000..16_000 {
-        mixer.record_outcome(at(step), &outcome(0, Landing::TurnedAway, 1));
+        mixer.record_outcome(at(step), &outcome(0, RelayOutcome::Rejected, 1));
         match mixer.admit(at(step), &scan(1.0, false, &parts(&[step as u32]))) {
             Ok(_) => admitted += 1,
             Err(pause) => pauses.push(pause),
@@ -119,8 +125,8 @@
 fn without_feedback_shedding_decays() {
     let mut controller = ShedController::default();
     let parameters =
-        ControlParameters { latency_unit: Span::of_millis(120), target_latency: Span::of_millis(140) };
-    let at = |millis: u64| Moment::at_micros(START_MICROS + millis * 1_000);
+        ControlParameters { latency_unit: Span::from_millis(120), target_latency: Span::from_millis(140) };
+    let at = |millis: u64| Moment::from_micros(START_MICROS + millis * 1_000);
     (0..2_000).for_each(|step| {
         controller.update(at(step * 10), OverloadSignal { queue_excess: 1.0, saturation: 1.0 }, parameters)
     });
@@ -142,7 +148,7 @@
         for step in 0..6_000u32 {
             let (worth, repeat, count) = mix[step as usize % mix.len()];
             let shards: Vec<u32> = (0..count as u32).map(|part| seed + step * 31 + part).collect();
-            let now = Moment::at_micros(START_MICROS + u64::from(step) * 5_000);
+            let now = Moment::from_micros(START_MICROS + u64::from(step) * 5_000);
             let position = order.position(now, &scan(worth, repeat, &parts(&shards)));
             prop_assert!((0.0..1.0).contains(&position));
             // In the first seconds the mix is hardly known.
@@ -161,11 +167,11 @@
         latency_unit in 1u64..5_000_000,
         target_latency in 0u64..5_000_000,
     ) {
-        let parameters = ControlParameters { latency_unit: Span::of_micros(latency_unit), target_latency: Span::of_micros(target_latency) };
+        let parameters = ControlParameters { latency_unit: Span::from_micros(latency_unit), target_latency: Span::from_micros(target_latency) };
         let mut controller = ShedController::default();
         for (at, queue_excess, saturation) in signals {
-            controller.update(Moment::at_micros(START_MICROS + at), OverloadSignal { queue_excess, saturation }, parameters);
-            let shed = controller.shed_level(Moment::at_micros(START_MICROS + at), parameters);
+            controller.update(Moment::from_micros(START_MICROS + at), OverloadSignal { queue_excess, saturation }, parameters);
+            let shed = controller.shed_level(Moment::from_micros(START_MICROS + at), parameters);
             prop_assert!((0.0..=MAX_SHED).contains(&shed), "{shed}");
         }
     }
@@ -176,11 +182,11 @@
     fn the_load_shedder_handles_any_outcomes(
         outcomes in prop::collection::vec((0u64..5_000_000, 0u32..6, 0usize..8, 0u64..3_000), 0..200),
     ) {
-        let ends = [Landing::Honoured, Landing::Erred, Landing::TurnedAway, Landing::Unreached, Landing::Silent,
-            Landing::Dropped, Landing::CalledOff, Landing::Unsent];
+        let ends = [RelayOutcome::Succeeded, RelayOutcome::Failed, RelayOutcome::Rejected, RelayOutcome::Unreachable, RelayOutcome::TimedOut,
+            RelayOutcome::ConnectionLost, RelayOutcome::Cancelled, RelayOutcome::NotSent];
         let mut mixer = LoadShedder::default();
         for (at, cell, how, took) in outcomes {
-            let now = Moment::at_micros(START_MICROS + at);
+            let now = Moment::from_micros(START_MICROS + at);
             mixer.record_outcome(now, &outcome(cell, ends[how], took));
             match mixer.admit(now, &scan(0.5, false, &parts(&[cell]))) {
                 Ok(position) => prop_assert!((0.0..1.0).contains(&position)),
--- a/crates/shedding/tests/sums.rs
+++ b/crates/shedding/tests/sums.rs
@@ -1,7 +1,7 @@
 //! Simulates what many mixers relay and probe in total, in virtual time: no mixer knows of another, and the
 //! totals are checked.
 
-use fernglade::{Landing, Moment, Span};
+use fernglade::{Moment, RelayOutcome, Span};
 use fernglade_shedding::{FleetRetryBudget, ProbeSchedule, PROBES_PER_SECOND, RETRY_SHARE};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -30,16 +30,16 @@
     let mut totals = Totals { succeeded: 0, lost: 0, relayed: 0, worst_second: 0 };
     let mut in_second = (0, 0);
     for step in 0..50 * PARTS_PER_SECOND {
-        let now = Moment::at_micros(50_000_000 + step * 1_000_000 / PARTS_PER_SECOND);
+        let now = Moment::from_micros(50_000_000 + step * 1_000_000 / PARTS_PER_SECOND);
         let mixer = if rng.random_bool(first_mixer_share) { 0 } else { rng.random_range(0..mixers) };
         let counted = step >= 30 * PARTS_PER_SECOND;
         if !counted || !rng.random_bool(lost) {
             totals.succeeded += usize::from(counted);
-            fleet[mixer].record_outcome(now, 3, Landing::Honoured);
+            fleet[mixer].record_outcome(now, 3, RelayOutcome::Succeeded);
             continue;
         }
         totals.lost += 1;
-        fleet[mixer].record_outcome(now, 3, Landing::TurnedAway);
+        fleet[mixer].record_outcome(now, 3, RelayOutcome::Rejected);
         if fleet[mixer].may_relay(now, 3) {
             fleet[mixer].record_relay(now, 3);
             totals.relayed += 1;
@@ -110,8 +110,8 @@
     let interval = ProbeSchedule::new(stated_size, 0).interval();
     for mixer in 0..mixers {
         let mut schedule = ProbeSchedule::new(stated_size, mixer as u64);
-        let mut at = Moment::at_micros(0) + schedule.first_delay();
-        while at < Moment::at_micros(200_000_000) {
+        let mut at = Moment::from_micros(0) + schedule.first_delay();
+        while at < Moment::from_micros(200_000_000) {
             by_second[(at.micros() / 1_000_000) as usize] += 1;
             times.push(at);
             at = at + schedule.interval();
@@ -153,17 +153,17 @@
         steps in prop::collection::vec((0u64..4_000_000, 0u32..3, 0u8..3), 1..300),
     ) {
         let mut budget = FleetRetryBudget::new(stated_size, seed);
-        let (mut now, mut succeeded, mut relayed) = (Moment::at_micros(7), [0usize; 3], [0usize; 3]);
+        let (mut now, mut succeeded, mut relayed) = (Moment::from_micros(7), [0usize; 3], [0usize; 3]);
         let start = now;
         for (gap, cell, what) in steps {
-            now = now + Span::of_micros(gap);
+            now = now + Span::from_micros(gap);
             let at_cell = cell as usize;
             if what == 0 {
-                budget.record_outcome(now, cell, Landing::Honoured);
+                budget.record_outcome(now, cell, RelayOutcome::Succeeded);
                 succeeded[at_cell] += 1;
                 continue;
             }
-            budget.record_outcome(now, cell, Landing::Dropped);
+            budget.record_outcome(now, cell, RelayOutcome::ConnectionLost);
             if budget.may_relay(now, cell) {
                 budget.record_relay(now, cell);
                 relayed[at_cell] += 1;
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -2,7 +2,9 @@
 
 use crate::wire::{Fields, Reply, WireError};
 use fernglade::choice::Mixer;
-use fernglade::{Host, Landing, Listing, Moment, PartTaken, ScanId, ScanTaken, Searcher, Span, Ticket};
+use fernglade::{
+    Host, ListedSearcher, Moment, PartSpec, RelayOutcome, ScanId, ScanSpec, Searcher, Span, Ticket,
+};
 use fernglade_fronts::{SearcherIds, Settings, SlotMap};
 use std::collections::{BTreeSet, HashMap};
 
@@ -96,7 +98,7 @@
         self.action(16, &[&relay.0.to_be_bytes(), &to, &micros_field(patience)]);
     }
 
-    fn call_off(&mut self, relay: Ticket) {
+    fn cancel(&mut self, relay: Ticket) {
         let relay = self.ids.tickets.get(&relay).copied().filter(|_| self.ids.can_cancel);
         if let Some((correlation, number)) = relay {
             self.action(19, &[&correlation.to_be_bytes(), &number.to_be_bytes()]);
@@ -111,35 +113,35 @@
         }
     }
 
-    fn bounce(&mut self, scan: ScanId, pause: Span) {
+    fn reject(&mut self, scan: ScanId, pause: Span) {
         let Some(correlation) = self.ids.correlation(scan) else { return };
         self.action(17, &[&correlation, &micros_field(pause)]);
         self.ids.close(scan);
     }
 
-    fn write_off(&mut self, scan: ScanId) {
+    fn fail(&mut self, scan: ScanId) {
         let Some(correlation) = self.ids.correlation(scan) else { return };
         self.action(18, &[&correlation]);
         self.ids.close(scan);
     }
 
-    fn wake(&mut self, ticket: Ticket, at: Moment) {
+    fn set_timer(&mut self, ticket: Ticket, at: Moment) {
         self.action(20, &[&at.micros().to_be_bytes(), &ticket.0.to_be_bytes()]);
     }
 
-    fn check(&mut self, searcher: Searcher) {
+    fn probe(&mut self, searcher: Searcher) {
         if let Some(wire_id) = self.ids.wire_id(searcher) {
             self.action(21, &[&wire_id]);
         }
     }
 
-    fn hang_up(&mut self, searcher: Searcher) {
+    fn retire_connections(&mut self, searcher: Searcher) {
         if let Some(wire_id) = self.ids.wire_id(searcher) {
             self.action(22, &[&wire_id]);
         }
     }
 
-    fn watch_list(&mut self) {
+    fn watch_discovery(&mut self) {
         self.action(26, &[&[1]]);
     }
 }
@@ -148,8 +150,8 @@
 struct PartialScan {
     id: ScanId,
     /// `None` for the parts of a second step.
-    scan: Option<ScanTaken>,
-    parts: Vec<PartTaken>,
+    scan: Option<ScanSpec>,
+    parts: Vec<PartSpec>,
 }
 
 /// The status of a searcher that was removed from the list.
@@ -197,8 +199,8 @@
     pub fn submit_scan(&mut self, now: Moment, reply: &mut Reply) {
         let Some(PartialScan { id, scan, parts }) = self.partial.take() else { return };
         self.call_mixer(now, reply, |mixer, host| match scan {
-            Some(scan) => mixer.taken(host, id, ScanTaken { parts, ..scan }),
-            None => mixer.more_parts(host, id, &parts),
+            Some(scan) => mixer.start_scan(host, id, ScanSpec { parts, ..scan }),
+            None => mixer.start_fetch(host, id, &parts),
         });
     }
 
@@ -210,15 +212,15 @@
         let (time_left, work_hint) = (fields.u32()?, fields.u32()?);
         let (job, shard, weight) = (fields.u32()?, fields.f32()?, fields.f32()?);
         let options = fields.u16()?;
-        let work = (options & 1 != 0).then(|| Span::of_micros(work_hint.into()));
+        let work = (options & 1 != 0).then(|| Span::from_micros(work_hint.into()));
         if shard < 0.0 {
             self.submit_scan(now, reply);
-            let scan = ScanTaken {
+            let scan = ScanSpec {
                 traffic_type: traffic_type.into(),
                 customer: customer.into(),
-                left: Span::of_micros(time_left.into()),
-                work,
-                repeat: options & 2 != 0,
+                time_left: Span::from_micros(time_left.into()),
+                work_hint: work,
+                is_retry: options & 2 != 0,
                 parts: Vec::new(),
             };
             let id = self.ids.open(correlation, job);
@@ -230,7 +232,7 @@
             self.submit_scan(now, reply);
             self.partial = Some(PartialScan { id, scan: None, parts: Vec::new() });
         }
-        let part = PartTaken { shard: shard as u32, weight: f64::from(weight) };
+        let part = PartSpec { shard: shard as u32, weight: f64::from(weight) };
         self.partial.iter_mut().for_each(|partial| partial.parts.push(part));
         self.ids.open.get_mut(id).into_iter().for_each(|open_scan| open_scan.parts.push((correlation, 0)));
         Ok(())
@@ -249,15 +251,15 @@
         }
         let entries = entries.map_or(&[][..], Vec::as_slice);
         let home_zone = self.home_zone;
-        let listing = |entry: &ListEntry| Listing {
+        let listing = |entry: &ListEntry| ListedSearcher {
             searcher: self.ids.searchers.get_or_assign(&entry.wire_id),
             cell: entry.cell.into(),
             ready: entry.status == 0,
-            started: (entry.started != 0).then(|| Moment::at_micros(entry.started)),
-            dear: home_zone.is_some_and(|home| entry.zone != home),
+            started: (entry.started != 0).then(|| Moment::from_micros(entry.started)),
+            cross_zone: home_zone.is_some_and(|home| entry.zone != home),
         };
-        let listings: Vec<Listing> = entries.iter().map(listing).collect();
-        self.call_mixer(now, reply, |mixer, host| mixer.listed(host, kind != 0, &listings));
+        let listings: Vec<ListedSearcher> = entries.iter().map(listing).collect();
+        self.call_mixer(now, reply, |mixer, host| mixer.update_searchers(host, kind != 0, &listings));
         let (gone, present): (Vec<&ListEntry>, Vec<&ListEntry>) =
             entries.iter().partition(|entry| entry.status == STATUS_GONE);
         let ids =
@@ -271,20 +273,20 @@
         let mut fields = Fields::new(fields, "Result");
         let (correlation, number, _searcher) = (fields.u64()?, fields.u16()?, fields.u32()?);
         let outcome = match fields.u8()? {
-            0 => Landing::Honoured,
-            5 => Landing::Erred,
-            11 => Landing::TurnedAway,
-            104 => Landing::Dropped,
-            110 => Landing::Silent,
-            111 => Landing::Unreached,
-            114 => Landing::Unsent,
-            125 => Landing::CalledOff,
+            0 => RelayOutcome::Succeeded,
+            5 => RelayOutcome::Failed,
+            11 => RelayOutcome::Rejected,
+            104 => RelayOutcome::ConnectionLost,
+            110 => RelayOutcome::TimedOut,
+            111 => RelayOutcome::Unreachable,
+            114 => RelayOutcome::NotSent,
+            125 => RelayOutcome::Cancelled,
             other => return Err(WireError(format!("Result: unknown disposition {other}"))),
         };
-        let took = Span::of_micros(fields.u32()?.into());
+        let took = Span::from_micros(fields.u32()?.into());
         if let Some(ticket) = self.ids.relays.remove(&(correlation, number)) {
             self.ids.tickets.remove(&ticket);
-            self.call_mixer(now, reply, |mixer, host| mixer.landed(host, ticket, outcome, took));
+            self.call_mixer(now, reply, |mixer, host| mixer.relay_finished(host, ticket, outcome, took));
         }
         Ok(())
     }
@@ -293,7 +295,7 @@
     pub fn scan_expired(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), WireError> {
         let correlation = Fields::new(fields, "Expired").u64()?;
         if let Some(id) = self.ids.scans.get(&correlation).copied() {
-            self.call_mixer(now, reply, |mixer, host| mixer.client_left(host, id));
+            self.call_mixer(now, reply, |mixer, host| mixer.client_disconnected(host, id));
             self.ids.close(id);
         }
         Ok(())
@@ -302,7 +304,7 @@
     /// Handles a timer that the decision module asked for.
     pub fn timer(&mut self, fields: &[u8], now: Moment, reply: &mut Reply) -> Result<(), WireError> {
         let ticket = Ticket(Fields::new(fields, "Ring").u32()?);
-        self.call_mixer(now, reply, |mixer, host| mixer.woken(host, ticket));
+        self.call_mixer(now, reply, |mixer, host| mixer.timer_fired(host, ticket));
         Ok(())
     }
 
@@ -311,7 +313,7 @@
         let mut fields = Fields::new(fields, "PingResult");
         let (reachable, wire_id) = (fields.u8()? == 0, fields.u32()?);
         if let Some(searcher) = self.ids.searchers.get(&wire_id) {
-            self.call_mixer(now, reply, |mixer, host| mixer.checked(host, searcher, reachable));
+            self.call_mixer(now, reply, |mixer, host| mixer.probe_finished(host, searcher, reachable));
         }
         Ok(())
     }
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -1,39 +1,53 @@
-//! What a query is worth where there is no room for all: the less, the less of a replica's limit it may fill
-//! (`ReplicaTable::room`).
+//! The priority of a query under overload: the lower it is, the less of a replica's concurrency limit the
+//! query may fill (`ReplicaTable::has_capacity`).
 
 use crate::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// What queries were worth so far, and how far each tenant is over its share.
+/// The best value of a query so far, and each customer's use of its quota.
 #[derive(Default)]
 pub struct LoadShedding {
-    pub(crate) over_share_credit: f64,
-    by_work: bool,
-    best: f64,
-    /// Each customer's scans a second at this mixer, and how far it is ahead of them; one line a customer.
+    /// The factor on the credit of a scan whose customer is over its quota.
+    pub(crate) over_quota_factor: f64,
+    credit_grows_with_work: bool,
+    best_value: f64,
+    /// Each customer's quota at this mixer in scans per second, how far it is ahead of it, and when that was
+    /// updated.
     customers: Vec<(f64, f64, Moment)>,
-    pub(crate) pause: Span,
-    /// The longest that a client gave a try, for each traffic type.
-    pub(crate) longest_left: BTreeMap<usize, Span>,
+    /// The pause that a rejected client is told.
+    pub(crate) retry_after: Span,
+    /// The longest time that a client has allowed for an attempt, by traffic type.
+    pub(crate) longest_time_left: BTreeMap<usize, Span>,
 }
 
 impl LoadShedding {
-    pub fn new(fleet: usize, shares: &[f64], over_share_credit: f64, by_work: bool, pause: Span) -> Self {
-        let customers = shares.iter().map(|s| (s / fleet.max(1) as f64, 0.0, Moment::default())).collect();
-        Self { over_share_credit, by_work, customers, pause, ..Self::default() }
+    /// Creates the load shedding of one of `mixers` mixers, which share the customers' quotas equally.
+    pub fn new(
+        mixers: usize,
+        quotas: &[f64],
+        over_quota_factor: f64,
+        credit_grows_with_work: bool,
+        retry_after: Span,
+    ) -> Self {
+        let customers =
+            quotas.iter().map(|quota| (quota / mixers.max(1) as f64, 0.0, Moment::default())).collect();
+        Self { over_quota_factor, credit_grows_with_work, customers, retry_after, ..Self::default() }
     }
 
-    pub(crate) fn over_share(&mut self, now: Moment, customer: usize) -> bool {
+    /// Counts a scan of a customer, and returns whether the customer is over its quota.
+    pub(crate) fn is_over_quota(&mut self, now: Moment, customer: usize) -> bool {
         let Some((rate, ahead, at)) = self.customers.get_mut(customer) else { return false };
         (*ahead, *at) = ((*ahead - *rate * now.since(*at).as_f64() / 1e6).max(0.0) + 1.0, now);
-        // Three seconds' worth: bursts even out over that, true excess does not.
+        // Three seconds' worth of the quota is tolerated: bursts even out over that time, sustained excess
+        // does not.
         *ahead > 3.0 * *rate + 1.0
     }
 
-    /// Credit for work, against the best met: per part where credit does not grow with work.
-    pub(crate) fn worth(&mut self, credit: f64, parts: usize) -> f64 {
-        let worth = if self.by_work { credit } else { credit / parts.max(1) as f64 };
-        self.best = self.best.max(worth);
-        worth / self.best.max(f64::MIN_POSITIVE)
+    /// Returns the value of a scan relative to the best seen so far. Where credit does not grow with the
+    /// work, the value is the credit per part.
+    pub(crate) fn priority(&mut self, credit: f64, parts: usize) -> f64 {
+        let value = if self.credit_grows_with_work { credit } else { credit / parts.max(1) as f64 };
+        self.best_value = self.best_value.max(value);
+        value / self.best_value.max(f64::MIN_POSITIVE)
     }
 }
