--- a/crates/mixer/src/program/links.rs
+++ b/crates/mixer/src/program/links.rs
@@ -293,7 +293,7 @@
             Ok(None) => return ControlFlow::Continue(()),
             Err(what) => {
                 log::debug!("a searcher's frame can't be read: {what}");
-                return ControlFlow::Break(CloseReason::ProtocolError);
+                return ControlFlow::Break(CloseReason::InvalidData);
             }
         };
         match frame {
@@ -326,7 +326,7 @@
             }
             Err(fault) => {
                 log::debug!("a node's answer can't be read: {fault:?}");
-                return ControlFlow::Break(CloseReason::ProtocolError);
+                return ControlFlow::Break(CloseReason::InvalidData);
             }
         };
         let Some(message) = message else { return ControlFlow::Continue(()) };
@@ -347,7 +347,7 @@
         Some(Question::Version) => {
             handle.feed(Event::NodeVersionReceived(link, nodes::node_version(message)))
         }
-        None => return ControlFlow::Break(CloseReason::ProtocolError),
+        None => return ControlFlow::Break(CloseReason::InvalidData),
     }
     if message.keep_alive() {
         ControlFlow::Continue(())
--- a/crates/mixer/src/routing/any_order.rs
+++ b/crates/mixer/src/routing/any_order.rs
@@ -456,7 +456,7 @@
                 let reasons = [
                     CloseReason::ClosedByPeer,
                     CloseReason::ConnectionBroken,
-                    CloseReason::ProtocolError,
+                    CloseReason::InvalidData,
                     CloseReason::RejectedByPeer,
                     CloseReason::WriteBacklogFull,
                 ];
--- a/crates/mixer/src/routing/close_reason.rs
+++ b/crates/mixer/src/routing/close_reason.rs
@@ -20,7 +20,7 @@
     /// The connection failed, for example by a reset.
     ConnectionBroken,
     /// Incoming data is malformed or answers no known part.
-    ProtocolError,
+    InvalidData,
     /// The searcher reported that it could not parse what was sent.
     RejectedByPeer,
     /// The searcher does not read, and the backlog of unwritten bytes has reached its limit.
@@ -42,7 +42,7 @@
             (CloseReason::WriteBacklogFull, true) => RelayOutcome::TimedOut,
             // The searcher is alive and responds: the part failed and may have run, but this isn't a lost
             // connection.
-            (CloseReason::ProtocolError | CloseReason::RejectedByPeer, true) => RelayOutcome::Failed,
+            (CloseReason::InvalidData | CloseReason::RejectedByPeer, true) => RelayOutcome::Failed,
             (CloseReason::ClosedIdle | CloseReason::ClosedByPeer | CloseReason::ConnectionBroken, true) => {
                 RelayOutcome::ConnectionLost
             }
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -413,7 +413,7 @@
             // Either a late answer to a cancelled part, which is dropped; or the answer to an unknown part,
             // in which case it can't be told whose answer it corrupted.
             if !link.take_cancelled(id) {
-                self.abort_on_protocol_error(link_id);
+                self.abort_on_invalid_data(link_id);
             }
             return;
         };
@@ -490,7 +490,7 @@
 
     fn partial_read_timed_out(&mut self, id: LinkId, since: Moment) {
         if self.host.pool.links.get(&id).is_some_and(|link| link.partial_read_since == Some(since)) {
-            self.abort_on_protocol_error(id);
+            self.abort_on_invalid_data(id);
         }
     }
 
@@ -514,8 +514,8 @@
         }
     }
 
-    fn abort_on_protocol_error(&mut self, id: LinkId) {
-        self.abort_link(id, CloseReason::ProtocolError);
+    fn abort_on_invalid_data(&mut self, id: LinkId) {
+        self.abort_link(id, CloseReason::InvalidData);
     }
 
     fn abort_link(&mut self, id: LinkId, reason: CloseReason) {
--- a/crates/mixer/src/routing/tests.rs
+++ b/crates/mixer/src/routing/tests.rs
@@ -229,7 +229,7 @@
 #[test_case(CloseReason::ClosedIdle, true, RelayOutcome::ConnectionLost)]
 #[test_case(CloseReason::ConnectionBroken, true, RelayOutcome::ConnectionLost)]
 #[test_case(CloseReason::ConnectionBroken, false, RelayOutcome::Unreachable)]
-#[test_case(CloseReason::ProtocolError, true, RelayOutcome::Failed; "it responds so it is alive")]
+#[test_case(CloseReason::InvalidData, true, RelayOutcome::Failed; "it responds so it is alive")]
 #[test_case(CloseReason::RejectedByPeer, true, RelayOutcome::Failed)]
 #[test_case(CloseReason::WriteBacklogFull, true, RelayOutcome::TimedOut)]
 #[test_case(CloseReason::WriteBacklogFull, false, RelayOutcome::NotSent)]
