--- a/crates/mixer/src/program/hub.rs
+++ b/crates/mixer/src/program/hub.rs
@@ -175,7 +175,7 @@
             if !who.read_again(&orders) {
                 log::warn!("the operator's file has changes that are taken up at the start only");
             }
-            handle.feed(Event::AdmissionRulesChanged(orders.operator.admission_rules()));
+            handle.feed(Event::AdmissionPolicyChanged(orders.operator.admission_policy()));
             true
         }
         Err(what) => {
--- a/crates/mixer/src/routing/event.rs
+++ b/crates/mixer/src/routing/event.rs
@@ -83,8 +83,8 @@
     OutOfResources,
     /// All clients in the listen backlog have been accepted and the listener is closed.
     ListenerClosed,
-    /// The operator's admission rules have changed.
-    AdmissionRulesChanged(AdmissionPolicy),
+    /// The operator's admission policy has changed.
+    AdmissionPolicyChanged(AdmissionPolicy),
 }
 
 /// An action that the caller of the state machine carries out.
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -103,7 +103,7 @@
             )));
         }
         let mut host = MixerHost::default();
-        host.clients = Clients::new(operator.admission_rules(), descriptors.client_connections);
+        host.clients = Clients::new(operator.admission_policy(), descriptors.client_connections);
         host.registry.query_api = operator.dialect().clone();
         host.may_cancel = settings.is_true("limits.cancel");
         host.dial_timeout = settings.span("limits.dial_timeout")?;
@@ -649,7 +649,7 @@
         Event::TimerFired => state.timer_fired(),
         Event::ShutdownRequested => state.shut_down(),
         Event::OutOfResources => state.host.clients.out_of_resources(now),
-        Event::AdmissionRulesChanged(policy) => state.host.clients.set_policy(policy, now),
+        Event::AdmissionPolicyChanged(policy) => state.host.clients.set_policy(policy, now),
         Event::ListenerClosed => state.host.timers.set(now + BACKLOG_GRACE, Timer::BacklogGraceOver),
     }
     let mut effects = state.process_pending();
--- a/crates/orders/src/admission.rs
+++ b/crates/orders/src/admission.rs
@@ -66,8 +66,8 @@
         Ok(())
     }
 
-    /// The rules for the admission module.
-    pub fn rules(&self) -> AdmissionPolicy {
+    /// The policy for the admission module.
+    pub fn policy(&self) -> AdmissionPolicy {
         AdmissionPolicy {
             per_client: self.per_address,
             per_prefix: self.per_prefix,
--- a/crates/orders/src/file.rs
+++ b/crates/orders/src/file.rs
@@ -104,9 +104,9 @@
         &self.dialect
     }
 
-    /// The rules of admission control.
-    pub fn admission_rules(&self) -> AdmissionPolicy {
-        self.admission.rules()
+    /// The policy of admission control.
+    pub fn admission_policy(&self) -> AdmissionPolicy {
+        self.admission.policy()
     }
 
     /// Whether searchers answer health probes ahead of queued work.
@@ -171,18 +171,18 @@
     #[test]
     fn the_shipped_file_is_all_off_and_its_examples_set_every_key() {
         let text = include_str!("../../../deploy/operator.json5");
-        assert_eq!(OperatorConfig::parse(text).unwrap().admission_rules(), Default::default());
+        assert_eq!(OperatorConfig::parse(text).unwrap().admission_policy(), Default::default());
         // The same file with each key's example uncommented.
         let examples: String = text.lines().map(|line| line.replacen("//: ", "", 1) + "\n").collect();
-        let rules = OperatorConfig::parse(&examples).unwrap().admission_rules();
-        assert!(rules.per_client.is_some() && rules.per_prefix.is_some() && rules.client_rate.is_some());
+        let policy = OperatorConfig::parse(&examples).unwrap().admission_policy();
+        assert!(policy.per_client.is_some() && policy.per_prefix.is_some() && policy.client_rate.is_some());
         assert!(
-            rules.total_rate.is_some()
-                && rules.reserved_share > 0.0
-                && rules.open_scan_share > 0.0
-                && rules.retry_after.is_some()
+            policy.total_rate.is_some()
+                && policy.reserved_share > 0.0
+                && policy.open_scan_share > 0.0
+                && policy.retry_after.is_some()
         );
-        assert!(rules.known_networks.contains("10.20.3.4".parse().unwrap()));
+        assert!(policy.known_networks.contains("10.20.3.4".parse().unwrap()));
         let dialect = OperatorConfig::parse(&examples).unwrap().dialect().clone();
         assert!(dialect.indices["cues"].partial && dialect.indices["cues"].edits.is_some());
         assert!(OperatorConfig::parse(text).unwrap().dialect().indices.is_empty());
