--- a/crates/fronts/src/ids.rs
+++ b/crates/fronts/src/ids.rs
@@ -3,8 +3,8 @@
 use fernglade::{ScanId, Searcher};
 use std::collections::BTreeMap;
 
-/// A generational slot map of open scans. The slot of a removed scan is reused with a new turn (its
-/// generation), so a stale id finds nothing.
+/// A generational slot map of open scans. The slot of a removed scan is reused with a new generation,
+/// so a stale id finds nothing.
 pub struct SlotMap<T> {
     slots: Vec<(u32, Option<T>)>,
     free: Vec<u32>,
@@ -23,24 +23,29 @@
         if slot as usize == self.slots.len() {
             self.slots.push((0, None));
         }
-        let (turn, entry) = &mut self.slots[slot as usize];
-        (*turn, *entry) = (turn.wrapping_add(1), Some(value));
-        ScanId { slot, generation: *turn }
+        let (generation, entry) = &mut self.slots[slot as usize];
+        (*generation, *entry) = (generation.wrapping_add(1), Some(value));
+        ScanId { slot, generation: *generation }
     }
 
     /// The scan with this id, if it is open.
     pub fn get(&self, id: ScanId) -> Option<&T> {
-        self.slots.get(id.slot as usize).filter(|(turn, _)| *turn == id.generation)?.1.as_ref()
+        self.slots.get(id.slot as usize).filter(|(generation, _)| *generation == id.generation)?.1.as_ref()
     }
 
     /// The scan with this id, if it is open.
     pub fn get_mut(&mut self, id: ScanId) -> Option<&mut T> {
-        self.slots.get_mut(id.slot as usize).filter(|(turn, _)| *turn == id.generation)?.1.as_mut()
+        self.slots
+            .get_mut(id.slot as usize)
+            .filter(|(generation, _)| *generation == id.generation)?
+            .1
+            .as_mut()
     }
 
     /// Removes a scan and frees its slot.
     pub fn remove(&mut self, id: ScanId) -> Option<T> {
-        let entry = self.slots.get_mut(id.slot as usize).filter(|(turn, _)| *turn == id.generation);
+        let entry =
+            self.slots.get_mut(id.slot as usize).filter(|(generation, _)| *generation == id.generation);
         let value = entry.and_then(|(_, value)| value.take())?;
         self.free.push(id.slot);
         Some(value)
--- a/crates/fronts/src/settings.rs
+++ b/crates/fronts/src/settings.rs
@@ -103,12 +103,12 @@
 
     /// The traffic types, in the order in which the settings list them.
     pub fn traffic_types(&self) -> Result<Vec<TrafficType>, SettingsError> {
-        let (floors, complete_from) =
+        let (min_coverage_by_type, complete_from_by_type) =
             (self.number_list("family_info.floor_by_class")?, self.number_list("family_info.complete_from")?);
         let fetch_parts = self.number_list("family_info.fetch_parts")?;
         let traffic_type = |i: usize| {
             let path = |name: &str| format!("services.{i}.{name}");
-            let complete_from = complete_from.get(i).copied().unwrap_or(1.0);
+            let complete_from = complete_from_by_type.get(i).copied().unwrap_or(1.0);
             let repeat = self.0.get(&path("repeat")).map(String::as_str);
             let idempotency = match repeat {
                 Some("pure") => Idempotency::Idempotent,
@@ -128,7 +128,7 @@
                 credit: self.number(&path("points"), 1.0)?,
                 late_credit: self.number(&path("late_worth"), 0.0)?,
                 idempotency,
-                min_coverage: floors.get(i).copied().unwrap_or(complete_from),
+                min_coverage: min_coverage_by_type.get(i).copied().unwrap_or(complete_from),
                 complete_from,
                 has_fetch_step: fetch_parts.get(i).is_some_and(|parts| *parts > 0.0),
             })
--- a/crates/fronts/tests/passed_on.rs
+++ b/crates/fronts/tests/passed_on.rs
@@ -31,20 +31,20 @@
         self.in_flight.push_back(ticket);
     }
     fn cancel(&mut self, _: Ticket) {}
-    fn answer(&mut self, _: ScanId, whole: bool, last: bool) {
-        self.actions.push(format!("answers, whole {whole}, last {last}"));
+    fn answer(&mut self, _: ScanId, complete: bool, last: bool) {
+        self.actions.push(format!("answers, complete {complete}, last {last}"));
     }
     fn reject(&mut self, _: ScanId, pause: Span) {
-        self.actions.push(format!("bounces, come back after {} ms", pause.micros() / 1_000));
+        self.actions.push(format!("rejects, retry after {} ms", pause.micros() / 1_000));
     }
     fn fail(&mut self, _: ScanId) {
-        self.actions.push("writes off".into());
+        self.actions.push("fails".into());
     }
     fn set_timer(&mut self, ticket: Ticket, at: Moment) {
         self.timers.push((at, ticket));
     }
     fn probe(&mut self, searcher: Searcher) {
-        self.actions.push(format!("checks {}", searcher.0));
+        self.actions.push(format!("probes {}", searcher.0));
     }
     fn retire_connections(&mut self, _: Searcher) {}
     fn watch_discovery(&mut self) {}
@@ -68,26 +68,20 @@
         Self { mixer, host, scans: 0 }
     }
 
-    fn take_scan(&mut self, parts: usize) {
+    fn start_scan(&mut self, parts: usize) {
         self.scans += 1;
         let part = PartSpec { shard: 0, weight: 1.0 / parts as f64 };
-        let (left, parts) = (Span::from_millis(4_000), vec![part; parts]);
-        let scan = ScanSpec {
-            traffic_type: 0,
-            customer: 0,
-            time_left: left,
-            work_hint: None,
-            is_retry: false,
-            parts,
-        };
+        let (time_left, parts) = (Span::from_millis(4_000), vec![part; parts]);
+        let scan =
+            ScanSpec { traffic_type: 0, customer: 0, time_left, work_hint: None, is_retry: false, parts };
         self.mixer.start_scan(&mut self.host, ScanId { slot: self.scans, generation: 1 }, scan);
     }
 
     /// Ends every relay in flight, and those sent in reaction, with the given result after 20 ms each.
-    fn finish_relays(&mut self, landing: RelayOutcome) {
+    fn finish_relays(&mut self, outcome: RelayOutcome) {
         while let Some(ticket) = self.host.in_flight.pop_front() {
             self.host.now = self.host.now + Span::from_millis(20);
-            self.mixer.relay_finished(&mut self.host, ticket, landing, Span::from_millis(20));
+            self.mixer.relay_finished(&mut self.host, ticket, outcome, Span::from_millis(20));
         }
     }
 
@@ -105,12 +99,12 @@
 }
 
 /// Runs one scan and returns the mixer's actions. Of several parts the first relay of the last one succeeds;
-/// every other relay ends with `landing`. Then six seconds pass.
-fn run_scan(settings: &str, parts: usize, landing: RelayOutcome) -> Vec<String> {
+/// every other relay ends with `outcome`. Then six seconds pass.
+fn run_scan(settings: &str, parts: usize, outcome: RelayOutcome) -> Vec<String> {
     let mut scenario = Scenario::with(settings);
-    scenario.take_scan(parts);
+    scenario.start_scan(parts);
     let last = if parts > 1 { scenario.host.in_flight.pop_back() } else { None };
-    scenario.finish_relays(landing);
+    scenario.finish_relays(outcome);
     scenario.host.in_flight.extend(last);
     scenario.finish_relays(RelayOutcome::Succeeded);
     scenario.advance(Span::from_millis(6_000));
@@ -133,17 +127,17 @@
     assert_eq!(count_relays(&actions), attempts, "{actions:?}");
 }
 
-#[test_case("", RelayOutcome::Failed, "bounces, come back after 0 ms"; "no pause")]
-#[test_case("limits.retry_after=true\nlimits.max_retry_after=1500000", RelayOutcome::Failed, "bounces, come back after 1500 ms"; "the longest pause")]
-#[test_case("services.0.repeat=side_effect", RelayOutcome::Failed, "writes off"; "a part that may have run is not retried")]
-#[test_case("services.0.repeat=side_effect", RelayOutcome::Rejected, "bounces, come back after 0 ms"; "a part that never ran may be retried")]
-#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.9", RelayOutcome::Failed, "answers, whole false, last true"; "half exceeds the floor")]
-#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.5", RelayOutcome::Failed, "answers, whole true, last true"; "half counts as whole")]
-#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.5\nfamily_info.fetch_parts=3", RelayOutcome::Failed, "answers, whole true, last false"; "a fetch step follows")]
-fn a_scan_ends_as_its_traffic_type_requires(settings: &str, landing: RelayOutcome, expected: &str) {
+#[test_case("", RelayOutcome::Failed, "rejects, retry after 0 ms"; "no pause")]
+#[test_case("limits.retry_after=true\nlimits.max_retry_after=1500000", RelayOutcome::Failed, "rejects, retry after 1500 ms"; "the longest pause")]
+#[test_case("services.0.repeat=side_effect", RelayOutcome::Failed, "fails"; "a part that may have run is not retried")]
+#[test_case("services.0.repeat=side_effect", RelayOutcome::Rejected, "rejects, retry after 0 ms"; "a part that never ran may be retried")]
+#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.9", RelayOutcome::Failed, "answers, complete false, last true"; "half exceeds the minimum coverage")]
+#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.5", RelayOutcome::Failed, "answers, complete true, last true"; "half counts as complete")]
+#[test_case("family_info.floor_by_class=0.4\nfamily_info.complete_from=0.5\nfamily_info.fetch_parts=3", RelayOutcome::Failed, "answers, complete true, last false"; "a fetch step follows")]
+fn a_scan_ends_as_its_traffic_type_requires(settings: &str, outcome: RelayOutcome, expected: &str) {
     // For a scan that never ran there must not be a second part that succeeds.
-    let parts = if landing == RelayOutcome::Rejected { 1 } else { 2 };
-    let actions = run_scan(&format!("{settings}\nlimits.attempts_cap=1"), parts, landing);
+    let parts = if outcome == RelayOutcome::Rejected { 1 } else { 2 };
+    let actions = run_scan(&format!("{settings}\nlimits.attempts_cap=1"), parts, outcome);
     assert!(actions.iter().any(|action| action == expected), "{actions:?}");
 }
 
@@ -151,7 +145,7 @@
 #[test_case("", false; "probes not allowed")]
 fn an_unreachable_searcher_is_probed(settings: &str, is_probed: bool) {
     let actions = run_scan(settings, 2, RelayOutcome::Unreachable);
-    assert_eq!(actions.iter().any(|action| action.starts_with("checks")), is_probed, "{actions:?}");
+    assert_eq!(actions.iter().any(|action| action.starts_with("probes")), is_probed, "{actions:?}");
 }
 
 /// Two searchers that have just started replace the three. Bounds how many of forty scans in four seconds
@@ -161,7 +155,7 @@
 fn cold_searchers_get_their_share(settings: &str, min: usize, max: usize) {
     let mut scenario = Scenario::with(settings);
     for _ in 0..30 {
-        scenario.take_scan(1);
+        scenario.start_scan(1);
         scenario.finish_relays(RelayOutcome::Succeeded);
     }
     let started = Some(scenario.host.now);
@@ -174,7 +168,7 @@
     scenario.mixer.update_searchers(&mut scenario.host, true, &[of(3), of(4)]);
     scenario.host.actions.clear();
     for _ in 0..40 {
-        scenario.take_scan(1);
+        scenario.start_scan(1);
         scenario.finish_relays(RelayOutcome::Succeeded);
         scenario.advance(Span::from_millis(80));
     }
@@ -193,7 +187,7 @@
 }
 
 #[test]
-fn an_unknown_effect_is_refused_with_its_path() {
+fn an_unknown_repeat_setting_is_rejected_with_its_path() {
     let settings = Settings::parse(format!("{BASE_SETTINGS}\nservices.0.repeat=perhaps").as_bytes()).unwrap();
     let error = settings.build_mixer(7).err().map(|error| error.to_string()).unwrap_or_default();
     assert!(error.contains("services.0.repeat") && error.contains("perhaps"), "{error}");
--- a/crates/mixer/src/routing/any_order.rs
+++ b/crates/mixer/src/routing/any_order.rs
@@ -491,7 +491,11 @@
             "{} scans and parts still open",
             host.open_items
         );
-        assert!(host.multi_searches.is_empty() && host.landed.is_empty() && host.probe_results.is_empty());
+        assert!(
+            host.multi_searches.is_empty()
+                && host.finished_relays.is_empty()
+                && host.probe_results.is_empty()
+        );
         let waited_for =
             host.pool.links.values().flat_map(|link| link.calls.values()).flat_map(|call| &call.parts);
         assert_eq!(waited_for.count(), 0);
--- a/crates/mixer/src/routing/close_reason.rs
+++ b/crates/mixer/src/routing/close_reason.rs
@@ -32,7 +32,7 @@
 impl CloseReason {
     /// The outcome of a part whose link closed for this reason; `written` tells whether the last byte of its
     /// call had been written.
-    pub fn landing(self, written: bool) -> RelayOutcome {
+    pub fn relay_outcome(self, written: bool) -> RelayOutcome {
         match (self, written) {
             (CloseReason::OutOfResources, _)
             | (CloseReason::WriteBacklogFull | CloseReason::ClosedLocally, false) => RelayOutcome::NotSent,
--- a/crates/mixer/src/routing/host.rs
+++ b/crates/mixer/src/routing/host.rs
@@ -66,7 +66,7 @@
     /// Relays started by the current event that have no link yet.
     unassigned: Vec<Ticket>,
     /// Finished relays that the routing logic hasn't been told of yet.
-    pub landed: VecDeque<(Ticket, RelayOutcome, Span)>,
+    pub finished_relays: VecDeque<(Ticket, RelayOutcome, Span)>,
     /// Health probe results that the routing logic hasn't been told of yet.
     pub probe_results: VecDeque<(Searcher, bool)>,
     /// Multi-search requests by client, removed when answered or when the client disconnects.
@@ -84,27 +84,28 @@
 
 impl MixerHost {
     /// Records the outcome of a relay.
-    pub fn land_relay(&mut self, ticket: Ticket, landing: RelayOutcome) -> Option<Relay> {
+    pub fn finish_relay(&mut self, ticket: Ticket, outcome: RelayOutcome) -> Option<Relay> {
         let relay = self.relays.remove(&ticket)?;
         if let Some(last_failure) =
             self.scans.get_mut(relay.scan).and_then(|open| open.last_failures.get_mut(relay.part))
         {
-            *last_failure = Some(landing).filter(|landing| *landing != RelayOutcome::Succeeded);
+            *last_failure = Some(outcome).filter(|outcome| *outcome != RelayOutcome::Succeeded);
         }
-        self.landed.push_back((ticket, landing, self.now.since(relay.started_at)));
+        self.finished_relays.push_back((ticket, outcome, self.now.since(relay.started_at)));
         Some(relay)
     }
 
     /// Stops waiting for a relay. If it has not been written, it never will be.
-    pub fn abandon_relay(&mut self, ticket: Ticket, landing: RelayOutcome) {
-        let Some(relay) = self.land_relay(ticket, landing) else { return };
+    pub fn abort_relay(&mut self, ticket: Ticket, outcome: RelayOutcome) {
+        let Some(relay) = self.finish_relay(ticket, outcome) else { return };
         let (Some((link_id, call_id)), id) = (relay.location, relay.part_request.id) else { return };
         let Some(link) = self.pool.links.get_mut(&link_id) else { return };
         let Some(call) = link.calls.get_mut(&call_id) else { return };
         call.parts.retain(|other| *other != ticket);
         // The relay timed out; if nothing arrived on its link in the meantime, the link gets no new calls.
-        link.unresponsive |=
-            call.state == CallState::Written && self.now >= relay.deadline && call.sent_at > link.last_heard;
+        link.unresponsive |= call.state == CallState::Written
+            && self.now >= relay.deadline
+            && call.sent_at > link.last_received;
         match call.state {
             CallState::AwaitingLink if call.parts.is_empty() => drop(link.calls.remove(&call_id)),
             CallState::AwaitingLink => {}
@@ -172,7 +173,7 @@
     /// Tickets are reused: only the relay with this very deadline is meant.
     pub fn relay_deadline_passed(&mut self, ticket: Ticket, deadline: Moment) {
         if self.relays.get(&ticket).is_some_and(|relay| relay.deadline == deadline) {
-            self.abandon_relay(ticket, RelayOutcome::TimedOut);
+            self.abort_relay(ticket, RelayOutcome::TimedOut);
         }
     }
 
@@ -185,7 +186,7 @@
         match self.call_state(ticket) {
             Some(CallState::Written) => {}
             Some(CallState::Submitted | CallState::Withdrawing) => self.withdraw_relay(ticket),
-            Some(CallState::AwaitingLink) | None => self.abandon_relay(ticket, RelayOutcome::NotSent),
+            Some(CallState::AwaitingLink) | None => self.abort_relay(ticket, RelayOutcome::NotSent),
         }
     }
 
@@ -246,11 +247,11 @@
         let ready = self.registry.is_ready(link.to);
         for ticket in call.parts {
             if self.relays.get(&ticket).is_some_and(|relay| relay.cancelled) {
-                self.land_relay(ticket, RelayOutcome::Cancelled);
+                self.finish_relay(ticket, RelayOutcome::Cancelled);
             } else if ready {
                 self.unassigned.push(ticket);
             } else {
-                self.land_relay(ticket, RelayOutcome::NotSent);
+                self.finish_relay(ticket, RelayOutcome::NotSent);
             }
         }
     }
@@ -325,7 +326,7 @@
         if self.relays.get(&ticket).is_some_and(|relay| relay.part_request.node_request.is_some()) {
             self.assign(to, &[ticket]);
         } else {
-            self.land_relay(ticket, RelayOutcome::NotSent);
+            self.finish_relay(ticket, RelayOutcome::NotSent);
         }
     }
 
@@ -334,7 +335,7 @@
         let found = address
             .and_then(|address| self.pool.find_available(to, address).or_else(|| self.dial(to, address)));
         let Some(link_id) = found else {
-            tickets.iter().for_each(|ticket| drop(self.land_relay(*ticket, RelayOutcome::NotSent)));
+            tickets.iter().for_each(|ticket| drop(self.finish_relay(*ticket, RelayOutcome::NotSent)));
             return;
         };
         let call_id = CallId(self.pool.next_id());
@@ -418,7 +419,7 @@
     fn relay(&mut self, ticket: Ticket, scan: ScanId, part: usize, to: Searcher, timeout: Span) {
         let deadline = self.now + timeout;
         let Some(open) = self.scans.get(scan) else {
-            self.landed.push_back((ticket, RelayOutcome::NotSent, Span::ZERO));
+            self.finished_relays.push_back((ticket, RelayOutcome::NotSent, Span::ZERO));
             return;
         };
         let shard = open.parts[part].0;
@@ -463,11 +464,11 @@
             Some(CallState::Submitted | CallState::Withdrawing) if !self.may_cancel => {
                 self.withdraw_relay(ticket)
             }
-            _ => self.abandon_relay(ticket, RelayOutcome::Cancelled),
+            _ => self.abort_relay(ticket, RelayOutcome::Cancelled),
         }
     }
 
-    fn answer(&mut self, scan: ScanId, whole: bool, _last: bool) {
+    fn answer(&mut self, scan: ScanId, complete: bool, _last: bool) {
         let now = self.now;
         let values = |open: OpenScan| {
             if let Some(query) = &open.query {
@@ -475,7 +476,7 @@
             }
             let parts = open.parts.into_iter();
             let values = parts.filter_map(|(shard, value)| Some((shard, value?))).collect();
-            Reply::Answer { complete: whole, values }
+            Reply::Answer { complete, values }
         };
         self.finish_scan(scan, ScanOutcome::Served, values);
     }
@@ -495,7 +496,7 @@
     }
 
     fn set_timer(&mut self, ticket: Ticket, at: Moment) {
-        self.timers.set(at, Timer::Wake(ticket));
+        self.timers.set(at, Timer::Routing(ticket));
     }
 
     fn probe(&mut self, searcher: Searcher) {
--- a/crates/mixer/src/routing/pool.rs
+++ b/crates/mixer/src/routing/pool.rs
@@ -41,7 +41,7 @@
     pub calls: BTreeMap<CallId, Call>,
     pub probing: bool,
     /// When a complete message last arrived; the default value if none has.
-    pub last_heard: Moment,
+    pub last_received: Moment,
     /// Since when an incoming frame has been incomplete.
     pub partial_read_since: Option<Moment>,
     /// Since when an outgoing frame has been partially written.
@@ -117,7 +117,7 @@
 
     /// Records that a complete message arrived.
     pub fn note_received(&mut self, now: Moment) {
-        (self.last_heard, self.unresponsive) = (now, false);
+        (self.last_received, self.unresponsive) = (now, false);
     }
 }
 
@@ -206,7 +206,7 @@
             connected: false,
             calls: BTreeMap::new(),
             probing: false,
-            last_heard: Moment::default(),
+            last_received: Moment::default(),
             partial_read_since: None,
             partial_write_since: None,
             unresponsive: false,
--- a/crates/mixer/src/routing/searcher_registry.rs
+++ b/crates/mixer/src/routing/searcher_registry.rs
@@ -52,8 +52,8 @@
         self.stale = true;
     }
 
-    /// Applies a discovery update, and returns the listings for the routing logic. Changes older than the
-    /// current version are ignored and the whole list is requested, because they could mark a draining
+    /// Applies a discovery update, and returns the listed searchers for the routing logic. Changes older than
+    /// the current version are ignored and the whole list is requested, because they could mark a draining
     /// searcher as ready again.
     pub fn apply(&mut self, update: &ListUpdate) -> Vec<ListedSearcher> {
         let older = !update.is_full && self.version.is_some_and(|version| update.version < version);
@@ -65,12 +65,12 @@
         if update.is_full {
             self.retain(|name| named.contains(name));
         }
-        let listings = update.entries.iter().map(|entry| self.upsert(entry)).collect();
+        let listed = update.entries.iter().map(|entry| self.upsert(entry)).collect();
         for removed in update.entries.iter().filter(|entry| entry.removed) {
             let searcher = self.ids.remove(&removed.name);
             searcher.iter().for_each(|searcher| drop(self.searchers.remove(searcher)));
         }
-        listings
+        listed
     }
 
     fn retain(&mut self, keep: impl Fn(&String) -> bool) {
@@ -91,13 +91,13 @@
             searcher,
             RegisteredSearcher { protocol, version, address: entry.address, ready: entry.ready },
         );
-        let dear = self.costly_outside_zone.as_ref().is_some_and(|home| *home != entry.zone);
+        let cross_zone = self.costly_outside_zone.as_ref().is_some_and(|home| *home != entry.zone);
         ListedSearcher {
             searcher,
             cell: entry.cell,
             ready: entry.ready,
             started: entry.started_at,
-            cross_zone: dear,
+            cross_zone,
         }
     }
 
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -161,8 +161,8 @@
     /// Starts from the list of searchers known from an earlier run, and issues the first discovery request.
     pub fn begin(&mut self, known: &ListUpdate, discovery: SocketAddr, now: Moment) -> Vec<Effect> {
         self.host.now = now;
-        let listings = self.host.registry.apply(known);
-        self.mixer.restore_searchers(&mut self.host, &listings);
+        let listed = self.host.registry.apply(known);
+        self.mixer.restore_searchers(&mut self.host, &listed);
         self.host.release_unready_links();
         self.host.registry.move_to(discovery);
         self.mixer.watch(&mut self.host, 0);
@@ -179,8 +179,8 @@
     /// effects.
     fn process_pending(&mut self) -> Vec<Effect> {
         loop {
-            if let Some((ticket, landing, took)) = self.host.landed.pop_front() {
-                self.mixer.relay_finished(&mut self.host, ticket, landing, took);
+            if let Some((ticket, outcome, elapsed)) = self.host.finished_relays.pop_front() {
+                self.mixer.relay_finished(&mut self.host, ticket, outcome, elapsed);
             } else if let Some((searcher, healthy)) = self.host.probe_results.pop_front() {
                 self.mixer.probe_finished(&mut self.host, searcher, healthy);
             } else if let Some(client) = self.host.resumable.pop_front() {
@@ -229,8 +229,8 @@
     }
 
     fn apply_discovery(&mut self, update: &ListUpdate) {
-        let listings = self.host.registry.apply(update);
-        self.mixer.update_searchers(&mut self.host, update.is_full, &listings);
+        let listed = self.host.registry.apply(update);
+        self.mixer.update_searchers(&mut self.host, update.is_full, &listed);
         self.host.release_unready_links();
     }
 
@@ -423,12 +423,12 @@
                 link.calls.remove(&call_id);
             }
         }
-        let landing = match outcome {
+        let relay_outcome = match outcome {
             PartOutcome::Succeeded => self.store_value(ticket, value),
             PartOutcome::Failed => RelayOutcome::Failed,
             PartOutcome::Rejected => RelayOutcome::Rejected,
         };
-        self.host.land_relay(ticket, landing);
+        self.host.finish_relay(ticket, relay_outcome);
     }
 
     /// Stores the value of a part. A value that doesn't fit into the answer fails its part.
@@ -495,8 +495,8 @@
     }
 
     /// Records that an outgoing frame is partially written, or completely after all. A partially written
-    /// frame can't be withdrawn: the searcher might receive it after the client has gone, after its repeat
-    /// window, or with less time left than the frame states.
+    /// frame can't be withdrawn: the searcher might receive it after the client has gone, after its
+    /// deduplication window, or with less time left than the frame states.
     fn frame_partially_written(&mut self, id: LinkId, partial: bool) {
         let now = self.host.now;
         let Some(link) = self.host.pool.links.get_mut(&id) else { return };
@@ -533,13 +533,13 @@
         let to = self.host.registry.name(link.to).cloned().unwrap_or_else(|| link.address.to_string());
         self.host.effects.push(Effect::LogLinkClosed { to, reason });
         for call in link.calls.into_values() {
-            let landing = reason.landing(call.state == CallState::Written);
+            let relay_outcome = reason.relay_outcome(call.state == CallState::Written);
             for ticket in call.parts {
                 if !(link.connected
-                    && landing == RelayOutcome::Unreachable
+                    && relay_outcome == RelayOutcome::Unreachable
                     && self.host.reassign_after_break(ticket))
                 {
-                    self.host.land_relay(ticket, landing);
+                    self.host.finish_relay(ticket, relay_outcome);
                 }
             }
         }
@@ -557,7 +557,7 @@
         self.host.timers.fired();
         while let Some(timer) = self.host.timers.next(self.host.now) {
             match timer {
-                Timer::Wake(ticket) => self.mixer.timer_fired(&mut self.host, ticket),
+                Timer::Routing(ticket) => self.mixer.timer_fired(&mut self.host, ticket),
                 Timer::RelayDeadline(ticket, deadline) => self.host.relay_deadline_passed(ticket, deadline),
                 Timer::SendDeadline(ticket, started_at) => self.host.send_deadline_passed(ticket, started_at),
                 Timer::RequestTimeout(client, since) => {
--- a/crates/mixer/src/routing/tests.rs
+++ b/crates/mixer/src/routing/tests.rs
@@ -235,8 +235,8 @@
 #[test_case(CloseReason::WriteBacklogFull, false, RelayOutcome::NotSent)]
 #[test_case(CloseReason::ClosedLocally, true, RelayOutcome::Cancelled)]
 #[test_case(CloseReason::ClosedLocally, false, RelayOutcome::NotSent)]
-fn each_close_reason_maps_to_one_outcome(reason: CloseReason, written: bool, landing: RelayOutcome) {
-    assert_eq!(reason.landing(written), landing);
+fn each_close_reason_maps_to_one_outcome(reason: CloseReason, written: bool, outcome: RelayOutcome) {
+    assert_eq!(reason.relay_outcome(written), outcome);
 }
 
 #[test_case(CloseReason::ConnectionRefused; "refused")]
@@ -420,7 +420,7 @@
 }
 
 /// A searcher stops reading within a call. If the write went on later, the call could arrive after its client
-/// has gone, after its repeat window, or with less time left than it states.
+/// has gone, after its deduplication window, or with less time left than it states.
 #[test]
 fn a_call_that_stays_partially_written_is_aborted_and_goes_elsewhere() {
     let mut mixer = test_mixer(2);
--- a/crates/mixer/src/routing/tests/windows.rs
+++ b/crates/mixer/src/routing/tests/windows.rs
@@ -2,29 +2,29 @@
 
 use super::*;
 
-/// Two searchers that deduplicate repeats of a labelled part for 0.6 s; a link may take two seconds to
+/// Two searchers that deduplicate a part by its idempotency key for 0.6 s; a link may take two seconds to
 /// connect.
-fn short_repeat_window() -> TestMixer {
+fn short_deduplication_window() -> TestMixer {
     let more = "services.1.window=600000\nlimits.dial_timeout=2000000\n";
     test_mixer_with(2, more, descriptors_for(10, 10))
 }
 
 /// Starts an edit whose first connection breaks 0.3 s after it was sent. Returns the client and the link to
 /// the other searcher, where the edit goes next.
-fn start_repeated_edit(mixer: &mut TestMixer) -> (ClientId, LinkId) {
+fn start_retried_edit(mixer: &mut TestMixer) -> (ClientId, LinkId) {
     let client = mixer.send_scan(scan_request("a", "fix", &[0]));
     let first = mixer.send_calls()[0].link;
     mixer.advance(300);
     mixer.feed(Event::LinkClosed(first, CloseReason::ConnectionBroken));
     let dials = mixer.take_dials();
-    assert_eq!(dials.len(), 1, "it may have run and is repeated within the window");
+    assert_eq!(dials.len(), 1, "it may have run and is retried within the window");
     (client, dials[0].0)
 }
 
 #[test]
-fn a_repeat_waiting_for_a_link_is_not_sent_after_its_window() {
-    let mut mixer = short_repeat_window();
-    let (client, link) = start_repeated_edit(&mut mixer);
+fn a_retry_waiting_for_a_link_is_not_sent_after_its_window() {
+    let mut mixer = short_deduplication_window();
+    let (client, link) = start_retried_edit(&mut mixer);
     mixer.advance(400);
     mixer.feed(Event::LinkConnected(link));
     assert!(mixer.take_calls().is_empty(), "0.7 s after the first attempt may have run");
@@ -33,9 +33,9 @@
 }
 
 #[test]
-fn a_repeat_waiting_to_be_written_is_withdrawn_after_its_window() {
-    let mut mixer = short_repeat_window();
-    let (client, link) = start_repeated_edit(&mut mixer);
+fn a_retry_waiting_to_be_written_is_withdrawn_after_its_window() {
+    let mut mixer = short_deduplication_window();
+    let (client, link) = start_retried_edit(&mut mixer);
     mixer.feed(Event::LinkConnected(link));
     let call = mixer.take_calls()[0].call;
     mixer.advance(400);
@@ -44,11 +44,11 @@
     assert!(matches!(mixer.take_replies()[..], [(to, Reply::Failed, _)] if to == client));
 }
 
-/// A repeat sent within its window is awaited beyond the window, which limits only when it may start.
+/// A retry sent within its window is awaited beyond the window, which limits only when it may start.
 #[test]
-fn a_repeat_sent_within_its_window_is_awaited() {
-    let mut mixer = short_repeat_window();
-    let (_, link) = start_repeated_edit(&mut mixer);
+fn a_retry_sent_within_its_window_is_awaited() {
+    let mut mixer = short_deduplication_window();
+    let (_, link) = start_retried_edit(&mut mixer);
     mixer.advance(200);
     mixer.feed(Event::LinkConnected(link));
     let call = mixer.take_calls()[0].call;
--- a/crates/mixer/src/routing/timers.rs
+++ b/crates/mixer/src/routing/timers.rs
@@ -9,8 +9,8 @@
 /// outdated.
 #[derive(Clone, Copy, Debug)]
 pub enum Timer {
-    /// The routing logic asked to be woken.
-    Wake(Ticket),
+    /// A timer that the routing logic set.
+    Routing(Ticket),
     /// A relay has timed out, if its deadline is still this one.
     RelayDeadline(Ticket, Moment),
     /// A relay started at that time must not be sent any more, if it still waits to be sent.
--- a/crates/shedding/src/fleet.rs
+++ b/crates/shedding/src/fleet.rs
@@ -21,11 +21,11 @@
         self.load_shedder.as_mut().map(|shedder| shedder.admit(now, scan))
     }
 
-    fn note_result(&mut self, now: Moment, outcome: &PartResult) {
-        self.load_shedder.iter_mut().for_each(|shedder| shedder.record_outcome(now, outcome));
+    fn note_result(&mut self, now: Moment, result: &PartResult) {
+        self.load_shedder.iter_mut().for_each(|shedder| shedder.record_outcome(now, result));
         self.retry_budget
             .iter_mut()
-            .for_each(|budget| budget.record_outcome(now, outcome.cell, outcome.outcome));
+            .for_each(|budget| budget.record_outcome(now, result.cell, result.outcome));
     }
 
     fn may_retry(&self, now: Moment, cell: u32) -> bool {
--- a/crates/shedding/src/lib.rs
+++ b/crates/shedding/src/lib.rs
@@ -4,9 +4,9 @@
 //! Mixers do not communicate. What one sheds the others shed too, because they order scans alike and see the
 //! same searchers; of relays and probes each takes its share.
 //!
-//! Called by the decision module (`src/choice.rs`) through the trait [`fernglade::FleetPolicy`], before the parts
-//! of a scan are placed and after each part ends. The operator's file enables it; without that nothing is
-//! shed here.
+//! Called by the decision module (`src/choice.rs`) through the trait [`fernglade::FleetPolicy`], before the
+//! parts of a scan are placed and after each part ends. The operator's file enables it; without that nothing
+//! is shed here.
 //!
 //! - [`PriorityOrder`]: a scan's position between 0 and 1; low positions are admitted first
 //! - [`ShedController`]: how much is shed, from the latency of parts; damped for a fleet (docs/overload.md
--- a/crates/shedding/src/load_shedder.rs
+++ b/crates/shedding/src/load_shedder.rs
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 
 /// The target of the queue, which is also the latency unit of the loop: half of a part's latency without a
-/// queue. The limits on in-flight parts aim at one and a half times the shortest latency, so that scans are
+/// queue. The limits on in-flight parts aim at one and a half times the minimum latency, so that scans are
 /// shed in order of priority before those limits reject any. At most a quarter of the time left beside the
 /// work, where that is short.
-fn queue_target(outcome: &PartResult) -> Span {
-    (outcome.min_latency * 0.5)
-        .min(outcome.target_latency.saturating_sub(outcome.min_latency) * 0.25)
+fn queue_target(result: &PartResult) -> Span {
+    (result.min_latency * 0.5)
+        .min(result.target_latency.saturating_sub(result.min_latency) * 0.25)
         .max(Span::from_micros(1))
 }
 
@@ -27,13 +27,13 @@
     rejected: u64,
 }
 
-/// The signal in the outcome of a part; `None` if it says nothing about a queue.
-pub fn overload_signal(outcome: &PartResult) -> Option<OverloadSignal> {
+/// The signal in the result of a part; `None` if it says nothing about a queue.
+pub fn overload_signal(result: &PartResult) -> Option<OverloadSignal> {
     // In latency units, the first of which is the target.
     let queue_units =
-        outcome.elapsed.saturating_sub(outcome.min_latency).as_f64() / queue_target(outcome).as_f64();
+        result.elapsed.saturating_sub(result.min_latency).as_f64() / queue_target(result).as_f64();
     let signal = |queue_excess, saturation| Some(OverloadSignal { queue_excess, saturation });
-    match outcome.outcome {
+    match result.outcome {
         RelayOutcome::Rejected => signal(1.0, 1.0),
         // From half of the target down to an empty queue, the queue says less and less about how much more
         // work fits.
@@ -73,14 +73,15 @@
         Err(0.5 * (1.0 - share) + 0.5 * spread)
     }
 
-    /// Records how a part ended.
-    pub fn record_outcome(&mut self, now: Moment, outcome: &PartResult) {
-        let Some(signal) = overload_signal(outcome) else { return };
+    /// Records the result of a part.
+    pub fn record_outcome(&mut self, now: Moment, result: &PartResult) {
+        let Some(signal) = overload_signal(result) else { return };
         let observed = ControlParameters {
-            latency_unit: queue_target(outcome),
-            target_latency: outcome.min_latency + queue_target(outcome),
+            latency_unit: queue_target(result),
+            target_latency: result.min_latency + queue_target(result),
         };
-        // The traffic type with the shortest time has the smallest latency unit, and all types use that.
+        // The traffic type with the lowest minimum latency has the smallest latency unit, and all types use
+        // that.
         let parameters = *self.parameters.get_or_insert(observed);
         let parameters = if observed.latency_unit < parameters.latency_unit {
             observed
@@ -92,6 +93,6 @@
         };
         self.parameters = Some(parameters);
         self.overall.update(now, signal, parameters);
-        self.cells.entry(outcome.cell).or_default().update(now, signal, parameters);
+        self.cells.entry(result.cell).or_default().update(now, signal, parameters);
     }
 }
--- a/crates/shedding/src/priority_order.rs
+++ b/crates/shedding/src/priority_order.rs
@@ -1,18 +1,18 @@
-//! The order of priority of scans, which every mixer computes alike: by worth for the work (which is reduced
-//! already for a customer over its share), then first attempts before retries, then by a hash of the scan's
-//! content.
+//! The order in which scans are admitted, which every mixer computes alike: by priority (their value for the
+//! work, already reduced for a customer over its share), then first attempts before retries, then by a hash
+//! of the scan's content.
 
 use crate::unit_fraction;
 use fernglade::{AdmissionRequest, Moment};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bands of worth, each half as much as the one before: eight of them, as a credit over its customer's share
-/// counts a tenth and the platform's credits lie within a factor of ten; each is split into first attempts
-/// and retries.
+/// Bands of priority, each half as much as the one before: eight of them, as a credit over its customer's
+/// share counts a tenth and the platform's credits lie within a factor of ten; each is split into first
+/// attempts and retries.
 const BANDS: usize = 16;
 
 /// The time constant in microseconds over which offered load counts: some hundred scans of a mixer that has
-/// few, and less than a client's patience after a release.
+/// few, and less than a client's timeout after a release.
 const OFFERED_DECAY_MICROS: f64 = 10e6;
 
 /// The hash changes after this many microseconds, or the same scans would be rejected throughout an overload.
@@ -49,9 +49,9 @@
     }
 }
 
-fn band(worth: f64, repeat: bool) -> usize {
-    let halvings = (-worth.max(f64::MIN_POSITIVE).log2()).floor().clamp(0.0, (BANDS / 2 - 1) as f64);
-    2 * halvings as usize + usize::from(repeat)
+fn band(priority: f64, is_retry: bool) -> usize {
+    let halvings = (-priority.max(f64::MIN_POSITIVE).log2()).floor().clamp(0.0, (BANDS / 2 - 1) as f64);
+    2 * halvings as usize + usize::from(is_retry)
 }
 
 /// Maps a scan's content to a number from 0 to 1: the same at every mixer and for a retry, within one hash
--- a/crates/shedding/tests/fleet.rs
+++ b/crates/shedding/tests/fleet.rs
@@ -37,20 +37,20 @@
         let Some(load) = loads.get(second) else { return seconds };
         let pause = Exp::new(load * capacity / 1e6).unwrap().sample(&mut rng);
         now += (pause as u64).max(1);
-        while let Some(Reverse((at, mixer, served, took))) =
+        while let Some(Reverse((at, mixer, served, elapsed))) =
             completions.peek().copied().filter(|l| l.0 .0 <= now)
         {
             completions.pop();
-            let how = if served { RelayOutcome::Succeeded } else { RelayOutcome::Rejected };
-            let (took, quoted) = (Span::from_micros(took), Span::from_micros(TIMEOUT));
-            let outcome = PartResult {
+            let outcome = if served { RelayOutcome::Succeeded } else { RelayOutcome::Rejected };
+            let (elapsed, target_latency) = (Span::from_micros(elapsed), Span::from_micros(TIMEOUT));
+            let result = PartResult {
                 cell: 0,
-                outcome: how,
-                elapsed: took,
-                target_latency: quoted,
+                outcome,
+                elapsed,
+                target_latency,
                 min_latency: Span::from_micros(WORK_LATENCY),
             };
-            fleet[mixer].record_outcome(Moment::from_micros(at), &outcome);
+            fleet[mixer].record_outcome(Moment::from_micros(at), &result);
         }
         let mixer = if rng.random_bool(first_mixer_share) { 0 } else { rng.random_range(0..mixers) };
         let parts = [PartSpec { shard: rng.random_range(0..1 << 20), weight: 1.0 }];
@@ -68,9 +68,9 @@
             continue;
         }
         free = free.max(now) + (1e6 / capacity) as u64;
-        let took = wait + WORK_LATENCY;
-        counts.served += usize::from(took <= TIMEOUT);
-        completions.push(Reverse((now + took, mixer, true, took)));
+        let elapsed = wait + WORK_LATENCY;
+        counts.served += usize::from(elapsed <= TIMEOUT);
+        completions.push(Reverse((now + elapsed, mixer, true, elapsed)));
     }
 }
 
--- a/crates/shedding/tests/order.rs
+++ b/crates/shedding/tests/order.rs
@@ -13,23 +13,17 @@
     shards.iter().map(|shard| PartSpec { shard: *shard, weight: 1.0 }).collect()
 }
 
-fn scan(worth: f64, repeat: bool, parts: &[PartSpec]) -> AdmissionRequest<'_> {
-    AdmissionRequest { priority: worth, is_retry: repeat, parts, cells: 4 }
+fn scan(priority: f64, is_retry: bool, parts: &[PartSpec]) -> AdmissionRequest<'_> {
+    AdmissionRequest { priority, is_retry, parts, cells: 4 }
 }
 
-fn outcome(cell: u32, how: RelayOutcome, took: u64) -> PartResult {
-    let (quoted, shortest) = (Span::from_millis(500), Span::from_millis(20));
-    PartResult {
-        cell,
-        outcome: how,
-        elapsed: Span::from_millis(took),
-        target_latency: quoted,
-        min_latency: shortest,
-    }
+fn part_result(cell: u32, outcome: RelayOutcome, elapsed_ms: u64) -> PartResult {
+    let (target_latency, min_latency) = (Span::from_millis(500), Span::from_millis(20));
+    PartResult { cell, outcome, elapsed: Span::from_millis(elapsed_ms), target_latency, min_latency }
 }
 
 #[test]
-fn scans_are_ordered_by_worth_then_first_attempts_alike_at_every_mixer() {
+fn scans_are_ordered_by_priority_then_first_attempts_alike_at_every_mixer() {
     let mut fleet = [PriorityOrder::default(), PriorityOrder::default(), PriorityOrder::default()];
     let at = |step: u64| Moment::from_micros(START_MICROS + step * 10_000);
     // Each of the three mixers sees different scans of the same mix.
@@ -43,8 +37,9 @@
     let now = at(600);
     for shard in 0..50 {
         let shards = parts(&[shard, shard + 7]);
-        let position_of =
-            |order: &PriorityOrder, worth, repeat| order.clone().position(now, &scan(worth, repeat, &shards));
+        let position_of = |order: &PriorityOrder, priority, is_retry| {
+            order.clone().position(now, &scan(priority, is_retry, &shards))
+        };
         let positions: Vec<[f64; 3]> = fleet
             .iter()
             .map(|order| {
@@ -73,8 +68,8 @@
     for step in 0..1_500 {
         for mixer in &mut fleet {
             for cell in 0..4 {
-                let how = if cell == 2 { RelayOutcome::Rejected } else { RelayOutcome::Succeeded };
-                mixer.record_outcome(at(step), &outcome(cell, how, 20));
+                let outcome = if cell == 2 { RelayOutcome::Rejected } else { RelayOutcome::Succeeded };
+                mixer.record_outcome(at(step), &part_result(cell, outcome, 20));
             }
             let shards = parts(&[step as u32 % 50]);
             let _ = mixer.admit(at(step), &scan(1.0, false, &shards));
@@ -105,10 +100,10 @@
 fn at_most_shedding_a_trickle_is_admitted_and_pauses_are_spread() {
     let mut mixer = LoadShedder::default();
     let at = |step: u64| Moment::from_micros(START_MICROS + step * 5_000);
-    (0..6_000).for_each(|step| mixer.record_outcome(at(step), &outcome(0, RelayOutcome::Rejected, 1)));
+    (0..6_000).for_each(|step| mixer.record_outcome(at(step), &part_result(0, RelayOutcome::Rejected, 1)));
     let (mut admitted, mut pauses) = (0, Vec::new());
     for step in 6_000..16_000 {
-        mixer.record_outcome(at(step), &outcome(0, RelayOutcome::Rejected, 1));
+        mixer.record_outcome(at(step), &part_result(0, RelayOutcome::Rejected, 1));
         match mixer.admit(at(step), &scan(1.0, false, &parts(&[step as u32]))) {
             Ok(_) => admitted += 1,
             Err(pause) => pauses.push(pause),
@@ -146,10 +141,10 @@
     ) {
         let (mut order, mut all, mut below) = (PriorityOrder::default(), 0.0, 0.0);
         for step in 0..6_000u32 {
-            let (worth, repeat, count) = mix[step as usize % mix.len()];
+            let (priority, is_retry, count) = mix[step as usize % mix.len()];
             let shards: Vec<u32> = (0..count as u32).map(|part| seed + step * 31 + part).collect();
             let now = Moment::from_micros(START_MICROS + u64::from(step) * 5_000);
-            let position = order.position(now, &scan(worth, repeat, &parts(&shards)));
+            let position = order.position(now, &scan(priority, is_retry, &parts(&shards)));
             prop_assert!((0.0..1.0).contains(&position));
             // In the first seconds the mix is hardly known.
             if step >= 1_000 {
@@ -182,12 +177,15 @@
     fn the_load_shedder_handles_any_outcomes(
         outcomes in prop::collection::vec((0u64..5_000_000, 0u32..6, 0usize..8, 0u64..3_000), 0..200),
     ) {
-        let ends = [RelayOutcome::Succeeded, RelayOutcome::Failed, RelayOutcome::Rejected, RelayOutcome::Unreachable, RelayOutcome::TimedOut,
-            RelayOutcome::ConnectionLost, RelayOutcome::Cancelled, RelayOutcome::NotSent];
+        let all_outcomes = [
+            RelayOutcome::Succeeded, RelayOutcome::Failed, RelayOutcome::Rejected, RelayOutcome::Unreachable,
+            RelayOutcome::TimedOut, RelayOutcome::ConnectionLost, RelayOutcome::Cancelled,
+            RelayOutcome::NotSent,
+        ];
         let mut mixer = LoadShedder::default();
-        for (at, cell, how, took) in outcomes {
+        for (at, cell, index, elapsed_ms) in outcomes {
             let now = Moment::from_micros(START_MICROS + at);
-            mixer.record_outcome(now, &outcome(cell, ends[how], took));
+            mixer.record_outcome(now, &part_result(cell, all_outcomes[index], elapsed_ms));
             match mixer.admit(now, &scan(0.5, false, &parts(&[cell]))) {
                 Ok(position) => prop_assert!((0.0..1.0).contains(&position)),
                 Err(pause) => prop_assert!((0.0..=1.0).contains(&pause)),
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -87,7 +87,7 @@
         self.now
     }
 
-    fn relay(&mut self, ticket: Ticket, scan: ScanId, part: usize, to: Searcher, patience: Span) {
+    fn relay(&mut self, ticket: Ticket, scan: ScanId, part: usize, to: Searcher, timeout: Span) {
         let Some(to) = self.ids.wire_id(to) else { return };
         let Some(open_scan) = self.ids.open.get_mut(scan) else { return };
         let (correlation, sent) = &mut open_scan.parts[part];
@@ -95,7 +95,7 @@
         *sent += 1;
         self.ids.relays.insert(relay, ticket);
         self.ids.tickets.insert(ticket, relay);
-        self.action(16, &[&relay.0.to_be_bytes(), &to, &micros_field(patience)]);
+        self.action(16, &[&relay.0.to_be_bytes(), &to, &micros_field(timeout)]);
     }
 
     fn cancel(&mut self, relay: Ticket) {
@@ -105,9 +105,9 @@
         }
     }
 
-    fn answer(&mut self, scan: ScanId, whole: bool, last: bool) {
+    fn answer(&mut self, scan: ScanId, complete: bool, last: bool) {
         let Some(correlation) = self.ids.correlation(scan) else { return };
-        self.action(28, &[&correlation, &[u8::from(whole)]]);
+        self.action(28, &[&correlation, &[u8::from(complete)]]);
         if last {
             self.ids.close(scan);
         }
@@ -149,7 +149,7 @@
 /// A scan whose parts are still being read.
 struct PartialScan {
     id: ScanId,
-    /// `None` for the parts of a second step.
+    /// `None` for the parts of a fetch step.
     scan: Option<ScanSpec>,
     parts: Vec<PartSpec>,
 }
@@ -172,15 +172,15 @@
         let mut fields = Fields::new(fields, "PowerOn");
         let seed = fields.u64()?;
         let length = fields.u32()? as usize;
-        let readings = Settings::parse(fields.bytes(length)?)?;
-        let mixer = readings.build_mixer(seed)?;
+        let settings = Settings::parse(fields.bytes(length)?)?;
+        let mixer = settings.build_mixer(seed)?;
         let ids = IdTables {
             instance: number,
-            can_cancel: readings.is_true("limits.cancel"),
+            can_cancel: settings.is_true("limits.cancel"),
             ..IdTables::default()
         };
-        let mut instance = Self { mixer, ids, partial: None, home_zone: readings.home_zone()? };
-        if readings.equals("discovery", "on_request") {
+        let mut instance = Self { mixer, ids, partial: None, home_zone: settings.home_zone()? };
+        if settings.equals("discovery", "on_request") {
             instance.call_mixer(now, reply, |mixer, host| mixer.watch(host, 0));
         }
         Ok(instance)
@@ -251,15 +251,15 @@
         }
         let entries = entries.map_or(&[][..], Vec::as_slice);
         let home_zone = self.home_zone;
-        let listing = |entry: &ListEntry| ListedSearcher {
+        let listed_searcher = |entry: &ListEntry| ListedSearcher {
             searcher: self.ids.searchers.get_or_assign(&entry.wire_id),
             cell: entry.cell.into(),
             ready: entry.status == 0,
             started: (entry.started != 0).then(|| Moment::from_micros(entry.started)),
             cross_zone: home_zone.is_some_and(|home| entry.zone != home),
         };
-        let listings: Vec<ListedSearcher> = entries.iter().map(listing).collect();
-        self.call_mixer(now, reply, |mixer, host| mixer.update_searchers(host, kind != 0, &listings));
+        let listed: Vec<ListedSearcher> = entries.iter().map(listed_searcher).collect();
+        self.call_mixer(now, reply, |mixer, host| mixer.update_searchers(host, kind != 0, &listed));
         let (gone, present): (Vec<&ListEntry>, Vec<&ListEntry>) =
             entries.iter().partition(|entry| entry.status == STATUS_GONE);
         let ids =
@@ -283,10 +283,10 @@
             125 => RelayOutcome::Cancelled,
             other => return Err(WireError(format!("Result: unknown disposition {other}"))),
         };
-        let took = Span::from_micros(fields.u32()?.into());
+        let elapsed = Span::from_micros(fields.u32()?.into());
         if let Some(ticket) = self.ids.relays.remove(&(correlation, number)) {
             self.ids.tickets.remove(&ticket);
-            self.call_mixer(now, reply, |mixer, host| mixer.relay_finished(host, ticket, outcome, took));
+            self.call_mixer(now, reply, |mixer, host| mixer.relay_finished(host, ticket, outcome, elapsed));
         }
         Ok(())
     }
