--- a/crates/dialect/src/aggregation.rs
+++ b/crates/dialect/src/aggregation.rs
@@ -1,17 +1,17 @@
 //! Aggregations: what is asked of each shard, what comes back, and how shards' parts become one.
 
-use crate::query::fields;
-use crate::{Fault, Node};
+use crate::query::reject_unknown_fields;
+use crate::{ApiError, JsonValue};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Aggregation {
-    Count(String),
-    Least(String),
-    Most(String),
+    ValueCount(String),
+    Min(String),
+    Max(String),
     Sum(String),
-    Average(String),
+    Avg(String),
     /// The commonest values of a field: so many are told, and so many asked of each shard.
     Terms {
         field: String,
@@ -21,61 +21,61 @@
 }
 
 /// Buckets of one aggregation: what a shard may be asked for, and what the merge holds of each.
-pub const MOST_BUCKETS: usize = 1_000;
+pub const MAX_BUCKETS: usize = 1_000;
 
 impl Aggregation {
-    pub fn read(node: &Node) -> Result<Self, Fault> {
-        let (name, body) = node.one_field("aggs")?;
+    pub fn parse(node: &JsonValue) -> Result<Self, ApiError> {
+        let (name, body) = node.single_field("aggs")?;
         let field = || {
             let field =
-                body.get("field").ok_or_else(|| Fault::parsing(format!("[{name}] requires [field]")))?;
+                body.get("field").ok_or_else(|| ApiError::parsing(format!("[{name}] requires [field]")))?;
             field.text("field").map(String::from)
         };
         let plain = |make: fn(String) -> Self| {
-            fields(body, name, &["field"])?;
+            reject_unknown_fields(body, name, &["field"])?;
             field().map(make)
         };
         match name {
-            "value_count" => plain(Self::Count),
-            "min" => plain(Self::Least),
-            "max" => plain(Self::Most),
+            "value_count" => plain(Self::ValueCount),
+            "min" => plain(Self::Min),
+            "max" => plain(Self::Max),
             "sum" => plain(Self::Sum),
-            "avg" => plain(Self::Average),
+            "avg" => plain(Self::Avg),
             "terms" => {
-                fields(body, name, &["field", "size", "shard_size"])?;
+                reject_unknown_fields(body, name, &["field", "size", "shard_size"])?;
                 let count =
                     |name: &str, usual: usize| body.get(name).map_or(Ok(usual), |node| node.count(name));
                 let size = count("size", 10)?;
                 // The API's own: half as many again, and ten.
                 let shard_size = count("shard_size", size + size / 2 + 10)?.max(size);
-                if size == 0 || shard_size > MOST_BUCKETS {
-                    return Err(Fault::argument(format!(
-                        "[terms] takes 1 to {MOST_BUCKETS} buckets of a shard"
+                if size == 0 || shard_size > MAX_BUCKETS {
+                    return Err(ApiError::illegal_argument(format!(
+                        "[terms] takes 1 to {MAX_BUCKETS} buckets of a shard"
                     )));
                 }
                 Ok(Self::Terms { field: field()?, size, shard_size })
             }
-            other => Err(Fault::parsing(format!("unknown aggregation type [{other}]"))),
+            other => Err(ApiError::parsing(format!("unknown aggregation type [{other}]"))),
         }
     }
 }
 
 /// One shard's part of an aggregation, or several shards' together.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Partial {
-    Count(u64),
-    Least(Option<f64>),
-    Most(Option<f64>),
+pub enum PartialAggregation {
+    ValueCount(u64),
+    Min(Option<f64>),
+    Max(Option<f64>),
     Sum(f64),
-    Average { sum: f64, count: u64 },
-    Terms(Buckets),
+    Avg { sum: f64, count: u64 },
+    Terms(TermBuckets),
 }
 
 /// The commonest values that a shard told of. A value it did not tell of has at most `unseen` there.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Buckets {
+pub struct TermBuckets {
     /// Each value's count, and how many more it may have at shards that did not tell of it.
-    counts: BTreeMap<Key, (u64, u64)>,
+    counts: BTreeMap<BucketKey, (u64, u64)>,
     /// Documents of values that a shard did not tell of.
     others: u64,
     /// The sum of what a value may have had at each shard merged so far without being told of.
@@ -84,20 +84,20 @@
 
 /// A bucket's value; ties between counts go by it, numbers before texts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Key {
-    Whole(i64),
-    Text(String),
+pub enum BucketKey {
+    Integer(i64),
+    String(String),
 }
 
-impl Buckets {
+impl TermBuckets {
     /// From what one shard told, the commonest first; `whole` where it told of all its values.
-    pub fn of_shard(told: Vec<(Key, u64)>, others: u64, whole: bool) -> Self {
+    pub fn from_shard(told: Vec<(BucketKey, u64)>, others: u64, whole: bool) -> Self {
         let unseen = if whole { 0 } else { told.iter().map(|(_, count)| *count).min().unwrap_or(0) };
         Self { counts: told.into_iter().map(|(key, count)| (key, (count, 0))).collect(), others, unseen }
     }
 
     fn merge(&mut self, other: Self) {
-        let keys: BTreeSet<Key> = self.counts.keys().chain(other.counts.keys()).cloned().collect();
+        let keys: BTreeSet<BucketKey> = self.counts.keys().chain(other.counts.keys()).cloned().collect();
         let mut counts = BTreeMap::new();
         for key in keys {
             let (count, error) = self.counts.get(&key).copied().unwrap_or((0, self.unseen));
@@ -108,7 +108,7 @@
     }
 
     /// The commonest, ties by value.
-    fn best(&self, size: usize) -> Vec<(&Key, u64, u64)> {
+    fn best(&self, size: usize) -> Vec<(&BucketKey, u64, u64)> {
         let mut all: Vec<_> = self.counts.iter().map(|(key, (count, error))| (key, *count, *error)).collect();
         all.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(b.0)));
         all.truncate(size);
@@ -116,16 +116,16 @@
     }
 }
 
-impl Partial {
+impl PartialAggregation {
     /// The part of a shard that had nothing.
     pub fn empty(of: &Aggregation) -> Self {
         match of {
-            Aggregation::Count(_) => Self::Count(0),
-            Aggregation::Least(_) => Self::Least(None),
-            Aggregation::Most(_) => Self::Most(None),
+            Aggregation::ValueCount(_) => Self::ValueCount(0),
+            Aggregation::Min(_) => Self::Min(None),
+            Aggregation::Max(_) => Self::Max(None),
             Aggregation::Sum(_) => Self::Sum(0.0),
-            Aggregation::Average(_) => Self::Average { sum: 0.0, count: 0 },
-            Aggregation::Terms { .. } => Self::Terms(Buckets::default()),
+            Aggregation::Avg(_) => Self::Avg { sum: 0.0, count: 0 },
+            Aggregation::Terms { .. } => Self::Terms(TermBuckets::default()),
         }
     }
 
@@ -136,11 +136,11 @@
             (one, other) => one.or(other),
         };
         match (self, other) {
-            (Self::Count(all), Self::Count(more)) => *all += more,
-            (Self::Least(all), Self::Least(more)) => *all = pick(*all, more, f64::min),
-            (Self::Most(all), Self::Most(more)) => *all = pick(*all, more, f64::max),
+            (Self::ValueCount(all), Self::ValueCount(more)) => *all += more,
+            (Self::Min(all), Self::Min(more)) => *all = pick(*all, more, f64::min),
+            (Self::Max(all), Self::Max(more)) => *all = pick(*all, more, f64::max),
             (Self::Sum(all), Self::Sum(more)) => *all += more,
-            (Self::Average { sum, count }, Self::Average { sum: more, count: further }) => {
+            (Self::Avg { sum, count }, Self::Avg { sum: more, count: further }) => {
                 *sum += more;
                 *count += further;
             }
@@ -151,12 +151,12 @@
     }
 
     /// As the API tells it.
-    pub fn write(&self, of: &Aggregation) -> Value {
+    pub fn to_json(&self, of: &Aggregation) -> Value {
         match (self, of) {
-            (Self::Count(count), _) => json!({"value": count}),
-            (Self::Least(value) | Self::Most(value), _) => json!({"value": value}),
+            (Self::ValueCount(count), _) => json!({"value": count}),
+            (Self::Min(value) | Self::Max(value), _) => json!({"value": value}),
             (Self::Sum(sum), _) => json!({"value": sum}),
-            (Self::Average { sum, count }, _) => {
+            (Self::Avg { sum, count }, _) => {
                 json!({"value": (*count > 0).then(|| sum / *count as f64)})
             }
             (Self::Terms(buckets), Aggregation::Terms { size, .. }) => {
@@ -164,10 +164,10 @@
                 let told: u64 = best.iter().map(|(_, count, _)| count).sum();
                 let all: u64 = buckets.counts.values().map(|(count, _)| count).sum();
                 let error = best.iter().map(|(.., error)| *error).max().unwrap_or(0).max(buckets.unseen);
-                let bucket = |(key, count, error): &(&Key, u64, u64)| {
+                let bucket = |(key, count, error): &(&BucketKey, u64, u64)| {
                     let key = match key {
-                        Key::Whole(whole) => json!(whole),
-                        Key::Text(text) => json!(text),
+                        BucketKey::Integer(whole) => json!(whole),
+                        BucketKey::String(text) => json!(text),
                     };
                     json!({"key": key, "doc_count": count, "doc_count_error_upper_bound": error})
                 };
--- a/crates/dialect/src/fault.rs
+++ b/crates/dialect/src/error.rs
@@ -4,7 +4,7 @@
 
 /// Exception types, as the API names them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ErrorKind {
     Parsing,
     IllegalArgument,
     IndexNotFound,
@@ -15,8 +15,8 @@
     ProcessCluster,
 }
 
-impl Kind {
-    pub fn word(self) -> &'static str {
+impl ErrorKind {
+    pub fn type_name(self) -> &'static str {
         match self {
             Self::Parsing => "parsing_exception",
             Self::IllegalArgument => "illegal_argument_exception",
@@ -43,29 +43,29 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
-    pub kind: Kind,
+pub struct ApiError {
+    pub kind: ErrorKind,
     pub reason: String,
 }
 
-impl Fault {
-    pub fn new(kind: Kind, reason: impl Into<String>) -> Self {
+impl ApiError {
+    pub fn new(kind: ErrorKind, reason: impl Into<String>) -> Self {
         Self { kind, reason: reason.into() }
     }
 
     pub fn parsing(reason: impl Into<String>) -> Self {
-        Self::new(Kind::Parsing, reason)
+        Self::new(ErrorKind::Parsing, reason)
     }
 
-    pub fn argument(reason: impl Into<String>) -> Self {
-        Self::new(Kind::IllegalArgument, reason)
+    pub fn illegal_argument(reason: impl Into<String>) -> Self {
+        Self::new(ErrorKind::IllegalArgument, reason)
     }
 
     /// The whole body of an error's answer.
     pub fn body(&self) -> Value {
-        let cause = json!({"type": self.kind.word(), "reason": self.reason});
+        let cause = json!({"type": self.kind.type_name(), "reason": self.reason});
         json!({
-            "error": {"root_cause": [cause], "type": self.kind.word(), "reason": self.reason},
+            "error": {"root_cause": [cause], "type": self.kind.type_name(), "reason": self.reason},
             "status": self.kind.status(),
         })
     }
--- a/crates/dialect/src/lib.rs
+++ b/crates/dialect/src/lib.rs
@@ -11,16 +11,16 @@
 //! - [`answer`]: what a client is told
 
 pub mod aggregation;
-pub mod answer;
 pub mod endpoint;
-pub mod errand;
-pub mod fault;
+pub mod error;
+pub mod json;
 pub mod merge;
-pub mod node;
 pub mod query;
-pub mod reply;
 pub mod request;
+pub mod response;
 pub mod search;
+pub mod shard_request;
+pub mod shard_response;
 
-pub use fault::{Fault, Kind};
-pub use node::Node;
+pub use error::{ApiError, ErrorKind};
+pub use json::JsonValue;
--- a/crates/dialect/src/request.rs
+++ b/crates/dialect/src/request.rs
@@ -1,40 +1,42 @@
 //! A whole request, from method, target, headers and body.
 
-use crate::endpoint::{endpoint, many, preferred, Endpoint, Line, Parameters};
-use crate::fault::{Fault, Kind};
-use crate::query::fields;
-use crate::search::{Search, Totals};
-use crate::Node;
+use crate::endpoint::{
+    parse_multi_search, parse_target, preferred_shards, Endpoint, MultiSearchItem, Parameters,
+};
+use crate::error::{ApiError, ErrorKind};
+use crate::query::reject_unknown_fields;
+use crate::search::{Search, TrackTotalHits};
+use crate::JsonValue;
 use fernglade::Span;
 use serde_json::json;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    pub what: What,
+    pub operation: Operation,
     /// The shards that are preferred, where any are.
-    pub shards: Option<Vec<u32>>,
+    pub preferred_shards: Option<Vec<u32>>,
     /// Whether a partial answer will do; the index's word stands where nothing is said.
-    pub partial: Option<bool>,
+    pub allow_partial: Option<bool>,
     pub timeout: Option<Span>,
     /// Handed back as it came.
-    pub opaque: Option<String>,
+    pub opaque_id: Option<String>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum Operation {
     Root,
     Health,
     /// The searchers, and the shards: as JSON, or as lines of text.
-    Nodes {
+    CatNodes {
         json: bool,
     },
-    Shards {
+    CatShards {
         json: bool,
     },
     /// Searches one after another, each of its own index or of this.
-    Many {
+    MultiSearch {
         index: Option<String>,
-        lines: Vec<Line>,
+        searches: Vec<MultiSearchItem>,
     },
     Search {
         index: String,
@@ -58,72 +60,87 @@
     /// What decides its shard: the id, unless another is named.
     pub routing: String,
     /// What is sent on by the platform's frames.
-    pub text: String,
+    pub payload: String,
     /// What a node of the dialect is asked: the end of its path, and the body.
-    pub step: &'static str,
+    pub path_segment: &'static str,
     pub body: String,
     /// By which a node knows a repeat.
-    pub label: Option<String>,
+    pub idempotency_key: Option<String>,
 }
 
 /// A handed-back header takes no more.
-const MOST_OPAQUE: usize = 128;
+const MAX_OPAQUE_ID_LENGTH: usize = 128;
 
 impl Request {
-    pub fn read<'h>(
+    pub fn parse<'h>(
         method: &str,
         target: &str,
         header: impl Fn(&str) -> Option<&'h str>,
         body: &[u8],
-    ) -> Result<Self, Fault> {
-        let (endpoint, parameters) = endpoint(method, target)?;
+    ) -> Result<Self, ApiError> {
+        let (endpoint, parameters) = parse_target(method, target)?;
         let opaque = header("x-opaque-id").map(opaque).transpose()?;
         let what = match endpoint {
-            Endpoint::Root => What::Root,
-            Endpoint::Health => What::Health,
+            Endpoint::Root => Operation::Root,
+            Endpoint::Health => Operation::Health,
             Endpoint::Search { index } => {
-                What::Search { index, search: Search::read(body)?.with_parameters(&parameters)? }
+                Operation::Search { index, search: Search::parse(body)?.with_parameters(&parameters)? }
             }
-            Endpoint::Count { index } => What::Count { index, search: counting(body)? },
+            Endpoint::Count { index } => Operation::Count { index, search: counting(body)? },
             Endpoint::Update { index, id } => {
                 let edit = edit(id, &parameters, header("idempotency-key"), update(body)?, false)?;
-                What::Edit { index, edit }
+                Operation::Edit { index, edit }
             }
             Endpoint::Put { index, id: Some(id) } => {
-                let document = Node::read(body)?;
+                let document = JsonValue::parse(body)?;
                 document.object("document")?;
-                let edit = edit(id, &parameters, header("idempotency-key"), document.write(), true)?;
-                What::Edit { index, edit }
+                let edit = edit(id, &parameters, header("idempotency-key"), document.to_json(), true)?;
+                Operation::Edit { index, edit }
             }
             Endpoint::Put { id: None, .. } => {
-                return Err(Fault::argument("a document has to be given its id here: an id of ours would make a repeat a second document"));
+                return Err(ApiError::illegal_argument("a document has to be given its id here: an id of ours would make a repeat a second document"));
             }
-            Endpoint::Many { index } => What::Many { index, lines: many(body)? },
-            Endpoint::Nodes { json } => What::Nodes { json },
-            Endpoint::Shards { json } => What::Shards { json },
+            Endpoint::MultiSearch { index } => {
+                Operation::MultiSearch { index, searches: parse_multi_search(body)? }
+            }
+            Endpoint::CatNodes { json } => Operation::CatNodes { json },
+            Endpoint::CatShards { json } => Operation::CatShards { json },
         };
         let timeout = match &what {
-            What::Search { search, .. } => search.timeout,
-            _ => named(&parameters, "timeout").map(crate::search::timeout).transpose()?,
+            Operation::Search { search, .. } => search.timeout,
+            _ => named(&parameters, "timeout").map(crate::search::parse_timeout).transpose()?,
         };
         let partial = named(&parameters, "allow_partial_search_results");
-        let partial =
-            partial.map(|word| Node::Text(word.into()).bool("allow_partial_search_results")).transpose()?;
-        Ok(Self { what, shards: preferred(&parameters)?, partial, timeout, opaque })
+        let partial = partial
+            .map(|word| JsonValue::String(word.into()).bool("allow_partial_search_results"))
+            .transpose()?;
+        Ok(Self {
+            operation: what,
+            preferred_shards: preferred_shards(&parameters)?,
+            allow_partial: partial,
+            timeout,
+            opaque_id: opaque,
+        })
     }
 
     pub fn index(&self) -> Option<&str> {
-        match &self.what {
-            What::Root | What::Health | What::Nodes { .. } | What::Shards { .. } | What::Many { .. } => None,
-            What::Search { index, .. } | What::Count { index, .. } | What::Edit { index, .. } => Some(index),
+        match &self.operation {
+            Operation::Root
+            | Operation::Health
+            | Operation::CatNodes { .. }
+            | Operation::CatShards { .. }
+            | Operation::MultiSearch { .. } => None,
+            Operation::Search { index, .. }
+            | Operation::Count { index, .. }
+            | Operation::Edit { index, .. } => Some(index),
         }
     }
 }
 
 /// Printable, so that it may stand in an answer's head.
-fn opaque(value: &str) -> Result<String, Fault> {
-    if value.len() > MOST_OPAQUE || !value.bytes().all(|byte| (b' '..=b'~').contains(&byte)) {
-        return Err(Fault::argument("X-Opaque-Id takes up to 128 printable characters"));
+fn opaque(value: &str) -> Result<String, ApiError> {
+    if value.len() > MAX_OPAQUE_ID_LENGTH || !value.bytes().all(|byte| (b' '..=b'~').contains(&byte)) {
+        return Err(ApiError::illegal_argument("X-Opaque-Id takes up to 128 printable characters"));
     }
     Ok(value.into())
 }
@@ -132,23 +149,23 @@
     parameters.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
 }
 
-fn counting(body: &[u8]) -> Result<Search, Fault> {
-    let mut search = Search { size: 0, totals: Totals::All, ..Search::default() };
+fn counting(body: &[u8]) -> Result<Search, ApiError> {
+    let mut search = Search { size: 0, track_total_hits: TrackTotalHits::Exact, ..Search::default() };
     if !body.iter().all(u8::is_ascii_whitespace) {
-        let node = Node::read(body)?;
-        fields(&node, "count", &["query"])?;
-        search.query = Search::of(&node)?.query;
+        let node = JsonValue::parse(body)?;
+        reject_unknown_fields(&node, "count", &["query"])?;
+        search.query = Search::from_json(&node)?.query;
     }
     Ok(search)
 }
 
-fn update(body: &[u8]) -> Result<serde_json::Value, Fault> {
-    let node = Node::read(body)?;
+fn update(body: &[u8]) -> Result<serde_json::Value, ApiError> {
+    let node = JsonValue::parse(body)?;
     // Scripts and upserts depend on what is there: they can't be told from a second run.
-    fields(&node, "update", &["doc"])?;
-    let document = node.get("doc").ok_or_else(|| Fault::parsing("[update] requires [doc]"))?;
+    reject_unknown_fields(&node, "update", &["doc"])?;
+    let document = node.get("doc").ok_or_else(|| ApiError::parsing("[update] requires [doc]"))?;
     document.object("doc")?;
-    Ok(document.write())
+    Ok(document.to_json())
 }
 
 fn edit(
@@ -157,18 +174,25 @@
     label: Option<&str>,
     document: serde_json::Value,
     whole: bool,
-) -> Result<Edit, Fault> {
+) -> Result<Edit, ApiError> {
     let sound = |key: &str| {
         !key.is_empty() && key.len() <= 128 && key.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-')
     };
     if label.is_some_and(|key| !sound(key)) {
-        return Err(Fault::argument("a malformed Idempotency-Key"));
+        return Err(ApiError::illegal_argument("a malformed Idempotency-Key"));
     }
     let text = json!({"id": id, "doc": document, "whole": whole});
     let (step, body) = if whole { ("_doc", document) } else { ("_update", json!({"doc": document})) };
     let routing = named(parameters, "routing").unwrap_or(&id).to_string();
     let (text, body) = (text.to_string(), body.to_string());
-    Ok(Edit { routing, text, step, body, label: label.map(String::from), id })
+    Ok(Edit {
+        routing,
+        payload: text,
+        path_segment: step,
+        body,
+        idempotency_key: label.map(String::from),
+        id,
+    })
 }
 
 impl Edit {
@@ -179,7 +203,7 @@
     }
 
     /// What its client hears once it has been saved.
-    pub fn saved(&self, index: &str) -> serde_json::Value {
+    pub fn response(&self, index: &str) -> serde_json::Value {
         json!({
             "_index": index, "_id": self.id, "result": "updated",
             "_shards": {"total": 1, "successful": 1, "failed": 0},
@@ -188,7 +212,7 @@
 }
 
 /// What the root says. Clients look at the number to decide what they may ask.
-pub fn root(name: &str) -> serde_json::Value {
+pub fn root_info(name: &str) -> serde_json::Value {
     json!({
         "name": name, "cluster_name": "fernglade",
         "version": {"distribution": "opensearch", "number": "2.11.0", "minimum_wire_compatibility_version": "7.10.0"},
@@ -197,7 +221,7 @@
 }
 
 /// How the searchers stand, in the API's colours.
-pub fn health((ready, listed): (usize, usize), shards: u32) -> serde_json::Value {
+pub fn cluster_health((ready, listed): (usize, usize), shards: u32) -> serde_json::Value {
     let status = match ready {
         0 => "red",
         ready if ready < listed => "yellow",
@@ -210,7 +234,7 @@
 }
 
 /// Rows as JSON, or as lines of words under a head.
-pub fn table(names: &[&str], rows: &[Vec<String>], as_json: bool) -> String {
+pub fn cat_table(names: &[&str], rows: &[Vec<String>], as_json: bool) -> String {
     if as_json {
         let row = |row: &Vec<String>| {
             let fields = names.iter().zip(row).map(|(name, value)| (name.to_string(), value.as_str().into()));
@@ -222,8 +246,8 @@
 }
 
 /// An index that is not there.
-pub fn no_index(name: &str) -> Fault {
-    Fault::new(Kind::IndexNotFound, format!("no such index [{name}]"))
+pub fn index_not_found(name: &str) -> ApiError {
+    ApiError::new(ErrorKind::IndexNotFound, format!("no such index [{name}]"))
 }
 
 #[cfg(test)]
@@ -231,8 +255,8 @@
     use super::*;
     use test_case::test_case;
 
-    fn read(method: &str, target: &str, key: Option<&'static str>, body: &str) -> Result<Request, Fault> {
-        Request::read(method, target, |name| key.filter(|_| name == "idempotency-key"), body.as_bytes())
+    fn read(method: &str, target: &str, key: Option<&'static str>, body: &str) -> Result<Request, ApiError> {
+        Request::parse(method, target, |name| key.filter(|_| name == "idempotency-key"), body.as_bytes())
     }
 
     #[test]
@@ -240,11 +264,11 @@
         let request =
             read("POST", "/cues/_update/c7?routing=title-3", Some("k1"), r#"{"doc":{"cue":"hola"}}"#)
                 .unwrap();
-        let What::Edit { edit, .. } = &request.what else { panic!("an edit") };
-        assert_eq!((edit.label.as_deref(), edit.routing.as_str()), (Some("k1"), "title-3"));
-        assert!(edit.text.contains(r#""id":"c7""#) && edit.shard(16) < 16);
+        let Operation::Edit { edit, .. } = &request.operation else { panic!("an edit") };
+        assert_eq!((edit.idempotency_key.as_deref(), edit.routing.as_str()), (Some("k1"), "title-3"));
+        assert!(edit.payload.contains(r#""id":"c7""#) && edit.shard(16) < 16);
         let other = read("POST", "/cues/_update/c8?routing=title-3", None, r#"{"doc":{}}"#).unwrap();
-        let What::Edit { edit: other, .. } = &other.what else { panic!("an edit") };
+        let Operation::Edit { edit: other, .. } = &other.operation else { panic!("an edit") };
         assert_eq!(edit.shard(16), other.shard(16), "by routing");
     }
 
--- a/crates/dialect/src/reply.rs
+++ b/crates/dialect/src/shard_response.rs
@@ -1,45 +1,45 @@
 //! A node's answer to a part: what it found, or why it is none. A node that half understands is a failed part, never a
 //! wrong answer: each field that changes the meaning is checked, and what is not known here is not passed over.
 
-use crate::aggregation::{Aggregation, Buckets, Key, Partial, MOST_BUCKETS};
-use crate::merge::{Hit, ShardFound};
-use crate::search::{By, Search};
-use crate::Node;
+use crate::aggregation::{Aggregation, BucketKey, PartialAggregation, TermBuckets, MAX_BUCKETS};
+use crate::merge::{Hit, ShardResult};
+use crate::search::{Search, SortKey};
+use crate::JsonValue;
 use fernglade::Landing;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Reply {
-    Found(ShardFound),
+pub enum ShardResponse {
+    Found(ShardResult),
     /// It has not run: the node's queue is full.
-    TurnedAway,
+    Rejected,
     /// It may have run, and what came is of no use; why.
-    Spoilt(String),
+    Unusable(String),
 }
 
-impl Reply {
+impl ShardResponse {
     /// What the decision module hears.
     pub fn landing(&self) -> Landing {
         match self {
             Self::Found(_) => Landing::Honoured,
-            Self::TurnedAway => Landing::TurnedAway,
-            Self::Spoilt(_) => Landing::Erred,
+            Self::Rejected => Landing::TurnedAway,
+            Self::Unusable(_) => Landing::Erred,
         }
     }
 
     /// From a whole answer's status and body; `index` and `search` are what was asked.
-    pub fn read(status: u16, body: &[u8], index: &str, search: &Search) -> Self {
+    pub fn parse(status: u16, body: &[u8], index: &str, search: &Search) -> Self {
         match status {
-            200 => read(body, index, search).map_or_else(Self::Spoilt, Self::Found),
-            429 => Self::TurnedAway,
-            other => Self::Spoilt(format!("status {other}")),
+            200 => read(body, index, search).map_or_else(Self::Unusable, Self::Found),
+            429 => Self::Rejected,
+            other => Self::Unusable(format!("status {other}")),
         }
     }
 }
 
 /// Whether an answer says that an edit of this document has been saved. One that does not may have saved it.
-pub fn saved(body: &[u8], id: &str) -> bool {
-    let Ok(node) = Node::read(body) else { return false };
-    let says = |name: &str, words: &[&str]| matches!(node.get(name), Some(Node::Text(word)) if words.contains(&word.as_str()));
+pub fn confirms_edit(body: &[u8], id: &str) -> bool {
+    let Ok(node) = JsonValue::parse(body) else { return false };
+    let says = |name: &str, words: &[&str]| matches!(node.get(name), Some(JsonValue::String(word)) if words.contains(&word.as_str()));
     says("_id", &[id]) && says("result", &["updated", "created", "noop"])
 }
 
@@ -50,26 +50,26 @@
 }
 
 /// The field of an object, which has to be there.
-fn field<'n>(node: &'n Node, name: &str) -> Checked<&'n Node> {
+fn field<'n>(node: &'n JsonValue, name: &str) -> Checked<&'n JsonValue> {
     node.get(name).ok_or_else(|| format!("no {name}"))
 }
 
 /// No fields but these: another one may change what the rest means.
-fn only(node: &Node, at: &str, known: &[&str]) -> Checked<()> {
-    crate::query::fields(node, at, known).map_err(|fault| fault.reason)
+fn only(node: &JsonValue, at: &str, known: &[&str]) -> Checked<()> {
+    crate::query::reject_unknown_fields(node, at, known).map_err(|fault| fault.reason)
 }
 
-fn count(node: &Node, name: &str) -> Checked<u64> {
+fn count(node: &JsonValue, name: &str) -> Checked<u64> {
     match field(node, name)? {
-        Node::Whole(count) if *count >= 0 => Ok(*count as u64),
-        other => Err(format!("{name} is no count but {}", other.kind())),
+        JsonValue::Integer(count) if *count >= 0 => Ok(*count as u64),
+        other => Err(format!("{name} is no count but {}", other.type_name())),
     }
 }
 
-fn read(body: &[u8], index: &str, search: &Search) -> Checked<ShardFound> {
-    let node = Node::read(body).map_err(|fault| fault.reason)?;
+fn read(body: &[u8], index: &str, search: &Search) -> Checked<ShardResult> {
+    let node = JsonValue::parse(body).map_err(|fault| fault.reason)?;
     only(&node, "answer", &["took", "timed_out", "_shards", "hits", "aggregations", "status"])?;
-    if field(&node, "timed_out")? != &Node::Bool(false) {
+    if field(&node, "timed_out")? != &JsonValue::Bool(false) {
         return fault("it timed out there");
     }
     let shards = field(&node, "_shards")?;
@@ -86,15 +86,15 @@
         .iter()
         .map(|node| hit(node, index, search))
         .collect::<Checked<_>>()?;
-    let (total, at_least) = match hits.get("total") {
+    let (total, total_is_lower_bound) = match hits.get("total") {
         None => (given.len() as u64, true),
         Some(total) => {
             only(total, "total", &["value", "relation"])?;
             let relation = field(total, "relation")?;
-            if ![Node::Text("eq".into()), Node::Text("gte".into())].contains(relation) {
+            if ![JsonValue::String("eq".into()), JsonValue::String("gte".into())].contains(relation) {
                 return fault("a relation that is not known");
             }
-            (count(total, "value")?, *relation == Node::Text("gte".into()))
+            (count(total, "value")?, *relation == JsonValue::String("gte".into()))
         }
     };
     if given.len() > search.window() {
@@ -109,46 +109,46 @@
         None => return fault("no aggregations"),
         Some(all) => aggregations(all, search)?,
     };
-    Ok(ShardFound { hits: given, total, at_least, aggregations })
+    Ok(ShardResult { hits: given, total, total_is_lower_bound, aggregations })
 }
 
-fn hit(node: &Node, index: &str, search: &Search) -> Checked<Hit> {
+fn hit(node: &JsonValue, index: &str, search: &Search) -> Checked<Hit> {
     only(node, "hit", &["_index", "_id", "_score", "_source", "sort"])?;
-    if field(node, "_index")? != &Node::Text(index.into()) {
+    if field(node, "_index")? != &JsonValue::String(index.into()) {
         return fault("a hit of another index");
     }
     let id = match field(node, "_id")? {
-        Node::Text(id) if !id.is_empty() => id.clone(),
+        JsonValue::String(id) if !id.is_empty() => id.clone(),
         _ => return fault("a hit without an id"),
     };
-    let sorted = search.order.by != By::Score;
+    let sorted = search.sort.key != SortKey::Score;
     let score = match node.get("_score") {
-        None | Some(Node::Null) if sorted => None,
+        None | Some(JsonValue::Null) if sorted => None,
         Some(score) if score.number().is_some() => score.number(),
         _ => return fault("a hit without a score"),
     };
     let sort = match node.get("sort") {
         None if !sorted => None,
-        Some(Node::List(values)) if values.len() == 1 => Some(values[0].clone()).filter(|_| sorted),
+        Some(JsonValue::Array(values)) if values.len() == 1 => Some(values[0].clone()).filter(|_| sorted),
         _ => return fault("a hit without the one value it is sorted by"),
     };
     let source = match node.get("_source") {
-        None => Node::Null,
-        Some(source @ Node::Object(_)) => source.clone(),
+        None => JsonValue::Null,
+        Some(source @ JsonValue::Object(_)) => source.clone(),
         Some(_) => return fault("a source that is no object"),
     };
-    Ok(Hit { id, score, sort: sort.filter(|value| *value != Node::Null), source })
+    Ok(Hit { id, score, sort: sort.filter(|value| *value != JsonValue::Null), source })
 }
 
 /// A node that sorts otherwise gives others than the best.
 fn in_order(hits: &[Hit], search: &Search) -> Checked<()> {
-    let rising = search.order.rising;
-    let key = |hit: &Hit| match search.order.by {
-        By::Score => hit.score,
-        By::Field(_) => hit.sort.as_ref().and_then(Node::number),
+    let ascending = search.sort.ascending;
+    let key = |hit: &Hit| match search.sort.key {
+        SortKey::Score => hit.score,
+        SortKey::Field(_) => hit.sort.as_ref().and_then(JsonValue::number),
     };
     let fits = |pair: &[Hit]| match (key(&pair[0]), key(&pair[1])) {
-        (Some(a), Some(b)) if rising => a <= b,
+        (Some(a), Some(b)) if ascending => a <= b,
         (Some(a), Some(b)) => a >= b,
         // Texts, and what has no value, are compared in the merge.
         _ => true,
@@ -160,52 +160,52 @@
     }
 }
 
-fn aggregations(all: &Node, search: &Search) -> Checked<Vec<(String, Partial)>> {
+fn aggregations(all: &JsonValue, search: &Search) -> Checked<Vec<(String, PartialAggregation)>> {
     let names: Vec<&str> = search.aggregations.iter().map(|(name, _)| name.as_str()).collect();
     only(all, "aggregations", &names)?;
     let each = search.aggregations.iter();
     each.map(|(name, of)| Ok((name.clone(), partial(field(all, name)?, of)?))).collect()
 }
 
-fn partial(node: &Node, of: &Aggregation) -> Checked<Partial> {
+fn partial(node: &JsonValue, of: &Aggregation) -> Checked<PartialAggregation> {
     let value = || -> Checked<Option<f64>> {
         match field(node, "value")? {
-            Node::Null => Ok(None),
+            JsonValue::Null => Ok(None),
             value => value.number().map(Some).ok_or_else(|| "a value that is no number".to_string()),
         }
     };
-    if !matches!(of, Aggregation::Terms { .. } | Aggregation::Average(_)) {
+    if !matches!(of, Aggregation::Terms { .. } | Aggregation::Avg(_)) {
         only(node, "aggregation", &["value"])?;
     }
     match of {
-        Aggregation::Count(_) => count(node, "value").map(Partial::Count),
-        Aggregation::Least(_) => value().map(Partial::Least),
-        Aggregation::Most(_) => value().map(Partial::Most),
-        Aggregation::Sum(_) => Ok(Partial::Sum(value()?.unwrap_or(0.0))),
-        Aggregation::Average(_) => {
+        Aggregation::ValueCount(_) => count(node, "value").map(PartialAggregation::ValueCount),
+        Aggregation::Min(_) => value().map(PartialAggregation::Min),
+        Aggregation::Max(_) => value().map(PartialAggregation::Max),
+        Aggregation::Sum(_) => Ok(PartialAggregation::Sum(value()?.unwrap_or(0.0))),
+        Aggregation::Avg(_) => {
             // An average alone can't be merged: the node has to say of how many.
             only(node, "aggregation", &["value", "count"])?;
             let count = count(node, "count")?;
-            Ok(Partial::Average { sum: value()?.unwrap_or(0.0) * count as f64, count })
+            Ok(PartialAggregation::Avg { sum: value()?.unwrap_or(0.0) * count as f64, count })
         }
         Aggregation::Terms { shard_size, .. } => {
             only(node, "aggregation", &["doc_count_error_upper_bound", "sum_other_doc_count", "buckets"])?;
             let others = count(node, "sum_other_doc_count")?;
             let buckets = field(node, "buckets")?.list("buckets").map_err(|fault| fault.reason)?;
-            if buckets.len() > (*shard_size).min(MOST_BUCKETS) {
+            if buckets.len() > (*shard_size).min(MAX_BUCKETS) {
                 return fault("more buckets than were asked for");
             }
-            let bucket = |node: &Node| -> Checked<(Key, u64)> {
+            let bucket = |node: &JsonValue| -> Checked<(BucketKey, u64)> {
                 only(node, "bucket", &["key", "doc_count", "doc_count_error_upper_bound"])?;
                 let key = match field(node, "key")? {
-                    Node::Whole(whole) => Key::Whole(*whole),
-                    Node::Text(text) => Key::Text(text.clone()),
+                    JsonValue::Integer(whole) => BucketKey::Integer(*whole),
+                    JsonValue::String(text) => BucketKey::String(text.clone()),
                     _ => return fault("a bucket's key is neither a whole number nor a text"),
                 };
                 Ok((key, count(node, "doc_count")?))
             };
             let told = buckets.iter().map(bucket).collect::<Checked<Vec<_>>>()?;
-            Ok(Partial::Terms(Buckets::of_shard(told, others, others == 0)))
+            Ok(PartialAggregation::Terms(TermBuckets::from_shard(told, others, others == 0)))
         }
     }
 }
--- a/crates/mixer/src/protocol/nodes.rs
+++ b/crates/mixer/src/protocol/nodes.rs
@@ -33,7 +33,7 @@
 
 /// What a node's root says of its version, or that it says none; as much as a line of the log takes.
 pub fn version(message: &Message) -> String {
-    let node = fernglade_dialect::Node::read(&message.body).ok();
+    let node = fernglade_dialect::JsonValue::parse(&message.body).ok();
     let number = node.as_ref().and_then(|node| node.get("version")?.get("number")?.text("number").ok());
     let plain = |letter: &char| letter.is_ascii_alphanumeric() || ".-_".contains(*letter);
     let number: String = number.unwrap_or_default().chars().filter(plain).take(40).collect();
--- a/crates/mixer/src/protocol/scans.rs
+++ b/crates/mixer/src/protocol/scans.rs
@@ -46,7 +46,7 @@
     HeadTooLong,
     BodyTooLong,
     /// In the words of the query dialect.
-    Dialect(fernglade_dialect::Fault),
+    Dialect(fernglade_dialect::ApiError),
 }
 
 fn blame(what: impl Into<String>) -> Blame {
@@ -62,7 +62,7 @@
     let of_dialect =
         first.is_empty() || first.starts_with('_') || second.starts_with('_') || indices.contains(first);
     if !indices.is_empty() && of_dialect {
-        let request = Request::read(method, target, |name| message.header(name), &message.body);
+        let request = Request::parse(method, target, |name| message.header(name), &message.body);
         return request.map(|request| Question::Query(Box::new(request))).map_err(Blame::Dialect);
     }
     match (method.as_str(), path) {
--- a/crates/mixer/src/routing/doors.rs
+++ b/crates/mixer/src/routing/doors.rs
@@ -108,14 +108,14 @@
 
 fn fix(key: u32) -> fernglade_dialect::request::Edit {
     let target = format!("/cues/_update/k{key}");
-    let request = Request::read(
+    let request = Request::parse(
         "POST",
         &target,
         |name| (name == "idempotency-key").then_some("k"),
         br#"{"doc":{"cue":"x"}}"#,
     );
-    match request.unwrap().what {
-        fernglade_dialect::request::What::Edit { edit, .. } => edit,
+    match request.unwrap().operation {
+        fernglade_dialect::request::Operation::Edit { edit, .. } => edit,
         _ => unreachable!("an edit"),
     }
 }
@@ -360,7 +360,7 @@
 
     /// What a sound searcher gives, whichever door the part came in by.
     fn value(&mut self, errand: &Errand) -> String {
-        let Ok(search) = Search::read(errand.text.as_bytes()) else { return "saved".into() };
+        let Ok(search) = Search::parse(errand.text.as_bytes()) else { return "saved".into() };
         let give = || {
             let index = if errand.text.contains("hola") { "cues" } else { "films" };
             String::from_utf8(shard(errand.shard).body(index, &search, Manner::Sound)).unwrap()
@@ -400,7 +400,7 @@
         Kind::Library => ("/films/_search".into(), r#"{"query":{"match":{"cue":"noche"}}}"#),
         Kind::Fix => (format!("/cues/_update/k{}", line.key), r#"{"doc":{"cue":"x"}}"#),
     };
-    Request::read("POST", &target, key, body.as_bytes()).unwrap()
+    Request::parse("POST", &target, key, body.as_bytes()).unwrap()
 }
 
 #[test]
--- a/crates/mixer/src/routing/query.rs
+++ b/crates/mixer/src/routing/query.rs
@@ -6,14 +6,16 @@
 use crate::protocol::frames::Asked;
 use crate::protocol::scans::{Ask, AskedPart, Blame};
 use fernglade::{Effect as Redoing, Landing, Moment, TrafficType};
-use fernglade_dialect::answer::{bounced, counted, found, written_off, Missing, Shards};
-use fernglade_dialect::endpoint::Line;
-use fernglade_dialect::errand::errand;
-use fernglade_dialect::merge::Merge;
-use fernglade_dialect::reply::Reply as NodeReply;
-use fernglade_dialect::request::{no_index, Request, What};
+use fernglade_dialect::endpoint::MultiSearchItem;
+use fernglade_dialect::merge::Merger;
+use fernglade_dialect::request::{index_not_found, Operation, Request};
+use fernglade_dialect::response::{
+    count_response, failed_error, rejected_error, search_response, FailureReason, ShardSummary,
+};
 use fernglade_dialect::search::Search;
-use fernglade_dialect::{Fault, Kind};
+use fernglade_dialect::shard_request::shard_request;
+use fernglade_dialect::shard_response::ShardResponse as NodeReply;
+use fernglade_dialect::{ApiError, ErrorKind};
 use fernglade_orders::{Dialect, Index};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -33,7 +35,7 @@
 /// Searches that one request holds: each is a scan of its own, one after another, and a bad one spoils no other.
 pub struct Batch {
     index: Option<String>,
-    lines: VecDeque<Line>,
+    lines: VecDeque<MultiSearchItem>,
     answers: Vec<serde_json::Value>,
     size: usize,
     opaque: Option<String>,
@@ -41,7 +43,12 @@
 }
 
 impl Batch {
-    pub fn new(index: Option<String>, lines: Vec<Line>, opaque: Option<String>, began: Moment) -> Self {
+    pub fn new(
+        index: Option<String>,
+        lines: Vec<MultiSearchItem>,
+        opaque: Option<String>,
+        began: Moment,
+    ) -> Self {
         Self { index, lines: lines.into(), answers: Vec::new(), size: 0, opaque, began }
     }
 
@@ -49,14 +56,20 @@
     pub fn next(&mut self) -> Option<Request> {
         while let Some((index, search)) = self.lines.pop_front() {
             let index = index.or_else(|| self.index.clone());
-            let index = index.ok_or_else(|| Fault::argument("index is missing"));
-            let over = || Fault::new(Kind::TooLarge, "the answers before this one took all the room");
+            let index = index.ok_or_else(|| ApiError::illegal_argument("index is missing"));
+            let over = || ApiError::new(ErrorKind::TooLarge, "the answers before this one took all the room");
             match index.and_then(|index| Ok((index, search?))) {
                 Ok(_) if self.size > MOST_MANY => self.take(over().body()),
                 Ok((index, search)) => {
                     let timeout = search.timeout;
-                    let what = What::Search { index, search };
-                    return Some(Request { what, shards: None, partial: None, timeout, opaque: None });
+                    let what = Operation::Search { index, search };
+                    return Some(Request {
+                        operation: what,
+                        preferred_shards: None,
+                        allow_partial: None,
+                        timeout,
+                        opaque_id: None,
+                    });
                 }
                 Err(fault) => self.take(fault.body()),
             }
@@ -134,29 +147,30 @@
         request: Request,
         types: &[(String, TrafficType)],
         now: Moment,
-    ) -> Result<(Ask, Held), Fault> {
+    ) -> Result<(Ask, Held), ApiError> {
         let name = request.index().unwrap_or_default();
-        let index = self.all.get(name).ok_or_else(|| no_index(name))?;
-        let edits =
-            || index.edits.as_ref().ok_or_else(|| Fault::argument(format!("[{name}] takes no edits")));
-        let (traffic_type, shards, text, label) = match &request.what {
-            What::Edit { edit, .. } => {
-                (edits()?, vec![edit.shard(self.shards)], edit.text.clone(), edit.label.clone())
+        let index = self.all.get(name).ok_or_else(|| index_not_found(name))?;
+        let edits = || {
+            index.edits.as_ref().ok_or_else(|| ApiError::illegal_argument(format!("[{name}] takes no edits")))
+        };
+        let (traffic_type, shards, text, label) = match &request.operation {
+            Operation::Edit { edit, .. } => {
+                (edits()?, vec![edit.shard(self.shards)], edit.payload.clone(), edit.idempotency_key.clone())
             }
-            What::Search { search, .. } | What::Count { search, .. } => {
-                let all = request.shards.clone().unwrap_or_else(|| (0..self.shards).collect());
+            Operation::Search { search, .. } | Operation::Count { search, .. } => {
+                let all = request.preferred_shards.clone().unwrap_or_else(|| (0..self.shards).collect());
                 (&index.searches, all, asked_of_nodes(name, search), None)
             }
-            _ => return Err(no_index(name)),
+            _ => return Err(index_not_found(name)),
         };
         let Some((_, kind)) = types.iter().find(|(known, _)| known == traffic_type) else {
-            return Err(no_index(name));
+            return Err(index_not_found(name));
         };
         if matches!(kind.effect, Redoing::Labelled(_)) && label.is_none() {
-            return Err(Fault::argument("an edit of this index needs an Idempotency-Key"));
+            return Err(ApiError::illegal_argument("an edit of this index needs an Idempotency-Key"));
         }
         if shards.is_empty() {
-            return Err(Fault::argument("no shards are asked for"));
+            return Err(ApiError::illegal_argument("no shards are asked for"));
         }
         self.count += 1;
         let weight = 1.0 / shards.len() as f64;
@@ -171,32 +185,32 @@
             parts: shards.into_iter().map(|shard| AskedPart { shard, weight, work: None }).collect(),
         };
         // Both have to allow it.
-        let partial = index.partial && request.partial != Some(false);
+        let partial = index.partial && request.allow_partial != Some(false);
         Ok((ask, Held { partial, once: kind.effect != Redoing::Redoable, request, began: now }))
     }
 }
 
 /// What each shard's node is asked, in its own words; the time left goes with the part, and not in here.
 fn asked_of_nodes(index: &str, search: &Search) -> String {
-    let (_, body) = errand(index, search, 0, fernglade::Span::ZERO);
+    let (_, body) = shard_request(index, search, 0, fernglade::Span::ZERO);
     String::from_utf8(body).unwrap_or_default()
 }
 
 /// What a blame of the platform's side says in the dialect.
-pub fn fault_of(blame: Blame) -> Fault {
+pub fn fault_of(blame: Blame) -> ApiError {
     match blame {
         Blame::Dialect(fault) => fault,
-        Blame::Request(what) => Fault::argument(what),
-        other => Fault::argument(format!("{other:?}")),
+        Blame::Request(what) => ApiError::illegal_argument(what),
+        other => ApiError::illegal_argument(format!("{other:?}")),
     }
 }
 
 impl Held {
     /// Whether a shard's value is one: a node that half understands has failed its part.
     pub fn takes(&self, value: &str) -> bool {
-        match &self.request.what {
-            What::Search { index, search } | What::Count { index, search } => {
-                let found = NodeReply::read(200, value.as_bytes(), index, &given(search));
+        match &self.request.operation {
+            Operation::Search { index, search } | Operation::Count { index, search } => {
+                let found = NodeReply::parse(200, value.as_bytes(), index, &given(search));
                 found.landing() == Landing::Honoured
             }
             _ => true,
@@ -205,20 +219,22 @@
 
     /// The same for an edit that a node of the dialect answered.
     pub fn takes_from_node(&self, value: &str) -> bool {
-        match &self.request.what {
-            What::Edit { edit, .. } => fernglade_dialect::reply::saved(value.as_bytes(), &edit.id),
+        match &self.request.operation {
+            Operation::Edit { edit, .. } => {
+                fernglade_dialect::shard_response::confirms_edit(value.as_bytes(), &edit.id)
+            }
             _ => self.takes(value),
         }
     }
 
     /// What a node of the dialect is asked.
     pub fn asked(&self, text: &str) -> Option<Asked> {
-        match &self.request.what {
-            What::Edit { index, edit } => {
-                let path = format!("/{index}/{}/{}", edit.step, encoded(&edit.id));
+        match &self.request.operation {
+            Operation::Edit { index, edit } => {
+                let path = format!("/{index}/{}/{}", edit.path_segment, encoded(&edit.id));
                 Some(Asked { path, body: edit.body.clone(), search: false })
             }
-            What::Search { index, .. } | What::Count { index, .. } => {
+            Operation::Search { index, .. } | Operation::Count { index, .. } => {
                 Some(Asked { path: format!("/{index}/_search"), body: text.into(), search: true })
             }
             _ => None,
@@ -226,46 +242,46 @@
     }
 
     pub fn opaque(&self) -> Option<String> {
-        self.request.opaque.clone()
+        self.request.opaque_id.clone()
     }
 
     /// The answer, from the values that are in; or why there is none.
-    pub fn answer(&self, open: &Open, now: Moment) -> Result<serde_json::Value, Fault> {
-        let (index, search) = match &self.request.what {
-            What::Edit { index, edit } => return Ok(edit.saved(index)),
-            What::Search { index, search } | What::Count { index, search } => (index, search),
-            _ => return Err(no_index("")),
+    pub fn answer(&self, open: &Open, now: Moment) -> Result<serde_json::Value, ApiError> {
+        let (index, search) = match &self.request.operation {
+            Operation::Edit { index, edit } => return Ok(edit.response(index)),
+            Operation::Search { index, search } | Operation::Count { index, search } => (index, search),
+            _ => return Err(index_not_found("")),
         };
-        let mut merge = Merge::new(search);
-        let mut shards = Shards { total: open.parts.len(), missing: Vec::new() };
+        let mut merge = Merger::new(search);
+        let mut shards = ShardSummary { total: open.parts.len(), failures: Vec::new() };
         for ((shard, value), lost) in open.parts.iter().zip(&open.lost) {
             let reply =
-                value.as_ref().map(|value| NodeReply::read(200, value.as_bytes(), index, &given(search)));
+                value.as_ref().map(|value| NodeReply::parse(200, value.as_bytes(), index, &given(search)));
             let taken = match reply {
-                Some(NodeReply::Found(found)) => merge.take(*shard, found),
+                Some(NodeReply::Found(found)) => merge.add_shard(*shard, found),
                 _ => false,
             };
             if !taken {
-                shards.missing.push((*shard, missing(*lost)));
+                shards.failures.push((*shard, missing(*lost)));
             }
         }
-        if !shards.all_in() && !self.partial {
-            return Err(written_off(false));
+        if !shards.all_succeeded() && !self.partial {
+            return Err(failed_error(false));
         }
-        let found_all = merge.finish(shards.all_in());
-        Ok(match &self.request.what {
-            What::Count { .. } => counted(index, found_all.total.unwrap_or(0), &shards),
-            _ => found(index, search, found_all, &shards, now.since(self.began)),
+        let found_all = merge.finish(shards.all_succeeded());
+        Ok(match &self.request.operation {
+            Operation::Count { .. } => count_response(index, found_all.total.unwrap_or(0), &shards),
+            _ => search_response(index, search, found_all, &shards, now.since(self.began)),
         })
     }
 
-    pub fn bounce(&self) -> Fault {
-        bounced()
+    pub fn bounce(&self) -> ApiError {
+        rejected_error()
     }
 
     /// No promise: where a second run may do harm it is never a status that asks for one.
-    pub fn write_off(&self) -> Fault {
-        written_off(self.once)
+    pub fn write_off(&self) -> ApiError {
+        failed_error(self.once)
     }
 }
 
@@ -280,18 +296,18 @@
     Search { from: 0, size: search.window(), timeout: None, ..search.clone() }
 }
 
-fn missing(lost: Option<Landing>) -> Missing {
+fn missing(lost: Option<Landing>) -> FailureReason {
     match lost {
-        Some(Landing::TurnedAway) => Missing::TurnedAway,
-        Some(Landing::Silent | Landing::CalledOff) => Missing::Late,
-        None | Some(Landing::Unsent) => Missing::Skipped,
-        Some(_) => Missing::Failed,
+        Some(Landing::TurnedAway) => FailureReason::Rejected,
+        Some(Landing::Silent | Landing::CalledOff) => FailureReason::TimedOut,
+        None | Some(Landing::Unsent) => FailureReason::Skipped,
+        Some(_) => FailureReason::Failed,
     }
 }
 
 /// A reply in the dialect.
 pub fn reply(
-    result: Result<serde_json::Value, Fault>,
+    result: Result<serde_json::Value, ApiError>,
     pause: fernglade::Span,
     opaque: Option<String>,
 ) -> Reply {
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -14,7 +14,7 @@
 use fernglade::choice::Mixer;
 use fernglade::{Effect as Redoing, Host, Landing, Moment, PartTaken, ScanTaken, Span, Ticket, TrafficType};
 use fernglade_admission::{Act, Descriptors, Guest};
-use fernglade_dialect::request::{health, root, table, Request, What};
+use fernglade_dialect::request::{cat_table, cluster_health, root_info, Operation, Request};
 use fernglade_fronts::{Misread, Readings};
 use fernglade_orders::Operator;
 use fernglade_shedding::{AsOne, Asks, Purse, Shedder};
@@ -221,17 +221,17 @@
     /// The same in the query dialect: it becomes the same scan.
     fn queried(&mut self, client: ClientId, request: Request) {
         let Some(began) = self.desk.clients.asking_since(client, self.desk.now) else { return };
-        let opaque = request.opaque.clone();
-        let told = match request.what {
-            What::Many { index, lines } => {
-                self.desk.batches.insert(client, Batch::new(index, lines, opaque, began));
+        let opaque = request.opaque_id.clone();
+        let told = match request.operation {
+            Operation::MultiSearch { index, searches } => {
+                self.desk.batches.insert(client, Batch::new(index, searches, opaque, began));
                 return self.go_on(client);
             }
-            What::Nodes { json } => {
+            Operation::CatNodes { json } => {
                 let rows: Vec<_> = self.desk.roll.rows().collect();
                 return self.tell_table(client, &["name", "address", "state", "speaks"], rows, json);
             }
-            What::Shards { json } => {
+            Operation::CatShards { json } => {
                 let state = if self.desk.roll.any_ready() { "STARTED" } else { "UNASSIGNED" };
                 let row = |shard: u32| vec![shard.to_string(), state.to_string()];
                 return self.tell_table(
@@ -241,8 +241,8 @@
                     json,
                 );
             }
-            What::Root => Ok(root(&self.name)),
-            What::Health => Ok(health(self.desk.roll.ready_and_listed(), self.shards)),
+            Operation::Root => Ok(root_info(&self.name)),
+            Operation::Health => Ok(cluster_health(self.desk.roll.ready_and_listed(), self.shards)),
             _ => match self.indices.ask(request, &self.types, began) {
                 Ok((ask, held)) => return self.open(client, ask, began, Some(held)),
                 Err(fault) => Err(fault),
@@ -252,7 +252,7 @@
     }
 
     fn tell_table(&mut self, client: ClientId, names: &[&str], rows: Vec<Vec<String>>, json: bool) {
-        let body = table(names, &rows, json);
+        let body = cat_table(names, &rows, json);
         let reply = Reply::Dialect { status: 200, body, pause: Span::ZERO, opaque: None };
         self.desk.reply(client, reply, false);
     }
--- a/crates/mixer/src/routing/tests.rs
+++ b/crates/mixer/src/routing/tests.rs
@@ -928,8 +928,12 @@
     let mut play = play_in_dialect(2);
     let client = play.come();
     play.feed(Event::Stirred(client, Span::ZERO));
-    let request =
-        fernglade_dialect::request::Request::read("GET", "/cues/_search?preference=_shards:2", |_| None, b"");
+    let request = fernglade_dialect::request::Request::parse(
+        "GET",
+        "/cues/_search?preference=_shards:2",
+        |_| None,
+        b"",
+    );
     play.feed(Event::Queried(client, Box::new(request.unwrap())));
     let dialled = play.dials();
     let (link, first) = dialled[0];
@@ -951,8 +955,12 @@
     play.ask(ask("q7-1", "look", &[0]));
     let client = play.come();
     play.feed(Event::Stirred(client, Span::ZERO));
-    let request =
-        fernglade_dialect::request::Request::read("GET", "/cues/_search?preference=_shards:0", |_| None, b"");
+    let request = fernglade_dialect::request::Request::parse(
+        "GET",
+        "/cues/_search?preference=_shards:0",
+        |_| None,
+        b"",
+    );
     play.feed(Event::Queried(client, Box::new(request.unwrap())));
     assert!(play.replies().is_empty(), "both are open");
     let ids: Vec<String> =
--- a/crates/mixer/tests/dialect.rs
+++ b/crates/mixer/tests/dialect.rs
@@ -1,8 +1,8 @@
 //! The query dialect through the built program: the same scans, the same one answer, in that API's words.
 
 use fernglade::Span;
-use fernglade_dialect::answer::{found, Shards};
-use fernglade_dialect::merge::Merge;
+use fernglade_dialect::merge::Merger;
+use fernglade_dialect::response::{search_response, ShardSummary};
 use fernglade_dialect::search::Search;
 use fernglade_standins::child::{file, free_address, orders, start, Mixer};
 use fernglade_standins::client::{answer, say, Client};
@@ -48,12 +48,12 @@
 
 /// What one who has all four shards at hand would answer.
 fn truth(body: &str) -> Value {
-    let search = Search::read(body.as_bytes()).unwrap();
-    let mut merge = Merge::new(&search);
+    let search = Search::parse(body.as_bytes()).unwrap();
+    let mut merge = Merger::new(&search);
     let asked = Search { from: 0, size: search.window(), ..search.clone() };
-    (0..4).for_each(|number| assert!(merge.take(number, shard(number).search(&asked))));
-    let shards = Shards { total: 4, missing: Vec::new() };
-    found("cues", &search, merge.finish(true), &shards, Span::ZERO)
+    (0..4).for_each(|number| assert!(merge.add_shard(number, shard(number).search(&asked))));
+    let shards = ShardSummary { total: 4, failures: Vec::new() };
+    search_response("cues", &search, merge.finish(true), &shards, Span::ZERO)
 }
 
 #[test]
--- a/crates/standins/src/bin/merge-bench.rs
+++ b/crates/standins/src/bin/merge-bench.rs
@@ -3,10 +3,10 @@
 
 use clap::Parser;
 use fernglade::Span;
-use fernglade_dialect::answer::{found, Shards};
-use fernglade_dialect::merge::Merge;
-use fernglade_dialect::reply::Reply;
+use fernglade_dialect::merge::Merger;
+use fernglade_dialect::response::{search_response, ShardSummary};
 use fernglade_dialect::search::Search;
+use fernglade_dialect::shard_response::ShardResponse;
 use fernglade_standins::cues::{planted, Cue, Manner, Shard};
 use hdrhistogram::Histogram;
 use std::time::Instant;
@@ -36,7 +36,7 @@
         r#"{{"query":{{"match":{{"cue":"hola noche"}}}},"size":{},"aggs":{{"l":{{"terms":{{"field":"lang"}}}}}}}}"#,
         call.size
     );
-    let search = Search::read(text.as_bytes()).expect("a search");
+    let search = Search::parse(text.as_bytes()).expect("a search");
     let body = |number: u32| {
         let cues = planted(call.seed + u64::from(number), call.documents);
         let cues = cues.into_iter().map(|cue| Cue { id: format!("{number}-{}", cue.id), ..cue });
@@ -48,7 +48,7 @@
         "seed {}, {} shards, {} hits asked for, {bytes} bytes of answers",
         call.seed, call.shards, call.size
     );
-    let shards = Shards { total: bodies.len(), missing: Vec::new() };
+    let shards = ShardSummary { total: bodies.len(), failures: Vec::new() };
     let mut times: [Histogram<u64>; 3] =
         std::array::from_fn(|_| Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds in order"));
     let mut merged = (0, 0, 0);
@@ -62,21 +62,22 @@
             stats.map_or((0, 0), |stats| (stats.total_blocks, stats.total_bytes))
         };
         let began = Instant::now();
-        let read: Vec<_> = bodies.iter().map(|body| Reply::read(200, body, "cues", &search)).collect();
+        let read: Vec<_> =
+            bodies.iter().map(|body| ShardResponse::parse(200, body, "cues", &search)).collect();
         let was_read = Instant::now();
         let before = heap();
-        let mut merge = Merge::new(&search);
+        let mut merge = Merger::new(&search);
         let mut held = 0;
         for (number, reply) in (0..).zip(read) {
-            if let Reply::Found(found) = reply {
-                assert!(merge.take(number, found));
-                held = held.max(merge.held());
+            if let ShardResponse::Found(found) = reply {
+                assert!(merge.add_shard(number, found));
+                held = held.max(merge.held_hits());
             }
         }
         let after = heap();
         merged = (held, after.0 - before.0, after.1 - before.1);
         let was_merged = Instant::now();
-        let answer = found("cues", &search, merge.finish(true), &shards, Span::ZERO).to_string();
+        let answer = search_response("cues", &search, merge.finish(true), &shards, Span::ZERO).to_string();
         assert!(answer.contains("\"failed\":0"));
         if counts {
             break;
--- a/crates/standins/src/cues.rs
+++ b/crates/standins/src/cues.rs
@@ -4,11 +4,11 @@
 //! A document's score is how often the words that are asked for stand in it: that does not depend on what else is in the
 //! shard, so that many shards' answers can be compared with those of one shard that has all of it.
 
-use fernglade_dialect::aggregation::{Aggregation, Buckets, Key, Partial};
-use fernglade_dialect::merge::{Hit, ShardFound};
-use fernglade_dialect::query::{words, Clauses, Edge, Query};
-use fernglade_dialect::search::{By, Search};
-use fernglade_dialect::Node;
+use fernglade_dialect::aggregation::{Aggregation, BucketKey, PartialAggregation, TermBuckets};
+use fernglade_dialect::merge::{Hit, ShardResult};
+use fernglade_dialect::query::{tokenize, BoolQuery, Bound, Query};
+use fernglade_dialect::search::{Search, SortKey};
+use fernglade_dialect::JsonValue;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Ordering;
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cue {
     pub id: String,
-    pub fields: Vec<(String, Node)>,
+    pub fields: Vec<(String, JsonValue)>,
 }
 
 /// Few enough to meet often.
@@ -34,11 +34,11 @@
         let length = chance.random_range(1..8);
         let text: Vec<&str> = (0..length).map(|_| WORDS[chance.random_range(0..WORDS.len())]).collect();
         let mut fields = vec![
-            ("cue".to_string(), Node::Text(text.join(" "))),
-            ("lang".into(), Node::Text(LANGUAGES[chance.random_range(0..LANGUAGES.len())].into())),
+            ("cue".to_string(), JsonValue::String(text.join(" "))),
+            ("lang".into(), JsonValue::String(LANGUAGES[chance.random_range(0..LANGUAGES.len())].into())),
         ];
         if chance.random_range(0..10) > 0 {
-            fields.push(("at".into(), Node::Whole(chance.random_range(0..1_000))));
+            fields.push(("at".into(), JsonValue::Integer(chance.random_range(0..1_000))));
         }
         Cue { id: format!("c{number}"), fields }
     };
@@ -57,8 +57,8 @@
         let mut postings: BTreeMap<(String, String), BTreeMap<usize, u32>> = BTreeMap::new();
         for (at, cue) in cues.iter().enumerate() {
             for (field, value) in &cue.fields {
-                let Node::Text(text) = value else { continue };
-                for word in words(text) {
+                let JsonValue::String(text) = value else { continue };
+                for word in tokenize(text) {
                     *postings.entry((field.clone(), word)).or_default().entry(at).or_default() += 1;
                 }
             }
@@ -66,7 +66,7 @@
         Self { cues, postings }
     }
 
-    fn value(&self, at: usize, field: &str) -> Option<&Node> {
+    fn value(&self, at: usize, field: &str) -> Option<&JsonValue> {
         self.cues[at].fields.iter().find(|(name, _)| name == field).map(|(_, value)| value)
     }
 
@@ -75,15 +75,15 @@
         let all = || 0..self.cues.len();
         let those = |fits: &dyn Fn(usize) -> bool| all().filter(|at| fits(*at)).map(|at| (at, 1.0)).collect();
         match query {
-            Query::All => those(&|_| true),
-            Query::Match { field, words, every } => self.matching(field, words, *every),
+            Query::MatchAll => those(&|_| true),
+            Query::Match { field, terms, require_all } => self.matching(field, terms, *require_all),
             Query::Terms { field, values } => those(&|at| {
                 self.value(at, field).is_some_and(|value| values.iter().any(|one| alike(one, value)))
             }),
-            Query::Range { field, above, below } => those(&|at| {
+            Query::Range { field, lower, upper } => those(&|at| {
                 self.value(at, field).is_some_and(|value| {
-                    within(value, above.as_ref(), Ordering::Greater)
-                        && within(value, below.as_ref(), Ordering::Less)
+                    within(value, lower.as_ref(), Ordering::Greater)
+                        && within(value, upper.as_ref(), Ordering::Less)
                 })
             }),
             Query::Ids(ids) => those(&|at| ids.contains(&self.cues[at].id)),
@@ -109,7 +109,7 @@
             .collect()
     }
 
-    fn both(&self, clauses: &Clauses) -> BTreeMap<usize, f64> {
+    fn both(&self, clauses: &BoolQuery) -> BTreeMap<usize, f64> {
         let find = |queries: &[Query]| queries.iter().map(|query| self.found(query)).collect::<Vec<_>>();
         let (must, filter) = (find(&clauses.must), find(&clauses.filter));
         let (should, must_not) = (find(&clauses.should), find(&clauses.must_not));
@@ -117,7 +117,7 @@
             let any = should.iter().filter(|found| found.contains_key(&at)).count();
             let holds = must.iter().chain(&filter).all(|found| found.contains_key(&at))
                 && !must_not.iter().any(|found| found.contains_key(&at))
-                && any >= clauses.least;
+                && any >= clauses.minimum_should_match;
             let sum = || must.iter().chain(&should).filter_map(|found| found.get(&at)).sum::<f64>();
             holds.then(sum)
         };
@@ -125,14 +125,14 @@
     }
 
     /// What a node gives for this shard.
-    pub fn search(&self, search: &Search) -> ShardFound {
+    pub fn search(&self, search: &Search) -> ShardResult {
         let found = self.found(&search.query);
         let hit = |(at, score): (&usize, &f64)| {
-            let sort = match &search.order.by {
-                By::Score => None,
-                By::Field(field) => self.value(*at, field).cloned(),
+            let sort = match &search.sort.key {
+                SortKey::Score => None,
+                SortKey::Field(field) => self.value(*at, field).cloned(),
             };
-            let source = Node::Object(self.cues[*at].fields.clone());
+            let source = JsonValue::Object(self.cues[*at].fields.clone());
             Hit { id: self.cues[*at].id.clone(), score: Some(*score), sort, source }
         };
         let mut hits: Vec<Hit> = found.iter().map(hit).collect();
@@ -140,61 +140,65 @@
         hits.truncate(search.window());
         let part = |(name, of): &(String, Aggregation)| (name.clone(), self.part(of, found.keys().copied()));
         let aggregations = search.aggregations.iter().map(part).collect();
-        ShardFound { hits, total: found.len() as u64, at_least: false, aggregations }
+        ShardResult { hits, total: found.len() as u64, total_is_lower_bound: false, aggregations }
     }
 
-    fn part(&self, of: &Aggregation, among: impl Iterator<Item = usize>) -> Partial {
-        let values = |field: &str, among: &mut dyn Iterator<Item = usize>| -> Vec<Node> {
+    fn part(&self, of: &Aggregation, among: impl Iterator<Item = usize>) -> PartialAggregation {
+        let values = |field: &str, among: &mut dyn Iterator<Item = usize>| -> Vec<JsonValue> {
             among.filter_map(|at| self.value(at, field).cloned()).collect()
         };
         let mut among = among;
         let numbers = |field: &str, among: &mut dyn Iterator<Item = usize>| -> Vec<f64> {
-            values(field, among).iter().filter_map(Node::number).collect()
+            values(field, among).iter().filter_map(JsonValue::number).collect()
         };
         match of {
-            Aggregation::Count(field) => Partial::Count(values(field, &mut among).len() as u64),
-            Aggregation::Least(field) => {
-                Partial::Least(numbers(field, &mut among).into_iter().reduce(f64::min))
+            Aggregation::ValueCount(field) => {
+                PartialAggregation::ValueCount(values(field, &mut among).len() as u64)
             }
-            Aggregation::Most(field) => {
-                Partial::Most(numbers(field, &mut among).into_iter().reduce(f64::max))
+            Aggregation::Min(field) => {
+                PartialAggregation::Min(numbers(field, &mut among).into_iter().reduce(f64::min))
             }
-            Aggregation::Sum(field) => Partial::Sum(numbers(field, &mut among).iter().sum()),
-            Aggregation::Average(field) => {
+            Aggregation::Max(field) => {
+                PartialAggregation::Max(numbers(field, &mut among).into_iter().reduce(f64::max))
+            }
+            Aggregation::Sum(field) => PartialAggregation::Sum(numbers(field, &mut among).iter().sum()),
+            Aggregation::Avg(field) => {
                 let numbers = numbers(field, &mut among);
-                Partial::Average { sum: numbers.iter().sum(), count: numbers.len() as u64 }
+                PartialAggregation::Avg { sum: numbers.iter().sum(), count: numbers.len() as u64 }
             }
             Aggregation::Terms { field, shard_size, .. } => {
-                let mut counts: BTreeMap<Key, u64> = BTreeMap::new();
+                let mut counts: BTreeMap<BucketKey, u64> = BTreeMap::new();
                 for value in values(field, &mut among) {
                     match value {
-                        Node::Text(text) => *counts.entry(Key::Text(text)).or_default() += 1,
-                        Node::Whole(whole) => *counts.entry(Key::Whole(whole)).or_default() += 1,
+                        JsonValue::String(text) => *counts.entry(BucketKey::String(text)).or_default() += 1,
+                        JsonValue::Integer(whole) => {
+                            *counts.entry(BucketKey::Integer(whole)).or_default() += 1
+                        }
                         _ => {}
                     }
                 }
-                let mut told: Vec<(Key, u64)> = counts.into_iter().collect();
+                let mut told: Vec<(BucketKey, u64)> = counts.into_iter().collect();
                 told.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
                 let whole = told.len() <= *shard_size;
                 let others = told.iter().skip(*shard_size).map(|(_, count)| count).sum();
                 told.truncate(*shard_size);
-                Partial::Terms(Buckets::of_shard(told, others, whole))
+                PartialAggregation::Terms(TermBuckets::from_shard(told, others, whole))
             }
         }
     }
 }
 
-fn alike(a: &Node, b: &Node) -> bool {
+fn alike(a: &JsonValue, b: &JsonValue) -> bool {
     match (a.number(), b.number()) {
         (Some(a), Some(b)) => a == b,
         _ => a == b,
     }
 }
 
-fn within(value: &Node, edge: Option<&Edge>, side: Ordering) -> bool {
+fn within(value: &JsonValue, edge: Option<&Bound>, side: Ordering) -> bool {
     let Some(edge) = edge else { return true };
     let order = match (value, &edge.value) {
-        (Node::Text(a), Node::Text(b)) => Some(a.cmp(b)),
+        (JsonValue::String(a), JsonValue::String(b)) => Some(a.cmp(b)),
         (a, b) => a.number().zip(b.number()).map(|(a, b)| a.total_cmp(&b)),
     };
     order.is_some_and(|order| order == side || edge.inclusive && order == Ordering::Equal)
@@ -202,11 +206,11 @@
 
 /// The order of one shard's hits: as asked for, then by id.
 fn before(search: &Search, a: &Hit, b: &Hit) -> Ordering {
-    let turn = |order: Ordering| if search.order.rising { order } else { order.reverse() };
-    let first = match &search.order.by {
-        By::Score => turn(a.score.unwrap_or(0.0).total_cmp(&b.score.unwrap_or(0.0))),
-        By::Field(_) => match (&a.sort, &b.sort) {
-            (Some(Node::Text(a)), Some(Node::Text(b))) => turn(a.cmp(b)),
+    let turn = |order: Ordering| if search.sort.ascending { order } else { order.reverse() };
+    let first = match &search.sort.key {
+        SortKey::Score => turn(a.score.unwrap_or(0.0).total_cmp(&b.score.unwrap_or(0.0))),
+        SortKey::Field(_) => match (&a.sort, &b.sort) {
+            (Some(JsonValue::String(a)), Some(JsonValue::String(b))) => turn(a.cmp(b)),
             (Some(a), Some(b)) => turn(a.number().unwrap_or(0.0).total_cmp(&b.number().unwrap_or(0.0))),
             (a, b) => a.is_none().cmp(&b.is_none()),
         },
@@ -257,12 +261,12 @@
         }
         let hit = |hit: &Hit| {
             let index = if manner == Manner::OtherIndex { "others" } else { index };
-            let mut written = json!({"_index": index, "_score": hit.score, "_source": hit.source.write()});
+            let mut written = json!({"_index": index, "_score": hit.score, "_source": hit.source.to_json()});
             if manner != Manner::NoIds {
                 written["_id"] = hit.id.as_str().into();
             }
-            if search.order.by != By::Score {
-                written["sort"] = json!([hit.sort.as_ref().map(Node::write)]);
+            if search.sort.key != SortKey::Score {
+                written["sort"] = json!([hit.sort.as_ref().map(JsonValue::to_json)]);
             }
             written
         };
@@ -285,7 +289,9 @@
         if !search.aggregations.is_empty() && manner != Manner::NoAggregations {
             let of =
                 |name: &String| search.aggregations.iter().find(|(asked, _)| asked == name).map(|(_, of)| of);
-            let write = |(name, part): &(String, Partial)| Some((name.clone(), node_part(part, of(name)?)));
+            let write = |(name, part): &(String, PartialAggregation)| {
+                Some((name.clone(), node_part(part, of(name)?)))
+            };
             body["aggregations"] = found.aggregations.iter().filter_map(write).collect();
         }
         let mut bytes = body.to_string().into_bytes();
@@ -297,18 +303,18 @@
 }
 
 /// A shard's part of an aggregation: of terms, all that it was asked to tell; of an average, also of how many.
-fn node_part(part: &Partial, of: &Aggregation) -> serde_json::Value {
+fn node_part(part: &PartialAggregation, of: &Aggregation) -> serde_json::Value {
     match (part, of) {
-        (Partial::Terms(_), Aggregation::Terms { field, shard_size, .. }) => {
+        (PartialAggregation::Terms(_), Aggregation::Terms { field, shard_size, .. }) => {
             let all = Aggregation::Terms { field: field.clone(), size: *shard_size, shard_size: *shard_size };
-            part.write(&all)
+            part.to_json(&all)
         }
-        (Partial::Average { count, .. }, _) => {
-            let mut written = part.write(of);
+        (PartialAggregation::Avg { count, .. }, _) => {
+            let mut written = part.to_json(of);
             written["count"] = (*count).into();
             written
         }
-        _ => part.write(of),
+        _ => part.to_json(of),
     }
 }
 
@@ -348,7 +354,7 @@
         let [id, number, _, length] = words[..] else { return None };
         let (text, behind) = after.split_at(length.parse().ok()?);
         rest = behind;
-        let value = match Search::read(text.as_bytes()) {
+        let value = match Search::parse(text.as_bytes()) {
             Ok(search) => shard(number.parse().ok()?).body("cues", &search, manner(number.parse().ok()?)),
             Err(_) => b"saved".to_vec(),
         };
--- a/crates/standins/src/node.rs
+++ b/crates/standins/src/node.rs
@@ -1,7 +1,7 @@
 //! A node of the query dialect over HTTP/1.1, with all shards of planted cues: sound, or failing in one way.
 
 use crate::cues::{shard, Manner};
-use fernglade_dialect::endpoint::{endpoint, preferred, Endpoint};
+use fernglade_dialect::endpoint::{parse_target, preferred_shards, Endpoint};
 use fernglade_dialect::search::Search;
 use serde_json::json;
 use socket2::Socket;
@@ -112,11 +112,11 @@
 
 /// A search's answer for the shard that is preferred, an edit's that it is saved.
 fn answer(target: &str, body: &str, manner: Manner) -> Option<String> {
-    let (endpoint, parameters) = endpoint("POST", target).ok()?;
+    let (endpoint, parameters) = parse_target("POST", target).ok()?;
     match endpoint {
         Endpoint::Search { index } => {
-            let number = *preferred(&parameters).ok()??.first()?;
-            let search = Search::read(body.as_bytes()).ok()?;
+            let number = *preferred_shards(&parameters).ok()??.first()?;
+            let search = Search::parse(body.as_bytes()).ok()?;
             String::from_utf8(shard(number).body(&index, &search, manner)).ok()
         }
         Endpoint::Update { index, id } | Endpoint::Put { index, id: Some(id) } => {
--- a/crates/standins/tests/cues.rs
+++ b/crates/standins/tests/cues.rs
@@ -1,24 +1,24 @@
 //! Searches over many shards give what they give over one that has all of it.
 
 use fernglade::{Landing, Span};
-use fernglade_dialect::answer::{found, Shards};
-use fernglade_dialect::endpoint::{endpoint, preferred, Endpoint};
-use fernglade_dialect::errand::{errand, write};
-use fernglade_dialect::merge::{Merge, ShardFound};
-use fernglade_dialect::reply::Reply;
+use fernglade_dialect::endpoint::{parse_target, preferred_shards, Endpoint};
+use fernglade_dialect::merge::{Merger, ShardResult};
+use fernglade_dialect::response::{search_response, ShardSummary};
 use fernglade_dialect::search::Search;
-use fernglade_dialect::Node;
+use fernglade_dialect::shard_request::{search_body, shard_request};
+use fernglade_dialect::shard_response::ShardResponse;
+use fernglade_dialect::JsonValue;
 use fernglade_standins::cues::{planted, Cue, Manner, Shard};
 use serde_json::Value;
 use test_case::test_case;
 
 fn asked(shards: &[Shard], search: &Search) -> Value {
-    let mut merge = Merge::new(search);
+    let mut merge = Merger::new(search);
     for (number, shard) in (0..).zip(shards) {
-        assert!(merge.take(number, shard.search(search)));
+        assert!(merge.add_shard(number, shard.search(search)));
     }
-    let shards = Shards { total: shards.len(), missing: Vec::new() };
-    found("cues", search, merge.finish(true), &shards, Span::ZERO)
+    let shards = ShardSummary { total: shards.len(), failures: Vec::new() };
+    search_response("cues", search, merge.finish(true), &shards, Span::ZERO)
 }
 
 /// Dealt out so that the order of ids is the order of shards: ties then fall alike.
@@ -39,7 +39,7 @@
 #[test_case(r#"{"size":0,"aggs":{"n":{"value_count":{"field":"at"}},"a":{"min":{"field":"at"}},"z":{"max":{"field":"at"}},
   "s":{"sum":{"field":"at"}},"m":{"avg":{"field":"at"}},"l":{"terms":{"field":"lang","size":3}}}}"#; "aggregations")]
 fn many_shards_answer_as_one(body: &str) {
-    let search = Search::read(body.as_bytes()).unwrap();
+    let search = Search::parse(body.as_bytes()).unwrap();
     for seed in 0..5 {
         let cues = planted(seed, 300);
         let (mut one, mut many) = (asked(&dealt(&cues, 1), &search), asked(&dealt(&cues, 7), &search));
@@ -55,7 +55,7 @@
 #[test]
 fn what_two_shards_have_is_one_hit() {
     let cues = planted(3, 40);
-    let search = Search::read(br#"{"size":100,"track_total_hits":true}"#).unwrap();
+    let search = Search::parse(br#"{"size":100,"track_total_hits":true}"#).unwrap();
     let twice = [Shard::new(cues[..25].to_vec()), Shard::new(cues[20..].to_vec())];
     let answer = asked(&twice, &search);
     assert_eq!(answer["hits"]["hits"].as_array().unwrap().len(), 40);
@@ -73,25 +73,25 @@
 #[test]
 fn a_part_is_asked_and_answered_in_the_dialects_own_bodies() {
     for body in SEARCHES {
-        let search = Search::read(body.as_bytes()).unwrap();
+        let search = Search::parse(body.as_bytes()).unwrap();
         assert_eq!(
-            Search::of(&Node::read(write(&search).to_string().as_bytes()).unwrap()),
+            Search::from_json(&JsonValue::parse(search_body(&search).to_string().as_bytes()).unwrap()),
             Ok(search.clone())
         );
-        let (target, asked) = errand("cues", &search, 3, Span::of_millis(420));
-        let (endpoint, parameters) = endpoint("POST", &target).unwrap();
+        let (target, asked) = shard_request("cues", &search, 3, Span::of_millis(420));
+        let (endpoint, parameters) = parse_target("POST", &target).unwrap();
         assert_eq!(endpoint, Endpoint::Search { index: "cues".into() });
-        assert_eq!(preferred(&parameters), Ok(Some(vec![3])));
-        let asked = Search::read(&asked).unwrap();
+        assert_eq!(preferred_shards(&parameters), Ok(Some(vec![3])));
+        let asked = Search::parse(&asked).unwrap();
         assert_eq!((asked.from, asked.size), (0, search.window()));
         let shard = Shard::new(planted(5, 200));
-        let Reply::Found(found) =
-            Reply::read(200, &shard.body("cues", &asked, Manner::Sound), "cues", &search)
+        let ShardResponse::Found(found) =
+            ShardResponse::parse(200, &shard.body("cues", &asked, Manner::Sound), "cues", &search)
         else {
             panic!("a sound answer is one");
         };
         let truth = shard.search(&asked);
-        let ids = |found: &ShardFound| found.hits.iter().map(|hit| hit.id.clone()).collect::<Vec<_>>();
+        let ids = |found: &ShardResult| found.hits.iter().map(|hit| hit.id.clone()).collect::<Vec<_>>();
         assert_eq!((ids(&found), found.total), (ids(&truth), truth.total));
     }
 }
@@ -110,22 +110,22 @@
 #[test_case(Manner::Page, "expected value"; "an error page")]
 #[test_case(Manner::NoAggregations, "no aggregations"; "aggregations left out")]
 fn half_an_understanding_is_a_failed_part(manner: Manner, says: &str) {
-    let search = Search::read(br#"{"size":8,"sort":"at","aggs":{"m":{"avg":{"field":"at"}}}}"#).unwrap();
+    let search = Search::parse(br#"{"size":8,"sort":"at","aggs":{"m":{"avg":{"field":"at"}}}}"#).unwrap();
     let shard = Shard::new(planted(1, 100));
     assert_eq!(
-        Reply::read(200, &shard.body("cues", &search, Manner::Sound), "cues", &search).landing(),
+        ShardResponse::parse(200, &shard.body("cues", &search, Manner::Sound), "cues", &search).landing(),
         Landing::Honoured
     );
-    let reply = Reply::read(200, &shard.body("cues", &search, manner), "cues", &search);
+    let reply = ShardResponse::parse(200, &shard.body("cues", &search, manner), "cues", &search);
     assert_eq!(reply.landing(), Landing::Erred);
-    assert!(matches!(&reply, Reply::Spoilt(why) if why.contains(says)), "{reply:?}");
+    assert!(matches!(&reply, ShardResponse::Unusable(why) if why.contains(says)), "{reply:?}");
 }
 
 #[test]
 fn only_a_full_queue_says_that_nothing_ran() {
     let search = Search::default();
-    assert_eq!(Reply::read(429, b"", "cues", &search).landing(), Landing::TurnedAway);
+    assert_eq!(ShardResponse::parse(429, b"", "cues", &search).landing(), Landing::TurnedAway);
     for status in [500, 502, 503, 400, 404, 206, 302] {
-        assert_eq!(Reply::read(status, b"{}", "cues", &search).landing(), Landing::Erred);
+        assert_eq!(ShardResponse::parse(status, b"{}", "cues", &search).landing(), Landing::Erred);
     }
 }
