--- a/crates/dialect/src/aggregation.rs
+++ b/crates/dialect/src/aggregation.rs
@@ -1,10 +1,11 @@
-//! Aggregations: what is asked of each shard, what comes back, and how shards' parts become one.
+//! Aggregations: parsing, the partial result of each shard, and how partial results are merged.
 
 use crate::query::reject_unknown_fields;
 use crate::{ApiError, JsonValue};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A requested aggregation. Each variant holds the name of the field.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Aggregation {
     ValueCount(String),
@@ -12,7 +13,7 @@
     Max(String),
     Sum(String),
     Avg(String),
-    /// The commonest values of a field: so many are told, and so many asked of each shard.
+    /// The most frequent values of a field: `size` are returned, `shard_size` are requested from each shard.
     Terms {
         field: String,
         size: usize,
@@ -20,10 +21,11 @@
     },
 }
 
-/// Buckets of one aggregation: what a shard may be asked for, and what the merge holds of each.
+/// Maximum number of buckets of one aggregation that a shard is asked for and that the merge keeps per shard.
 pub const MAX_BUCKETS: usize = 1_000;
 
 impl Aggregation {
+    /// Parses the definition of one aggregation.
     pub fn parse(node: &JsonValue) -> Result<Self, ApiError> {
         let (name, body) = node.single_field("aggs")?;
         let field = || {
@@ -31,22 +33,22 @@
                 body.get("field").ok_or_else(|| ApiError::parsing(format!("[{name}] requires [field]")))?;
             field.text("field").map(String::from)
         };
-        let plain = |make: fn(String) -> Self| {
+        let single_field_aggregation = |constructor: fn(String) -> Self| {
             reject_unknown_fields(body, name, &["field"])?;
-            field().map(make)
+            field().map(constructor)
         };
         match name {
-            "value_count" => plain(Self::ValueCount),
-            "min" => plain(Self::Min),
-            "max" => plain(Self::Max),
-            "sum" => plain(Self::Sum),
-            "avg" => plain(Self::Avg),
+            "value_count" => single_field_aggregation(Self::ValueCount),
+            "min" => single_field_aggregation(Self::Min),
+            "max" => single_field_aggregation(Self::Max),
+            "sum" => single_field_aggregation(Self::Sum),
+            "avg" => single_field_aggregation(Self::Avg),
             "terms" => {
                 reject_unknown_fields(body, name, &["field", "size", "shard_size"])?;
                 let count =
-                    |name: &str, usual: usize| body.get(name).map_or(Ok(usual), |node| node.count(name));
+                    |name: &str, default: usize| body.get(name).map_or(Ok(default), |node| node.count(name));
                 let size = count("size", 10)?;
-                // The API's own: half as many again, and ten.
+                // The default of OpenSearch: 1.5 * size + 10.
                 let shard_size = count("shard_size", size + size / 2 + 10)?.max(size);
                 if size == 0 || shard_size > MAX_BUCKETS {
                     return Err(ApiError::illegal_argument(format!(
@@ -60,7 +62,7 @@
     }
 }
 
-/// One shard's part of an aggregation, or several shards' together.
+/// The result of an aggregation on one shard, or the merged results of several.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PartialAggregation {
     ValueCount(u64),
@@ -71,18 +73,20 @@
     Terms(TermBuckets),
 }
 
-/// The commonest values that a shard told of. A value it did not tell of has at most `unseen` there.
+/// The most frequent values that shards reported. A value that a shard did not report has at most `max_unreported`
+/// documents there.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TermBuckets {
-    /// Each value's count, and how many more it may have at shards that did not tell of it.
+    /// The document count of each value, and the upper bound of its error: how many more documents it may have on
+    /// shards that did not report it.
     counts: BTreeMap<BucketKey, (u64, u64)>,
-    /// Documents of values that a shard did not tell of.
-    others: u64,
-    /// The sum of what a value may have had at each shard merged so far without being told of.
-    unseen: u64,
+    /// The number of documents whose values a shard did not report.
+    other_docs: u64,
+    /// The sum, over the shards merged so far, of the most documents that an unreported value may have.
+    max_unreported: u64,
 }
 
-/// A bucket's value; ties between counts go by it, numbers before texts.
+/// The value of a bucket. It breaks ties between counts; integers sort before strings.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BucketKey {
     Integer(i64),
@@ -90,25 +94,36 @@
 }
 
 impl TermBuckets {
-    /// From what one shard told, the commonest first; `whole` where it told of all its values.
-    pub fn from_shard(told: Vec<(BucketKey, u64)>, others: u64, whole: bool) -> Self {
-        let unseen = if whole { 0 } else { told.iter().map(|(_, count)| *count).min().unwrap_or(0) };
-        Self { counts: told.into_iter().map(|(key, count)| (key, (count, 0))).collect(), others, unseen }
+    /// Builds the buckets of one shard from what it reported, most frequent first; `complete` if it reported all values.
+    pub fn from_shard(reported: Vec<(BucketKey, u64)>, other_docs: u64, complete: bool) -> Self {
+        let max_unreported =
+            if complete { 0 } else { reported.iter().map(|(_, count)| *count).min().unwrap_or(0) };
+        Self {
+            counts: reported.into_iter().map(|(key, count)| (key, (count, 0))).collect(),
+            other_docs,
+            max_unreported,
+        }
     }
 
+    /// Adds the buckets of other shards; a value missing on one side counts with that side's error bound.
     fn merge(&mut self, other: Self) {
         let keys: BTreeSet<BucketKey> = self.counts.keys().chain(other.counts.keys()).cloned().collect();
         let mut counts = BTreeMap::new();
         for key in keys {
-            let (count, error) = self.counts.get(&key).copied().unwrap_or((0, self.unseen));
-            let (more, further) = other.counts.get(&key).copied().unwrap_or((0, other.unseen));
-            counts.insert(key, (count + more, error + further));
+            let (count, error) = self.counts.get(&key).copied().unwrap_or((0, self.max_unreported));
+            let (other_count, other_error) =
+                other.counts.get(&key).copied().unwrap_or((0, other.max_unreported));
+            counts.insert(key, (count + other_count, error + other_error));
         }
-        *self = Self { counts, others: self.others + other.others, unseen: self.unseen + other.unseen };
+        *self = Self {
+            counts,
+            other_docs: self.other_docs + other.other_docs,
+            max_unreported: self.max_unreported + other.max_unreported,
+        };
     }
 
-    /// The commonest, ties by value.
-    fn best(&self, size: usize) -> Vec<(&BucketKey, u64, u64)> {
+    /// The most frequent values with their counts and error bounds; ties are broken by value.
+    fn top(&self, size: usize) -> Vec<(&BucketKey, u64, u64)> {
         let mut all: Vec<_> = self.counts.iter().map(|(key, (count, error))| (key, *count, *error)).collect();
         all.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(b.0)));
         all.truncate(size);
@@ -117,7 +132,7 @@
 }
 
 impl PartialAggregation {
-    /// The part of a shard that had nothing.
+    /// The result of a shard without matching documents.
     pub fn empty(of: &Aggregation) -> Self {
         match of {
             Aggregation::ValueCount(_) => Self::ValueCount(0),
@@ -129,20 +144,20 @@
         }
     }
 
-    /// Adds another shard's. False where it is a part of another aggregation: then nothing has changed.
+    /// Merges another shard's result. Returns false, and changes nothing, if it belongs to another kind of aggregation.
     pub fn merge(&mut self, other: Self) -> bool {
-        let pick = |a: Option<f64>, b: Option<f64>, of: fn(f64, f64) -> f64| match (a, b) {
-            (Some(a), Some(b)) => Some(of(a, b)),
+        let combine = |a: Option<f64>, b: Option<f64>, function: fn(f64, f64) -> f64| match (a, b) {
+            (Some(a), Some(b)) => Some(function(a, b)),
             (one, other) => one.or(other),
         };
         match (self, other) {
             (Self::ValueCount(all), Self::ValueCount(more)) => *all += more,
-            (Self::Min(all), Self::Min(more)) => *all = pick(*all, more, f64::min),
-            (Self::Max(all), Self::Max(more)) => *all = pick(*all, more, f64::max),
+            (Self::Min(all), Self::Min(more)) => *all = combine(*all, more, f64::min),
+            (Self::Max(all), Self::Max(more)) => *all = combine(*all, more, f64::max),
             (Self::Sum(all), Self::Sum(more)) => *all += more,
-            (Self::Avg { sum, count }, Self::Avg { sum: more, count: further }) => {
-                *sum += more;
-                *count += further;
+            (Self::Avg { sum, count }, Self::Avg { sum: other_sum, count: other_count }) => {
+                *sum += other_sum;
+                *count += other_count;
             }
             (Self::Terms(all), Self::Terms(more)) => all.merge(more),
             _ => return false,
@@ -150,7 +165,7 @@
         true
     }
 
-    /// As the API tells it.
+    /// The aggregation as it appears in a response.
     pub fn to_json(&self, of: &Aggregation) -> Value {
         match (self, of) {
             (Self::ValueCount(count), _) => json!({"value": count}),
@@ -160,21 +175,22 @@
                 json!({"value": (*count > 0).then(|| sum / *count as f64)})
             }
             (Self::Terms(buckets), Aggregation::Terms { size, .. }) => {
-                let best = buckets.best(*size);
-                let told: u64 = best.iter().map(|(_, count, _)| count).sum();
-                let all: u64 = buckets.counts.values().map(|(count, _)| count).sum();
-                let error = best.iter().map(|(.., error)| *error).max().unwrap_or(0).max(buckets.unseen);
+                let top = buckets.top(*size);
+                let reported_docs: u64 = top.iter().map(|(_, count, _)| count).sum();
+                let all_docs: u64 = buckets.counts.values().map(|(count, _)| count).sum();
+                let error =
+                    top.iter().map(|(.., error)| *error).max().unwrap_or(0).max(buckets.max_unreported);
                 let bucket = |(key, count, error): &(&BucketKey, u64, u64)| {
                     let key = match key {
-                        BucketKey::Integer(whole) => json!(whole),
+                        BucketKey::Integer(integer) => json!(integer),
                         BucketKey::String(text) => json!(text),
                     };
                     json!({"key": key, "doc_count": count, "doc_count_error_upper_bound": error})
                 };
                 json!({
                     "doc_count_error_upper_bound": error,
-                    "sum_other_doc_count": buckets.others + all - told,
-                    "buckets": best.iter().map(bucket).collect::<Vec<_>>(),
+                    "sum_other_doc_count": buckets.other_docs + all_docs - reported_docs,
+                    "buckets": top.iter().map(bucket).collect::<Vec<_>>(),
                 })
             }
             (Self::Terms(_), _) => Value::Null,
--- a/crates/dialect/src/lib.rs
+++ b/crates/dialect/src/lib.rs
@@ -1,14 +1,17 @@
-//! The OpenSearch-style query API: requests read and checked, shards' answers merged, answers written. Pure: bytes and
-//! trees in, values or a [`Fault`] out. No socket, no clock, no index or class by name.
+//! The OpenSearch-style query API: parses and validates requests, merges shard results and builds responses.
 //!
-//! - [`node`]: JSON as a tree that keeps what a careless reader would lose (a name that stands twice)
-//! - [`fault`]: what is wrong, in the dialect's words
-//! - [`endpoint`]: method and target to what is asked for
-//! - [`query`], [`search`], [`aggregation`]: the query language, as far as it is spoken; the rest is refused by name
-//! - [`merge`]: the best of many shards, totals that add up, buckets with the errors they owe
-//! - [`request`]: a whole request
-//! - [`errand`], [`reply`]: one shard's part as a node is asked, and what its answer is worth
-//! - [`answer`]: what a client is told
+//! The crate is pure: it turns bytes and JSON trees into values or an [`ApiError`]. It opens no sockets, reads no clock
+//! and knows no index or traffic type by name.
+//!
+//! - [`json`]: JSON values that reject duplicate keys
+//! - [`error`]: API errors with their exception types and HTTP status codes
+//! - [`endpoint`]: maps a method and a target to an endpoint
+//! - [`query`], [`search`], [`aggregation`]: the supported subset of the query language; anything else is rejected by
+//!   name
+//! - [`merge`]: merges the hits, totals and aggregations of many shards
+//! - [`request`]: a complete client request
+//! - [`shard_request`], [`shard_response`]: the request to a node for one shard, and the validation of its response
+//! - [`response`]: the responses to clients
 
 pub mod aggregation;
 pub mod endpoint;
--- a/crates/dialect/src/search.rs
+++ b/crates/dialect/src/search.rs
@@ -1,35 +1,41 @@
-//! A search's body and its parameters.
+//! Parses the body and the query parameters of a search.
 
 use crate::aggregation::Aggregation;
 use crate::query::{reject_unknown_fields, Query};
 use crate::{ApiError, JsonValue};
 use fernglade::Span;
 
-/// How many hits one may page through: each shard has to give as many as `from + size`, and the merge to hold them.
+/// Maximum of `from + size`: each shard returns that many hits and the merge holds as many.
 pub const MAX_RESULT_WINDOW: usize = 10_000;
-/// Aggregations of one search.
-const MOST_AGGREGATIONS: usize = 16;
+/// Maximum number of aggregations in one search.
+const MAX_AGGREGATIONS: usize = 16;
 
+/// A validated search.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Search {
     pub query: Query,
+    /// Number of hits to skip.
     pub from: usize,
+    /// Maximum number of hits to return.
     pub size: usize,
-    /// By what hits are ordered; by score, the best first, where nothing else is asked for.
+    /// The order of the hits; by descending score if the search names none.
     pub sort: Sort,
     pub source: SourceFilter,
     pub track_total_hits: TrackTotalHits,
     pub timeout: Option<Span>,
+    /// The aggregations with their names, sorted by name.
     pub aggregations: Vec<(String, Aggregation)>,
 }
 
+/// The sort order of the hits.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sort {
     pub key: SortKey,
-    /// The least first.
+    /// Whether the lowest value comes first.
     pub ascending: bool,
 }
 
+/// What hits are sorted by.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum SortKey {
     #[default]
@@ -37,20 +43,20 @@
     Field(String),
 }
 
-/// What of each hit's source is given.
+/// Which fields of the source are returned with each hit.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum SourceFilter {
     #[default]
     All,
     Excluded,
-    /// Names of fields, each with a `*` at its end or none.
+    /// Field names, each optionally ending in `*`.
     Filtered {
         includes: Vec<String>,
         excludes: Vec<String>,
     },
 }
 
-/// How far hits are counted.
+/// How far matching documents are counted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TrackTotalHits {
     Exact,
@@ -66,7 +72,7 @@
             size: 10,
             sort: Sort::default(),
             source: SourceFilter::All,
-            // The API's own.
+            // The default of OpenSearch.
             track_total_hits: TrackTotalHits::UpTo(10_000),
             timeout: None,
             aggregations: Vec::new(),
@@ -74,11 +80,12 @@
     }
 }
 
-const FIELDS: [&str; 9] =
+/// Fields that a search body may have.
+const KNOWN_FIELDS: [&str; 9] =
     ["query", "from", "size", "sort", "_source", "track_total_hits", "timeout", "aggs", "aggregations"];
 
 impl Search {
-    /// From a body; an empty one asks for everything.
+    /// Parses a body; an empty one matches every document.
     pub fn parse(body: &[u8]) -> Result<Self, ApiError> {
         if body.iter().all(u8::is_ascii_whitespace) {
             return Ok(Self::default());
@@ -86,99 +93,106 @@
         Self::from_json(&JsonValue::parse(body)?)
     }
 
+    /// Builds a search from a parsed body.
     pub fn from_json(body: &JsonValue) -> Result<Self, ApiError> {
-        reject_unknown_fields(body, "search", &FIELDS)?;
-        let usual = Self::default();
-        let count = |name: &str, usual: usize| body.get(name).map_or(Ok(usual), |node| node.count(name));
+        reject_unknown_fields(body, "search", &KNOWN_FIELDS)?;
+        let default = Self::default();
+        let count = |name: &str, default: usize| body.get(name).map_or(Ok(default), |node| node.count(name));
         let search = Self {
             query: body.get("query").map_or(Ok(Query::MatchAll), Query::parse)?,
-            from: count("from", usual.from)?,
-            size: count("size", usual.size)?,
-            sort: body.get("sort").map_or(Ok(usual.sort), order)?,
-            source: body.get("_source").map_or(Ok(usual.source), source)?,
-            track_total_hits: body.get("track_total_hits").map_or(Ok(usual.track_total_hits), totals)?,
+            from: count("from", default.from)?,
+            size: count("size", default.size)?,
+            sort: body.get("sort").map_or(Ok(default.sort), parse_sort)?,
+            source: body.get("_source").map_or(Ok(default.source), parse_source_filter)?,
+            track_total_hits: body
+                .get("track_total_hits")
+                .map_or(Ok(default.track_total_hits), parse_track_total_hits)?,
             timeout: body.get("timeout").map(|node| parse_timeout(node.text("timeout")?)).transpose()?,
-            aggregations: aggregations(body)?,
+            aggregations: parse_aggregations(body)?,
         };
-        search.check()
+        search.validate()
     }
 
-    /// What a body says may also stand in the target, which comes before it.
+    /// Applies the query parameters of the target, which take precedence over the body.
     pub fn with_parameters(mut self, parameters: &[(String, String)]) -> Result<Self, ApiError> {
         for (name, value) in parameters {
-            let whole = || {
+            let parse_number = || {
                 value.parse().map_err(|_| {
                     ApiError::illegal_argument(format!("[{name}] is no whole number: [{value}]"))
                 })
             };
             match name.as_str() {
-                "from" => self.from = whole()?,
-                "size" => self.size = whole()?,
+                "from" => self.from = parse_number()?,
+                "size" => self.size = parse_number()?,
                 "timeout" => self.timeout = Some(parse_timeout(value)?),
-                "track_total_hits" => self.track_total_hits = totals(&scalar(value))?,
-                "sort" => self.sort = order(&JsonValue::String(value.clone()))?,
-                "_source" => self.source = source(&scalar(value))?,
+                "track_total_hits" => self.track_total_hits = parse_track_total_hits(&parse_scalar(value))?,
+                "sort" => self.sort = parse_sort(&JsonValue::String(value.clone()))?,
+                "_source" => self.source = parse_source_filter(&parse_scalar(value))?,
                 _ => {}
             }
         }
-        self.check()
+        self.validate()
     }
 
-    fn check(self) -> Result<Self, ApiError> {
+    /// Checks that the result window is not too large.
+    fn validate(self) -> Result<Self, ApiError> {
         if self.from.saturating_add(self.size) > MAX_RESULT_WINDOW {
-            let paged = self.from.saturating_add(self.size);
+            let window = self.from.saturating_add(self.size);
             return Err(ApiError::illegal_argument(format!(
-                "Result window is too large, from + size must be less than or equal to: [{MAX_RESULT_WINDOW}] but was [{paged}]"
+                "Result window is too large, from + size must be less than or equal to: [{MAX_RESULT_WINDOW}] but was [{window}]"
             )));
         }
         Ok(self)
     }
 
-    /// How many hits a shard has to give.
+    /// The number of hits that each shard is asked for: `from + size`.
     pub fn window(&self) -> usize {
         self.from + self.size
     }
 }
 
-fn scalar(text: &str) -> JsonValue {
+/// Converts a query parameter to the JSON value it would have in a body.
+fn parse_scalar(text: &str) -> JsonValue {
     match (text, text.parse::<i64>()) {
         ("true", _) => JsonValue::Bool(true),
         ("false", _) => JsonValue::Bool(false),
-        (_, Ok(whole)) => JsonValue::Integer(whole),
+        (_, Ok(integer)) => JsonValue::Integer(integer),
         _ => JsonValue::String(text.into()),
     }
 }
 
-fn order(node: &JsonValue) -> Result<Sort, ApiError> {
-    let [one] = node.one_or_more() else {
+/// Parses `sort`: `_score` or one field, with an optional direction.
+fn parse_sort(node: &JsonValue) -> Result<Sort, ApiError> {
+    let [entry] = node.one_or_more() else {
         return Err(ApiError::illegal_argument("[sort] takes _score or one field here"));
     };
-    let (name, direction) = match one {
+    let (name, direction) = match entry {
         JsonValue::String(text) => {
-            text.split_once(':').map_or((text.as_str(), None), |(name, way)| (name, Some(way)))
+            text.split_once(':').map_or((text.as_str(), None), |(name, direction)| (name, Some(direction)))
         }
         _ => {
-            let (name, how) = one.single_field("sort")?;
-            match how {
+            let (name, value) = entry.single_field("sort")?;
+            match value {
                 JsonValue::Object(_) => {
-                    reject_unknown_fields(how, "sort", &["order"])?;
-                    (name, how.get("order").map(|way| way.text("order")).transpose()?)
+                    reject_unknown_fields(value, "sort", &["order"])?;
+                    (name, value.get("order").map(|direction| direction.text("order")).transpose()?)
                 }
-                how => (name, Some(how.text("sort")?)),
+                value => (name, Some(value.text("sort")?)),
             }
         }
     };
-    let by = if name == "_score" { SortKey::Score } else { SortKey::Field(name.into()) };
+    let key = if name == "_score" { SortKey::Score } else { SortKey::Field(name.into()) };
     let ascending = match direction {
-        None => by != SortKey::Score,
+        None => key != SortKey::Score,
         Some("asc") => true,
         Some("desc") => false,
         Some(other) => return Err(ApiError::illegal_argument(format!("[sort] knows no order [{other}]"))),
     };
-    Ok(Sort { key: by, ascending })
+    Ok(Sort { key, ascending })
 }
 
-fn source(node: &JsonValue) -> Result<SourceFilter, ApiError> {
+/// Parses `_source`: a boolean, a field name, a list of names or an object with `includes` and `excludes`.
+fn parse_source_filter(node: &JsonValue) -> Result<SourceFilter, ApiError> {
     let names = |node: &JsonValue| {
         let name = |name: &JsonValue| {
             let name = name.text("_source")?;
@@ -195,24 +209,24 @@
         JsonValue::Bool(true) => Ok(SourceFilter::All),
         JsonValue::Bool(false) => Ok(SourceFilter::Excluded),
         JsonValue::String(text) => {
-            let each: Vec<JsonValue> = text.split(',').map(|name| JsonValue::String(name.into())).collect();
-            Ok(SourceFilter::Filtered { includes: names(&JsonValue::Array(each))?, excludes: Vec::new() })
+            let fields: Vec<JsonValue> = text.split(',').map(|name| JsonValue::String(name.into())).collect();
+            Ok(SourceFilter::Filtered { includes: names(&JsonValue::Array(fields))?, excludes: Vec::new() })
         }
         JsonValue::Object(_) => {
             reject_unknown_fields(node, "_source", &["includes", "excludes"])?;
-            let read = |name: &str| node.get(name).map_or(Ok(Vec::new()), names);
-            Ok(SourceFilter::Filtered { includes: read("includes")?, excludes: read("excludes")? })
+            let parse = |name: &str| node.get(name).map_or(Ok(Vec::new()), names);
+            Ok(SourceFilter::Filtered { includes: parse("includes")?, excludes: parse("excludes")? })
         }
         list => Ok(SourceFilter::Filtered { includes: names(list)?, excludes: Vec::new() }),
     }
 }
 
 impl SourceFilter {
-    /// What of a hit's source is given; none where nothing is.
+    /// Selects the fields of a hit's source; `None` if the source is excluded.
     pub fn apply(&self, source: JsonValue) -> Option<JsonValue> {
-        let fits = |names: &[String], field: &str| {
+        let matches = |names: &[String], field: &str| {
             names.iter().any(|name| match name.strip_suffix('*') {
-                Some(start) => field.starts_with(start),
+                Some(prefix) => field.starts_with(prefix),
                 None => field == name,
             })
         };
@@ -220,17 +234,18 @@
             (Self::All, source) => Some(source),
             (Self::Excluded, _) => None,
             (Self::Filtered { includes, excludes }, JsonValue::Object(fields)) => {
-                let given = |(field, _): &(String, JsonValue)| {
-                    (includes.is_empty() || fits(includes, field)) && !fits(excludes, field)
+                let selected = |(field, _): &(String, JsonValue)| {
+                    (includes.is_empty() || matches(includes, field)) && !matches(excludes, field)
                 };
-                Some(JsonValue::Object(fields.into_iter().filter(given).collect()))
+                Some(JsonValue::Object(fields.into_iter().filter(selected).collect()))
             }
             (Self::Filtered { .. }, other) => Some(other),
         }
     }
 }
 
-fn totals(node: &JsonValue) -> Result<TrackTotalHits, ApiError> {
+/// Parses `track_total_hits`: a boolean or an upper bound.
+fn parse_track_total_hits(node: &JsonValue) -> Result<TrackTotalHits, ApiError> {
     match node {
         JsonValue::Bool(true) => Ok(TrackTotalHits::Exact),
         JsonValue::Bool(false) => Ok(TrackTotalHits::Disabled),
@@ -238,35 +253,36 @@
     }
 }
 
-/// A length of time as the API writes it: "500ms", "2s", "1m".
+/// Parses a duration such as "500ms", "2s" or "1m"; rejects zero.
 pub fn parse_timeout(text: &str) -> Result<Span, ApiError> {
-    let wrong = || {
+    let invalid = || {
         ApiError::illegal_argument(format!(
             "failed to parse setting [timeout] with value [{text}] as a time value"
         ))
     };
-    let time = humantime::parse_duration(text).map_err(|_| wrong())?;
-    let micros = u64::try_from(time.as_micros()).ok().filter(|micros| *micros > 0).ok_or_else(wrong)?;
+    let duration = humantime::parse_duration(text).map_err(|_| invalid())?;
+    let micros = u64::try_from(duration.as_micros()).ok().filter(|micros| *micros > 0).ok_or_else(invalid)?;
     Ok(Span::of_micros(micros))
 }
 
-fn aggregations(body: &JsonValue) -> Result<Vec<(String, Aggregation)>, ApiError> {
+/// Parses `aggs` or its alias `aggregations`.
+fn parse_aggregations(body: &JsonValue) -> Result<Vec<(String, Aggregation)>, ApiError> {
     let node = match (body.get("aggs"), body.get("aggregations")) {
         (Some(_), Some(_)) => return Err(ApiError::parsing("both [aggs] and [aggregations] are given")),
         (Some(node), None) | (None, Some(node)) => node,
         (None, None) => return Ok(Vec::new()),
     };
-    let each = node.object("aggs")?;
-    if each.len() > MOST_AGGREGATIONS {
+    let entries = node.object("aggs")?;
+    if entries.len() > MAX_AGGREGATIONS {
         return Err(ApiError::illegal_argument(format!(
-            "too many aggregations: {MOST_AGGREGATIONS} are the most"
+            "too many aggregations: {MAX_AGGREGATIONS} are the most"
         )));
     }
-    let read = |(name, node): &(String, JsonValue)| Ok((name.clone(), Aggregation::parse(node)?));
-    let mut all = each.iter().map(read).collect::<Result<Vec<_>, ApiError>>()?;
-    // They are told by name: an order of their own, so that the same search is the same.
-    all.sort_by(|a, b| a.0.cmp(&b.0));
-    Ok(all)
+    let parse = |(name, node): &(String, JsonValue)| Ok((name.clone(), Aggregation::parse(node)?));
+    let mut aggregations = entries.iter().map(parse).collect::<Result<Vec<_>, ApiError>>()?;
+    // Sorted by name so that equal searches compare equal, whatever order they list them in.
+    aggregations.sort_by(|a, b| a.0.cmp(&b.0));
+    Ok(aggregations)
 }
 
 #[cfg(test)]
@@ -275,7 +291,7 @@
     use test_case::test_case;
 
     #[test]
-    fn a_search_is_read_whole_and_its_target_comes_first() {
+    fn a_search_is_parsed_and_target_parameters_take_precedence() {
         let body = br#"{"from":5,"size":20,"sort":[{"at":{"order":"desc"}}],"_source":["cue","lang*"],
           "track_total_hits":true,"timeout":"500ms","aggs":{"n":{"value_count":{"field":"at"}}}}"#;
         let search = Search::parse(body).unwrap();
@@ -290,27 +306,35 @@
 
     #[test_case(r#"{"from":9999,"size":2}"#, "Result window is too large"; "deep paging")]
     #[test_case(r#"{"size":-1}"#, "may not be negative"; "a negative size")]
-    #[test_case(r#"{"highlight":{}}"#, "[search] unknown field [highlight]"; "what is not spoken")]
-    #[test_case(r#"{"sort":["a","b"]}"#, "one field here"; "two sorts")]
-    #[test_case(r#"{"sort":{"a":{"order":"up"}}}"#, "no order [up]"; "an order")]
-    #[test_case(r#"{"timeout":"soon"}"#, "as a time value"; "no time")]
-    #[test_case(r#"{"timeout":"0s"}"#, "as a time value"; "no time at all")]
-    #[test_case(r#"{"_source":["a*b"]}"#, "at a name's end only"; "a pattern amid")]
-    #[test_case(r#"{"aggs":{},"aggregations":{}}"#, "both [aggs]"; "a thing twice")]
-    fn what_cant_be_meant_is_refused(body: &str, says: &str) {
-        let fault = Search::parse(body.as_bytes()).unwrap_err();
-        assert!(fault.reason.contains(says), "{}", fault.reason);
+    #[test_case(r#"{"highlight":{}}"#, "[search] unknown field [highlight]"; "an unsupported field")]
+    #[test_case(r#"{"sort":["a","b"]}"#, "one field here"; "two sort keys")]
+    #[test_case(r#"{"sort":{"a":{"order":"up"}}}"#, "no order [up]"; "an unknown sort direction")]
+    #[test_case(r#"{"timeout":"soon"}"#, "as a time value"; "a malformed timeout")]
+    #[test_case(r#"{"timeout":"0s"}"#, "as a time value"; "a zero timeout")]
+    #[test_case(r#"{"_source":["a*b"]}"#, "at a name's end only"; "a wildcard inside a name")]
+    #[test_case(r#"{"aggs":{},"aggregations":{}}"#, "both [aggs]"; "both aggs and aggregations")]
+    fn invalid_searches_are_rejected(body: &str, message: &str) {
+        let error = Search::parse(body.as_bytes()).unwrap_err();
+        assert!(error.reason.contains(message), "{}", error.reason);
     }
 
     #[test]
-    fn of_a_source_only_what_is_asked_for_is_given() {
+    fn a_source_filter_selects_the_requested_fields() {
         let source = JsonValue::parse(br#"{"cue":"a","lang":"es","language":"x","at":1}"#).unwrap();
-        let only = |text: &str| {
-            super::source(&JsonValue::parse(text.as_bytes()).unwrap()).unwrap().apply(source.clone())
+        let filtered = |text: &str| {
+            super::parse_source_filter(&JsonValue::parse(text.as_bytes()).unwrap())
+                .unwrap()
+                .apply(source.clone())
         };
-        assert_eq!(only("false"), None);
-        assert_eq!(only("true"), Some(source.clone()));
-        assert_eq!(only(r#""lang*""#), Some(JsonValue::parse(br#"{"lang":"es","language":"x"}"#).unwrap()));
-        assert_eq!(only(r#"{"excludes":["lang*","cue"]}"#), Some(JsonValue::parse(br#"{"at":1}"#).unwrap()));
+        assert_eq!(filtered("false"), None);
+        assert_eq!(filtered("true"), Some(source.clone()));
+        assert_eq!(
+            filtered(r#""lang*""#),
+            Some(JsonValue::parse(br#"{"lang":"es","language":"x"}"#).unwrap())
+        );
+        assert_eq!(
+            filtered(r#"{"excludes":["lang*","cue"]}"#),
+            Some(JsonValue::parse(br#"{"at":1}"#).unwrap())
+        );
     }
 }
