--- a/crates/dialect/src/error.rs
+++ b/crates/dialect/src/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a request or an answer, in the dialect's words.
+//! API errors: the exception type, the reason and the HTTP status code.
 
 use serde_json::{json, Value};
 
@@ -16,6 +16,7 @@
 }
 
 impl ErrorKind {
+    /// The exception type as written in a response.
     pub fn type_name(self) -> &'static str {
         match self {
             Self::Parsing => "parsing_exception",
@@ -29,6 +30,7 @@
         }
     }
 
+    /// The HTTP status code.
     pub fn status(self) -> u16 {
         match self {
             Self::Parsing | Self::IllegalArgument => 400,
@@ -42,6 +44,7 @@
     }
 }
 
+/// An error of the API, as reported to a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ApiError {
     pub kind: ErrorKind,
@@ -49,19 +52,22 @@
 }
 
 impl ApiError {
+    /// An error of the given kind.
     pub fn new(kind: ErrorKind, reason: impl Into<String>) -> Self {
         Self { kind, reason: reason.into() }
     }
 
+    /// A `parsing_exception`.
     pub fn parsing(reason: impl Into<String>) -> Self {
         Self::new(ErrorKind::Parsing, reason)
     }
 
+    /// An `illegal_argument_exception`.
     pub fn illegal_argument(reason: impl Into<String>) -> Self {
         Self::new(ErrorKind::IllegalArgument, reason)
     }
 
-    /// The whole body of an error's answer.
+    /// The body of the error response.
     pub fn body(&self) -> Value {
         let cause = json!({"type": self.kind.type_name(), "reason": self.reason});
         json!({
--- a/crates/dialect/src/json.rs
+++ b/crates/dialect/src/json.rs
@@ -1,10 +1,11 @@
-//! JSON as a tree. `serde_json` reads it, within its own bound on depth; here no name may stand twice in an object,
-//! since readers differ in which of them they take, and a number has to be one that an `f64` holds.
+//! JSON values, parsed by `serde_json` within its own recursion limit. Objects with duplicate keys are rejected, since
+//! parsers differ in which of the values they use, and so are numbers that are out of range for an `f64`.
 
 use crate::ApiError;
 use serde::de::{Deserialize, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use std::fmt;
 
+/// A JSON value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JsonValue {
     Null,
@@ -13,22 +14,25 @@
     Float(f64),
     String(String),
     Array(Vec<JsonValue>),
-    /// In the order of the text.
+    /// The fields in the order of the text.
     Object(Vec<(String, JsonValue)>),
 }
 
 impl JsonValue {
+    /// Parses one JSON value; anything after it is an error.
     pub fn parse(bytes: &[u8]) -> Result<Self, ApiError> {
         serde_json::from_slice(bytes).map_err(|error| ApiError::parsing(error.to_string()))
     }
 
+    /// The field of that name, if this is an object that has it.
     pub fn get(&self, name: &str) -> Option<&JsonValue> {
         match self {
-            Self::Object(fields) => fields.iter().find(|(known, _)| known == name).map(|(_, node)| node),
+            Self::Object(fields) => fields.iter().find(|(key, _)| key == name).map(|(_, node)| node),
             _ => None,
         }
     }
 
+    /// The type of the value, as it appears in error messages.
     pub fn type_name(&self) -> &'static str {
         match self {
             Self::Null => "null",
@@ -40,79 +44,89 @@
         }
     }
 
-    fn type_error<T>(&self, at: &str, what: &str) -> Result<T, ApiError> {
-        Err(ApiError::parsing(format!("[{at}] expects {what}, but is {}", self.type_name())))
+    /// The error for a value of another type than expected; `context` names the value.
+    fn type_error<T>(&self, context: &str, expected: &str) -> Result<T, ApiError> {
+        Err(ApiError::parsing(format!("[{context}] expects {expected}, but is {}", self.type_name())))
     }
 
-    pub fn object(&self, at: &str) -> Result<&[(String, JsonValue)], ApiError> {
+    /// The fields of an object.
+    pub fn object(&self, context: &str) -> Result<&[(String, JsonValue)], ApiError> {
         match self {
             Self::Object(fields) => Ok(fields),
-            _ => self.type_error(at, "an object"),
+            _ => self.type_error(context, "an object"),
         }
     }
 
-    /// The one field of an object of one field.
-    pub fn single_field(&self, at: &str) -> Result<(&str, &JsonValue), ApiError> {
-        match self.object(at)? {
+    /// The field of an object that has exactly one.
+    pub fn single_field(&self, context: &str) -> Result<(&str, &JsonValue), ApiError> {
+        match self.object(context)? {
             [(name, node)] => Ok((name, node)),
-            fields => Err(ApiError::parsing(format!("[{at}] expects one field, but has {}", fields.len()))),
+            fields => {
+                Err(ApiError::parsing(format!("[{context}] expects one field, but has {}", fields.len())))
+            }
         }
     }
 
-    pub fn list(&self, at: &str) -> Result<&[JsonValue], ApiError> {
+    /// The items of an array.
+    pub fn list(&self, context: &str) -> Result<&[JsonValue], ApiError> {
         match self {
             Self::Array(items) => Ok(items),
-            _ => self.type_error(at, "a list"),
+            _ => self.type_error(context, "a list"),
         }
     }
 
-    /// A list, or one thing that stands for a list of one.
+    /// The items of an array; any other value counts as an array of one item.
     pub fn one_or_more(&self) -> &[JsonValue] {
         match self {
             Self::Array(items) => items,
-            one => std::slice::from_ref(one),
+            value => std::slice::from_ref(value),
         }
     }
 
-    pub fn text(&self, at: &str) -> Result<&str, ApiError> {
+    /// A string.
+    pub fn text(&self, context: &str) -> Result<&str, ApiError> {
         match self {
             Self::String(text) => Ok(text),
-            _ => self.type_error(at, "a text"),
+            _ => self.type_error(context, "a text"),
         }
     }
 
-    pub fn bool(&self, at: &str) -> Result<bool, ApiError> {
+    /// A boolean, or one of the strings "true" and "false".
+    pub fn bool(&self, context: &str) -> Result<bool, ApiError> {
         match self {
-            Self::Bool(yes) => Ok(*yes),
+            Self::Bool(value) => Ok(*value),
             Self::String(text) if text == "true" || text == "false" => Ok(text == "true"),
-            _ => self.type_error(at, "true or false"),
+            _ => self.type_error(context, "true or false"),
         }
     }
 
-    pub fn count(&self, at: &str) -> Result<usize, ApiError> {
+    /// A non-negative integer.
+    pub fn count(&self, context: &str) -> Result<usize, ApiError> {
         match self {
             Self::Integer(count) if *count >= 0 => Ok(*count as usize),
             Self::Integer(count) => {
-                Err(ApiError::illegal_argument(format!("[{at}] may not be negative, found [{count}]")))
+                Err(ApiError::illegal_argument(format!("[{context}] may not be negative, found [{count}]")))
             }
-            _ => self.type_error(at, "a whole number"),
+            _ => self.type_error(context, "a whole number"),
         }
     }
 
+    /// A number as an `f64`; `None` for any other type.
     pub fn number(&self) -> Option<f64> {
         match self {
-            Self::Integer(whole) => Some(*whole as f64),
+            Self::Integer(integer) => Some(*integer as f64),
             Self::Float(number) => Some(*number),
             _ => None,
         }
     }
 
+    /// Converts to a `serde_json` value.
     pub fn to_json(&self) -> serde_json::Value {
         use serde_json::Value;
         match self {
             Self::Null => Value::Null,
-            Self::Bool(yes) => Value::Bool(*yes),
-            Self::Integer(whole) => (*whole).into(),
+            Self::Bool(value) => Value::Bool(*value),
+            Self::Integer(integer) => (*integer).into(),
             Self::Float(number) => (*number).into(),
             Self::String(text) => text.as_str().into(),
             Self::Array(items) => items.iter().map(Self::to_json).collect(),
@@ -124,34 +138,34 @@
 }
 
 impl<'de> Deserialize<'de> for JsonValue {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        from.deserialize_any(Reader)
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        deserializer.deserialize_any(ValueVisitor)
     }
 }
 
-struct Reader;
+struct ValueVisitor;
 
-impl<'de> Visitor<'de> for Reader {
+impl<'de> Visitor<'de> for ValueVisitor {
     type Value = JsonValue;
 
-    fn expecting(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        to.write_str("JSON")
+    fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str("JSON")
     }
 
     fn visit_unit<E>(self) -> Result<JsonValue, E> {
         Ok(JsonValue::Null)
     }
 
-    fn visit_bool<E>(self, yes: bool) -> Result<JsonValue, E> {
-        Ok(JsonValue::Bool(yes))
+    fn visit_bool<E>(self, value: bool) -> Result<JsonValue, E> {
+        Ok(JsonValue::Bool(value))
     }
 
-    fn visit_i64<E>(self, whole: i64) -> Result<JsonValue, E> {
-        Ok(JsonValue::Integer(whole))
+    fn visit_i64<E>(self, integer: i64) -> Result<JsonValue, E> {
+        Ok(JsonValue::Integer(integer))
     }
 
-    fn visit_u64<E>(self, whole: u64) -> Result<JsonValue, E> {
-        Ok(i64::try_from(whole).map_or(JsonValue::Float(whole as f64), JsonValue::Integer))
+    fn visit_u64<E>(self, integer: u64) -> Result<JsonValue, E> {
+        Ok(i64::try_from(integer).map_or(JsonValue::Float(integer as f64), JsonValue::Integer))
     }
 
     fn visit_f64<E: Error>(self, number: f64) -> Result<JsonValue, E> {
@@ -166,18 +180,18 @@
         Ok(JsonValue::String(text.into()))
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut from: A) -> Result<JsonValue, A::Error> {
+    fn visit_seq<A: SeqAccess<'de>>(self, mut access: A) -> Result<JsonValue, A::Error> {
         let mut items = Vec::new();
-        while let Some(item) = from.next_element()? {
+        while let Some(item) = access.next_element()? {
             items.push(item);
         }
         Ok(JsonValue::Array(items))
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut from: A) -> Result<JsonValue, A::Error> {
+    fn visit_map<A: MapAccess<'de>>(self, mut access: A) -> Result<JsonValue, A::Error> {
         let mut fields = Vec::new();
         let mut names = std::collections::BTreeSet::new();
-        while let Some((name, node)) = from.next_entry::<String, JsonValue>()? {
+        while let Some((name, node)) = access.next_entry::<String, JsonValue>()? {
             if !names.insert(name.clone()) {
                 return Err(A::Error::custom(format!("Duplicate field '{name}'")));
             }
@@ -193,15 +207,15 @@
     use crate::ErrorKind;
     use test_case::test_case;
 
-    #[test_case(br#"{"a":1,"a":2}"#, "Duplicate field 'a'"; "a name twice")]
-    #[test_case(br#"{"a":{"b":1,"c":[{"d":1,"d":1}]}}"#, "Duplicate field 'd'"; "a name twice, deep down")]
-    #[test_case(b"1e999", "out of range"; "beyond f64")]
-    #[test_case(b"{\"a\":", "EOF"; "cut short")]
+    #[test_case(br#"{"a":1,"a":2}"#, "Duplicate field 'a'"; "a duplicate key")]
+    #[test_case(br#"{"a":{"b":1,"c":[{"d":1,"d":1}]}}"#, "Duplicate field 'd'"; "a nested duplicate key")]
+    #[test_case(b"1e999", "out of range"; "a number out of range")]
+    #[test_case(b"{\"a\":", "EOF"; "truncated")]
     #[test_case(b"{} {}", "trailing"; "more than one value")]
-    #[test_case(&[b'['; 200], "recursion limit"; "too deep")]
-    #[test_case(b"\"\xff\"", "invalid"; "no UTF-8")]
-    fn what_readers_differ_on_is_refused(bytes: &[u8], says: &str) {
-        let fault = JsonValue::parse(bytes).unwrap_err();
-        assert!(fault.kind == ErrorKind::Parsing && fault.reason.contains(says), "{}", fault.reason);
+    #[test_case(&[b'['; 200], "recursion limit"; "nested too deeply")]
+    #[test_case(b"\"\xff\"", "invalid"; "invalid UTF-8")]
+    fn ambiguous_or_invalid_json_is_rejected(bytes: &[u8], message: &str) {
+        let error = JsonValue::parse(bytes).unwrap_err();
+        assert!(error.kind == ErrorKind::Parsing && error.reason.contains(message), "{}", error.reason);
     }
 }
