--- a/crates/dialect/src/aggregation.rs
+++ b/crates/dialect/src/aggregation.rs
@@ -73,12 +73,12 @@
     Terms(TermBuckets),
 }
 
-/// The most frequent values that shards reported. A value that a shard did not report has at most `max_unreported`
-/// documents there.
+/// The most frequent values that shards reported. A value that a shard did not report has at most
+/// `max_unreported` documents there.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TermBuckets {
-    /// The document count of each value, and the upper bound of its error: how many more documents it may have on
-    /// shards that did not report it.
+    /// The document count of each value, and the upper bound of its error: how many more documents it may
+    /// have on shards that did not report it.
     counts: BTreeMap<BucketKey, (u64, u64)>,
     /// The number of documents whose values a shard did not report.
     other_docs: u64,
@@ -94,7 +94,8 @@
 }
 
 impl TermBuckets {
-    /// Builds the buckets of one shard from what it reported, most frequent first; `complete` if it reported all values.
+    /// Builds the buckets of one shard from what it reported, most frequent first; `complete` if it reported
+    /// all values.
     pub fn from_shard(reported: Vec<(BucketKey, u64)>, other_docs: u64, complete: bool) -> Self {
         let max_unreported =
             if complete { 0 } else { reported.iter().map(|(_, count)| *count).min().unwrap_or(0) };
@@ -133,8 +134,8 @@
 
 impl PartialAggregation {
     /// The result of a shard without matching documents.
-    pub fn empty(of: &Aggregation) -> Self {
-        match of {
+    pub fn empty(aggregation: &Aggregation) -> Self {
+        match aggregation {
             Aggregation::ValueCount(_) => Self::ValueCount(0),
             Aggregation::Min(_) => Self::Min(None),
             Aggregation::Max(_) => Self::Max(None),
@@ -144,7 +145,8 @@
         }
     }
 
-    /// Merges another shard's result. Returns false, and changes nothing, if it belongs to another kind of aggregation.
+    /// Merges another shard's result. Returns false, and changes nothing, if it belongs to another kind of
+    /// aggregation.
     pub fn merge(&mut self, other: Self) -> bool {
         let combine = |a: Option<f64>, b: Option<f64>, function: fn(f64, f64) -> f64| match (a, b) {
             (Some(a), Some(b)) => Some(function(a, b)),
@@ -166,8 +168,8 @@
     }
 
     /// The aggregation as it appears in a response.
-    pub fn to_json(&self, of: &Aggregation) -> Value {
-        match (self, of) {
+    pub fn to_json(&self, aggregation: &Aggregation) -> Value {
+        match (self, aggregation) {
             (Self::ValueCount(count), _) => json!({"value": count}),
             (Self::Min(value) | Self::Max(value), _) => json!({"value": value}),
             (Self::Sum(sum), _) => json!({"value": sum}),
--- a/crates/dialect/src/endpoint.rs
+++ b/crates/dialect/src/endpoint.rs
@@ -45,7 +45,7 @@
     "rest_total_hits_as_int",
     "ignore_unavailable",
 ];
-/// Upper bound on the parameters of one target.
+/// Maximum number of query parameters; more than any listing of shards needs.
 const MAX_PARAMETERS: usize = 32;
 
 /// Parses a target and checks that the endpoint supports the method and every parameter.
@@ -109,7 +109,8 @@
     }
 }
 
-/// Checks the name of a single index. Patterns and lists are rejected because one request would become several scans.
+/// Checks the name of a single index. Patterns and lists are rejected because one request would become
+/// several scans.
 fn check_index_name(name: &str) -> Result<&str, ApiError> {
     let is_allowed =
         |letter: char| letter.is_ascii_lowercase() || letter.is_ascii_digit() || "-_.".contains(letter);
@@ -163,7 +164,8 @@
     String::from_utf8(bytes).map_err(|_| invalid())
 }
 
-/// Parses a `preference` of the form `_shards:1,4` into sorted shard numbers; `None` if there is no preference.
+/// Parses a `preference` of the form `_shards:1,4` into sorted shard numbers; `None` if there is no
+/// preference.
 pub fn preferred_shards(parameters: &Parameters) -> Result<Option<Vec<u32>>, ApiError> {
     let Some((_, value)) = parameters.iter().find(|(name, _)| name == "preference") else { return Ok(None) };
     let Some(list) = value.strip_prefix("_shards:") else {
@@ -184,8 +186,8 @@
 /// Maximum number of searches in one `_msearch` body.
 pub const MAX_MULTI_SEARCH_ITEMS: usize = 100;
 
-/// Parses an `_msearch` body: pairs of lines, each a header and a search. An invalid pair does not affect the others;
-/// the whole body is rejected only if it cannot be split into pairs or has too many of them.
+/// Parses an `_msearch` body: pairs of lines, each a header and a search. An invalid pair does not affect the
+/// others; the whole body is rejected only if it cannot be split into pairs or has too many of them.
 pub fn parse_multi_search(body: &[u8]) -> Result<Vec<MultiSearchItem>, ApiError> {
     if !body.ends_with(b"\n") {
         return Err(ApiError::illegal_argument("The msearch request must be terminated by a newline [\\n]"));
--- a/crates/dialect/src/json.rs
+++ b/crates/dialect/src/json.rs
@@ -1,5 +1,6 @@
-//! JSON values, parsed by `serde_json` within its own recursion limit. Objects with duplicate keys are rejected, since
-//! parsers differ in which of the values they use, and so are numbers that are out of range for an `f64`.
+//! JSON values, parsed by `serde_json` within its own recursion limit. Objects with duplicate keys are
+//! rejected, since parsers differ in which of the values they use, and so are numbers that are out of range
+//! for an `f64`.
 
 use crate::ApiError;
 use serde::de::{Deserialize, Deserializer, Error, MapAccess, SeqAccess, Visitor};
--- a/crates/dialect/src/query.rs
+++ b/crates/dialect/src/query.rs
@@ -1,5 +1,5 @@
-//! Parses the supported subset of the query language. Anything else is rejected by name and never ignored, because a
-//! clause that is left out of a search changes its result.
+//! Parses the supported subset of the query language. Anything else is rejected by name and never ignored,
+//! because a clause that is left out of a search changes its result.
 
 use crate::{ApiError, JsonValue};
 
@@ -109,7 +109,8 @@
     }
 }
 
-/// Splits a text into terms: runs of letters and digits, in lower case. The stand-in index uses the same tokenizer.
+/// Splits a text into terms: runs of letters and digits, in lower case. The stand-in index uses the same
+/// tokenizer.
 pub fn tokenize(text: &str) -> Vec<String> {
     let word = |word: &str| (!word.is_empty()).then(|| word.to_lowercase());
     text.split(|character: char| !character.is_alphanumeric()).filter_map(word).collect()
--- a/crates/dialect/src/request.rs
+++ b/crates/dialect/src/request.rs
@@ -190,8 +190,8 @@
 }
 
 impl Edit {
-    /// The shard of the document, out of `shards`: the 32-bit MurmurHash3 (seed 0) of the routing value, scaled to the
-    /// number of shards.
+    /// The shard of the document, out of `shards`: the 32-bit MurmurHash3 (seed 0) of the routing value,
+    /// scaled to the number of shards.
     pub fn shard(&self, shards: u32) -> u32 {
         let hash = murmur3::murmur3_32(&mut std::io::Cursor::new(self.routing.as_bytes()), 0).unwrap_or(0);
         ((u64::from(hash) * u64::from(shards)) >> 32) as u32
--- a/crates/dialect/src/shard_request.rs
+++ b/crates/dialect/src/shard_request.rs
@@ -6,8 +6,8 @@
 use fernglade::Span;
 use serde_json::{json, Map, Value};
 
-/// Returns the target and the body of the request for one shard. The node returns its best hits from the first one on:
-/// which of them belong to the requested page is known only once all shards have answered.
+/// Returns the target and the body of the request for one shard. The node returns its best hits from the
+/// first one on: which of them belong to the requested page is known only once all shards have answered.
 pub fn shard_request(index: &str, search: &Search, shard: u32, time_left: Span) -> (String, Vec<u8>) {
     let millis = (time_left.micros() / 1000).max(1);
     let target = format!(
@@ -108,7 +108,8 @@
         Aggregation::Min(field) => json!({"min": {"field": field}}),
         Aggregation::Max(field) => json!({"max": {"field": field}}),
         Aggregation::Sum(field) => json!({"sum": {"field": field}}),
-        // An average of averages would be wrong, so nodes also return the count that each average was computed from.
+        // An average of averages would be wrong, so nodes also return the count that each average was
+        // computed from.
         Aggregation::Avg(field) => json!({"avg": {"field": field}}),
         Aggregation::Terms { field, size, shard_size } => {
             json!({"terms": {"field": field, "size": size, "shard_size": shard_size}})
--- a/crates/dialect/tests/merge.rs
+++ b/crates/dialect/tests/merge.rs
@@ -1,4 +1,5 @@
-//! The merge against an oracle that has all of it at once, and readers on any bytes.
+//! Compares the merge with a reference implementation that has all hits at once, and feeds arbitrary bytes to
+//! the parsers.
 
 use fernglade_dialect::aggregation::{Aggregation, BucketKey, PartialAggregation, TermBuckets};
 use fernglade_dialect::endpoint::{parse_multi_search, parse_target};
@@ -11,7 +12,8 @@
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-fn fixed(cases: u32) -> ProptestConfig {
+/// A configuration with a fixed seed.
+fn config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
         failure_persistence: None,
@@ -20,7 +22,7 @@
     }
 }
 
-/// A document: its id, its score in tenths, the value that is sorted by.
+/// A document: its id, its score in tenths and its sort value.
 type Document = (u16, u8, Option<i64>);
 
 fn shards() -> impl Strategy<Value = Vec<Vec<Document>>> {
@@ -38,14 +40,14 @@
     }
 }
 
-/// The order as the oracle has it, by the shortest words.
-fn sorted(search: &Search, mut all: Vec<(u32, Hit)>) -> Vec<(u32, Hit)> {
+/// The reference order of the hits.
+fn sort_hits(search: &Search, mut all: Vec<(u32, Hit)>) -> Vec<(u32, Hit)> {
     let key = |hit: &Hit| match hit.sort {
         Some(JsonValue::Integer(at)) => Some(at),
         _ => None,
     };
     all.sort_by(|(shard_a, a), (shard_b, b)| {
-        let first = match search.sort.key {
+        let by_key = match search.sort.key {
             SortKey::Score => b.score.unwrap().total_cmp(&a.score.unwrap()),
             SortKey::Field(_) => match (key(a), key(b)) {
                 (Some(a), Some(b)) if search.sort.ascending => a.cmp(&b),
@@ -53,92 +55,93 @@
                 (a, b) => a.is_none().cmp(&b.is_none()),
             },
         };
-        first.then(shard_a.cmp(shard_b)).then_with(|| a.id.cmp(&b.id))
+        by_key.then(shard_a.cmp(shard_b)).then_with(|| a.id.cmp(&b.id))
     });
     all
 }
 
-/// What a shard gives: its documents by id, the best of them, as many as it is asked for.
-fn answer(search: &Search, shard: u32, documents: &[Document]) -> ShardResult {
+/// The result of a shard: the best of its distinct documents, at most as many as requested.
+fn shard_result(search: &Search, shard: u32, documents: &[Document]) -> ShardResult {
     let by_id: BTreeMap<String, Hit> = documents.iter().map(hit).map(|hit| (hit.id.clone(), hit)).collect();
     let total = by_id.len() as u64;
-    let all = sorted(search, by_id.into_values().map(|hit| (shard, hit)).collect());
+    let all = sort_hits(search, by_id.into_values().map(|hit| (shard, hit)).collect());
     let hits = all.into_iter().take(search.window()).map(|(_, hit)| hit).collect();
     ShardResult { hits, total, ..ShardResult::default() }
 }
 
 proptest! {
-    #![proptest_config(fixed(300))]
+    #![proptest_config(config(300))]
 
-    /// The same hits in the same order as one who has all of them would give, whichever shard comes first; no id
-    /// twice; and no more held than may be given.
+    /// The merge returns the same hits in the same order as the reference, whichever shard answers first. No
+    /// id appears twice, and no more hits are held than the result window allows.
     #[test]
-    fn the_best_of_all_shards_are_given(
-        shards in shards(), from in 0usize..20, size in 0usize..20, by in 0u8..3, back in any::<bool>(),
+    fn the_best_hits_of_all_shards_are_returned(
+        shards in shards(), from in 0usize..20, size in 0usize..20, sort_kind in 0u8..3, reversed in any::<bool>(),
     ) {
-        let order = match by {
+        let order = match sort_kind {
             0 => Sort::default(),
-            _ => Sort { key: SortKey::Field("at".into()), ascending: by == 1 },
+            _ => Sort { key: SortKey::Field("at".into()), ascending: sort_kind == 1 },
         };
         let search = Search { from, size, sort: order, track_total_hits: TrackTotalHits::Exact, ..Search::default() };
-        let answers: Vec<(u32, ShardResult)> = (0..).zip(&shards).map(|(n, all)| (n, answer(&search, n, all))).collect();
+        let results: Vec<(u32, ShardResult)> = (0..).zip(&shards).map(|(n, all)| (n, shard_result(&search, n, all))).collect();
         let mut merge = Merger::new(&search);
-        let mut coming = answers.clone();
-        if back {
-            coming.reverse();
+        let mut in_order_of_arrival = results.clone();
+        if reversed {
+            in_order_of_arrival.reverse();
         }
-        for (shard, found) in coming {
+        for (shard, found) in in_order_of_arrival {
             prop_assert!(merge.add_shard(shard, found.clone()));
-            prop_assert!(!merge.add_shard(shard, found), "a shard counts once");
+            prop_assert!(!merge.add_shard(shard, found), "a shard is added once");
             prop_assert!(merge.held_hits() <= search.window());
         }
-        let all = answers.iter().flat_map(|(shard, found)| found.hits.iter().map(|hit| (*shard, hit.clone())));
+        let all = results.iter().flat_map(|(shard, found)| found.hits.iter().map(|hit| (*shard, hit.clone())));
         let mut expected: Vec<Hit> = Vec::new();
-        for (_, hit) in sorted(&search, all.collect()) {
-            if expected.iter().all(|known| known.id != hit.id) {
+        for (_, hit) in sort_hits(&search, all.collect()) {
+            if expected.iter().all(|other| other.id != hit.id) {
                 expected.push(hit);
             }
         }
         let expected: Vec<String> = expected.into_iter().skip(from).take(size).map(|hit| hit.id).collect();
         let found = merge.finish(true);
-        let given: Vec<String> = found.hits.iter().map(|hit| hit.id.clone()).collect();
-        prop_assert_eq!(given, expected);
-        let sum: u64 = answers.iter().map(|(_, found)| found.total).sum();
+        let actual: Vec<String> = found.hits.iter().map(|hit| hit.id.clone()).collect();
+        prop_assert_eq!(actual, expected);
+        let sum: u64 = results.iter().map(|(_, found)| found.total).sum();
         prop_assert!(found.total.unwrap() <= sum && !found.total_is_lower_bound);
     }
 
-    /// Each bucket's true count lies between what is told and that plus the error it owes.
+    /// The true count of each bucket lies between the reported count and that count plus the reported error
+    /// bound.
     #[test]
-    fn buckets_owe_no_more_than_they_say(
+    fn bucket_counts_stay_within_their_error_bounds(
         shards in proptest::collection::vec(proptest::collection::btree_map(0i64..12, 1u64..50, 0..12), 1..6),
-        told in 1usize..6,
+        shard_size in 1usize..6,
     ) {
-        let of = Aggregation::Terms { field: "lang".into(), size: 12, shard_size: told };
-        let mut all = PartialAggregation::empty(&of);
-        let mut truth: BTreeMap<i64, u64> = BTreeMap::new();
+        let aggregation = Aggregation::Terms { field: "lang".into(), size: 12, shard_size };
+        let mut all = PartialAggregation::empty(&aggregation);
+        let mut true_counts: BTreeMap<i64, u64> = BTreeMap::new();
         for shard in &shards {
-            shard.iter().for_each(|(key, count)| *truth.entry(*key).or_default() += count);
+            shard.iter().for_each(|(key, count)| *true_counts.entry(*key).or_default() += count);
             let mut by_count: Vec<(BucketKey, u64)> = shard.iter().map(|(key, count)| (BucketKey::Integer(*key), *count)).collect();
             by_count.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
-            let whole = by_count.len() <= told;
-            let others = by_count.iter().skip(told).map(|(_, count)| count).sum();
-            by_count.truncate(told);
-            prop_assert!(all.merge(PartialAggregation::Terms(TermBuckets::from_shard(by_count, others, whole))));
+            let complete = by_count.len() <= shard_size;
+            let other_docs = by_count.iter().skip(shard_size).map(|(_, count)| count).sum();
+            by_count.truncate(shard_size);
+            prop_assert!(all.merge(PartialAggregation::Terms(TermBuckets::from_shard(by_count, other_docs, complete))));
         }
-        let written = all.to_json(&of);
+        let written = all.to_json(&aggregation);
         let mut sum = written["sum_other_doc_count"].as_u64().unwrap();
         for bucket in written["buckets"].as_array().unwrap() {
             let (count, error) = (bucket["doc_count"].as_u64().unwrap(), bucket["doc_count_error_upper_bound"].as_u64().unwrap());
-            let really = truth[&bucket["key"].as_i64().unwrap()];
-            prop_assert!(count <= really && really <= count + error, "{count} {really} {error}");
+            let true_count = true_counts[&bucket["key"].as_i64().unwrap()];
+            prop_assert!(count <= true_count && true_count <= count + error, "{count} {true_count} {error}");
             sum += count;
         }
-        prop_assert_eq!(sum, truth.values().sum::<u64>(), "what is told and what is not add up");
+        prop_assert_eq!(sum, true_counts.values().sum::<u64>(), "reported and other documents add up to all documents");
     }
 
-    /// Whatever comes: a value or a fault, and no panic.
+    /// Every parser returns a value or an error for arbitrary bytes and never panics.
     #[test]
-    fn readers_take_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..300), text in "[ -~]{0,80}") {
+    fn parsers_accept_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..300), text in "[ -~]{0,80}") {
         let _ = JsonValue::parse(&bytes);
         let _ = Search::parse(&bytes);
         let _ = parse_multi_search(&bytes);
@@ -151,9 +154,9 @@
         let _ = parse_target("GET", &text);
     }
 
-    /// A search cut short anywhere is a fault.
+    /// A search that is truncated anywhere is an error.
     #[test]
-    fn a_search_cut_short_is_refused(cut in 1usize..100) {
+    fn a_truncated_search_is_rejected(cut in 1usize..100) {
         let text = br#"{"query":{"bool":{"must":[{"match":{"cue":"hola"}}],"filter":{"range":{"at":{"gte":3}}}}},"size":7}"#;
         prop_assume!(cut < text.len());
         prop_assert!(Search::parse(&text[..cut]).is_err());
@@ -162,32 +165,32 @@
 }
 
 #[test]
-fn an_answer_of_another_shape_is_no_answer() {
+fn a_result_that_does_not_match_the_search_is_rejected() {
     let search = Search::parse(br#"{"size":1,"aggs":{"n":{"value_count":{"field":"at"}}}}"#).unwrap();
     let document = (1, 1, None);
-    let part = |part| vec![("n".to_string(), part)];
-    let sound = ShardResult {
+    let aggregations = |partial| vec![("n".to_string(), partial)];
+    let valid = ShardResult {
         hits: vec![hit(&document)],
         total: 1,
-        aggregations: part(PartialAggregation::ValueCount(1)),
+        aggregations: aggregations(PartialAggregation::ValueCount(1)),
         ..ShardResult::default()
     };
-    let other = |change: fn(&mut ShardResult)| {
-        let mut found = sound.clone();
+    let changed = |change: fn(&mut ShardResult)| {
+        let mut found = valid.clone();
         change(&mut found);
         found
     };
     let mut merge = Merger::new(&search);
     assert!(
-        !merge.add_shard(0, other(|found| found.hits.push(hit(&(2, 1, None))))),
-        "more hits than asked for"
+        !merge.add_shard(0, changed(|found| found.hits.push(hit(&(2, 1, None))))),
+        "more hits than requested"
     );
-    assert!(!merge.add_shard(0, other(|found| found.total = 0)), "fewer in all than it gives");
-    assert!(!merge.add_shard(0, other(|found| found.aggregations.clear())), "no aggregation");
+    assert!(!merge.add_shard(0, changed(|found| found.total = 0)), "a total below the number of hits");
+    assert!(!merge.add_shard(0, changed(|found| found.aggregations.clear())), "a missing aggregation");
     assert!(
-        !merge.add_shard(0, other(|found| found.aggregations[0].1 = PartialAggregation::Sum(1.0))),
-        "another's"
+        !merge.add_shard(0, changed(|found| found.aggregations[0].1 = PartialAggregation::Sum(1.0))),
+        "another kind of aggregation"
     );
-    assert!(merge.add_shard(0, sound.clone()));
-    assert_eq!(merge.finish(true).aggregations, part(PartialAggregation::ValueCount(1)));
+    assert!(merge.add_shard(0, valid.clone()));
+    assert_eq!(merge.finish(true).aggregations, aggregations(PartialAggregation::ValueCount(1)));
 }
