--- a/crates/dialect/src/aggregation.rs
+++ b/crates/dialect/src/aggregation.rs
@@ -26,8 +26,8 @@
 
 impl Aggregation {
     /// Parses the definition of one aggregation.
-    pub fn parse(node: &JsonValue) -> Result<Self, ApiError> {
-        let (name, body) = node.single_field("aggs")?;
+    pub fn parse(json: &JsonValue) -> Result<Self, ApiError> {
+        let (name, body) = json.single_field("aggs")?;
         let field = || {
             let field =
                 body.get("field").ok_or_else(|| ApiError::parsing(format!("[{name}] requires [field]")))?;
@@ -46,7 +46,7 @@
             "terms" => {
                 reject_unknown_fields(body, name, &["field", "size", "shard_size"])?;
                 let count =
-                    |name: &str, default: usize| body.get(name).map_or(Ok(default), |node| node.count(name));
+                    |name: &str, default: usize| body.get(name).map_or(Ok(default), |json| json.count(name));
                 let size = count("size", 10)?;
                 // The default of OpenSearch: 1.5 * size + 10.
                 let shard_size = count("shard_size", size + size / 2 + 10)?.max(size);
--- a/crates/dialect/src/json.rs
+++ b/crates/dialect/src/json.rs
@@ -28,7 +28,7 @@
     /// The field of that name, if this is an object that has it.
     pub fn get(&self, name: &str) -> Option<&JsonValue> {
         match self {
-            Self::Object(fields) => fields.iter().find(|(key, _)| key == name).map(|(_, node)| node),
+            Self::Object(fields) => fields.iter().find(|(key, _)| key == name).map(|(_, json)| json),
             _ => None,
         }
     }
@@ -61,7 +61,7 @@
     /// The field of an object that has exactly one.
     pub fn single_field(&self, context: &str) -> Result<(&str, &JsonValue), ApiError> {
         match self.object(context)? {
-            [(name, node)] => Ok((name, node)),
+            [(name, json)] => Ok((name, json)),
             fields => {
                 Err(ApiError::parsing(format!("[{context}] expects one field, but has {}", fields.len())))
             }
@@ -132,7 +132,7 @@
             Self::String(text) => text.as_str().into(),
             Self::Array(items) => items.iter().map(Self::to_json).collect(),
             Self::Object(fields) => {
-                Value::Object(fields.iter().map(|(name, node)| (name.clone(), node.to_json())).collect())
+                Value::Object(fields.iter().map(|(name, json)| (name.clone(), json.to_json())).collect())
             }
         }
     }
@@ -192,11 +192,11 @@
     fn visit_map<A: MapAccess<'de>>(self, mut access: A) -> Result<JsonValue, A::Error> {
         let mut fields = Vec::new();
         let mut names = std::collections::BTreeSet::new();
-        while let Some((name, node)) = access.next_entry::<String, JsonValue>()? {
+        while let Some((name, json)) = access.next_entry::<String, JsonValue>()? {
             if !names.insert(name.clone()) {
                 return Err(A::Error::custom(format!("Duplicate field '{name}'")));
             }
-            fields.push((name, node));
+            fields.push((name, json));
         }
         Ok(JsonValue::Object(fields))
     }
--- a/crates/dialect/src/merge.rs
+++ b/crates/dialect/src/merge.rs
@@ -50,7 +50,7 @@
 /// direction.
 fn compare_sort_values(a: &Option<JsonValue>, b: &Option<JsonValue>, ascending: bool) -> Ordering {
     let directed = |order: Ordering| if ascending { order } else { order.reverse() };
-    let type_rank = |node: &Option<JsonValue>| match node {
+    let type_rank = |json: &Option<JsonValue>| match json {
         Some(JsonValue::Integer(_) | JsonValue::Float(_)) => 0,
         Some(JsonValue::String(_)) => 1,
         Some(JsonValue::Bool(_)) => 2,
--- a/crates/dialect/src/query.rs
+++ b/crates/dialect/src/query.rs
@@ -53,17 +53,17 @@
 
 impl Query {
     /// Parses a query; rejects one with more than [`MAX_CLAUSES`] clauses.
-    pub fn parse(node: &JsonValue) -> Result<Self, ApiError> {
+    pub fn parse(json: &JsonValue) -> Result<Self, ApiError> {
         let mut clauses_left = MAX_CLAUSES;
-        Self::parse_bounded(node, &mut clauses_left)
+        Self::parse_bounded(json, &mut clauses_left)
     }
 
     /// Parses a query and its nested clauses, each of which counts against `clauses_left`.
-    fn parse_bounded(node: &JsonValue, clauses_left: &mut usize) -> Result<Self, ApiError> {
+    fn parse_bounded(json: &JsonValue, clauses_left: &mut usize) -> Result<Self, ApiError> {
         *clauses_left = clauses_left.checked_sub(1).ok_or_else(|| {
             ApiError::illegal_argument(format!("too many clauses in the query: {MAX_CLAUSES} are the most"))
         })?;
-        let (name, body) = node.single_field("query")?;
+        let (name, body) = json.single_field("query")?;
         match name {
             "match_all" => reject_unknown_fields(body, name, &[]).map(|()| Self::MatchAll),
             "match" => parse_match(body),
@@ -92,18 +92,18 @@
 }
 
 /// Rejects an object that has a field other than the known ones; `context` names it in the error.
-pub fn reject_unknown_fields(node: &JsonValue, context: &str, known: &[&str]) -> Result<(), ApiError> {
-    match node.object(context)?.iter().find(|(name, _)| !known.contains(&name.as_str())) {
+pub fn reject_unknown_fields(json: &JsonValue, context: &str, known: &[&str]) -> Result<(), ApiError> {
+    match json.object(context)?.iter().find(|(name, _)| !known.contains(&name.as_str())) {
         Some((name, _)) => Err(ApiError::parsing(format!("[{context}] unknown field [{name}]"))),
         None => Ok(()),
     }
 }
 
 /// Accepts a boolean, a number or a string.
-fn parse_scalar(node: &JsonValue, context: &str) -> Result<JsonValue, ApiError> {
-    match node {
+fn parse_scalar(json: &JsonValue, context: &str) -> Result<JsonValue, ApiError> {
+    match json {
         JsonValue::Array(_) | JsonValue::Object(_) | JsonValue::Null => {
-            Err(ApiError::parsing(format!("[{context}] expects a plain value, but is {}", node.type_name())))
+            Err(ApiError::parsing(format!("[{context}] expects a plain value, but is {}", json.type_name())))
         }
         scalar => Ok(scalar.clone()),
     }
@@ -159,8 +159,8 @@
     reject_unknown_fields(body, "bool", &["must", "filter", "should", "must_not", "minimum_should_match"])?;
     let mut parse_list = |name: &str| match body.get(name) {
         None => Ok(Vec::new()),
-        Some(node) => {
-            node.one_or_more().iter().map(|node| Query::parse_bounded(node, clauses_left)).collect()
+        Some(json) => {
+            json.one_or_more().iter().map(|json| Query::parse_bounded(json, clauses_left)).collect()
         }
     };
     let (must, filter) = (parse_list("must")?, parse_list("filter")?);
@@ -168,7 +168,7 @@
     // As in OpenSearch: without `must` or `filter`, at least one `should` clause has to match.
     let default = usize::from(!should.is_empty() && must.is_empty() && filter.is_empty());
     let minimum_should_match =
-        body.get("minimum_should_match").map_or(Ok(default), |node| node.count("minimum_should_match"))?;
+        body.get("minimum_should_match").map_or(Ok(default), |json| json.count("minimum_should_match"))?;
     Ok(BoolQuery { must, filter, should, must_not, minimum_should_match })
 }
 
--- a/crates/dialect/src/request.rs
+++ b/crates/dialect/src/request.rs
@@ -150,19 +150,19 @@
 fn parse_count(body: &[u8]) -> Result<Search, ApiError> {
     let mut search = Search { size: 0, track_total_hits: TrackTotalHits::Exact, ..Search::default() };
     if !body.iter().all(u8::is_ascii_whitespace) {
-        let node = JsonValue::parse(body)?;
-        reject_unknown_fields(&node, "count", &["query"])?;
-        search.query = Search::from_json(&node)?.query;
+        let json = JsonValue::parse(body)?;
+        reject_unknown_fields(&json, "count", &["query"])?;
+        search.query = Search::from_json(&json)?.query;
     }
     Ok(search)
 }
 
 /// Parses the body of `_update` and returns the partial document.
 fn parse_update(body: &[u8]) -> Result<serde_json::Value, ApiError> {
-    let node = JsonValue::parse(body)?;
+    let json = JsonValue::parse(body)?;
     // Scripts and upserts depend on the stored document, so a second run cannot be told from the first.
-    reject_unknown_fields(&node, "update", &["doc"])?;
-    let document = node.get("doc").ok_or_else(|| ApiError::parsing("[update] requires [doc]"))?;
+    reject_unknown_fields(&json, "update", &["doc"])?;
+    let document = json.get("doc").ok_or_else(|| ApiError::parsing("[update] requires [doc]"))?;
     document.object("doc")?;
     Ok(document.to_json())
 }
--- a/crates/dialect/src/search.rs
+++ b/crates/dialect/src/search.rs
@@ -97,7 +97,7 @@
     pub fn from_json(body: &JsonValue) -> Result<Self, ApiError> {
         reject_unknown_fields(body, "search", &KNOWN_FIELDS)?;
         let default = Self::default();
-        let count = |name: &str, default: usize| body.get(name).map_or(Ok(default), |node| node.count(name));
+        let count = |name: &str, default: usize| body.get(name).map_or(Ok(default), |json| json.count(name));
         let search = Self {
             query: body.get("query").map_or(Ok(Query::MatchAll), Query::parse)?,
             from: count("from", default.from)?,
@@ -107,7 +107,7 @@
             track_total_hits: body
                 .get("track_total_hits")
                 .map_or(Ok(default.track_total_hits), parse_track_total_hits)?,
-            timeout: body.get("timeout").map(|node| parse_timeout(node.text("timeout")?)).transpose()?,
+            timeout: body.get("timeout").map(|json| parse_timeout(json.text("timeout")?)).transpose()?,
             aggregations: parse_aggregations(body)?,
         };
         search.validate()
@@ -162,8 +162,8 @@
 }
 
 /// Parses `sort`: `_score` or one field, with an optional direction.
-fn parse_sort(node: &JsonValue) -> Result<Sort, ApiError> {
-    let [entry] = node.one_or_more() else {
+fn parse_sort(json: &JsonValue) -> Result<Sort, ApiError> {
+    let [entry] = json.one_or_more() else {
         return Err(ApiError::illegal_argument("[sort] takes _score or one field here"));
     };
     let (name, direction) = match entry {
@@ -192,8 +192,8 @@
 }
 
 /// Parses `_source`: a boolean, a field name, a list of names or an object with `includes` and `excludes`.
-fn parse_source_filter(node: &JsonValue) -> Result<SourceFilter, ApiError> {
-    let names = |node: &JsonValue| {
+fn parse_source_filter(json: &JsonValue) -> Result<SourceFilter, ApiError> {
+    let names = |json: &JsonValue| {
         let name = |name: &JsonValue| {
             let name = name.text("_source")?;
             match name.trim_end_matches('*').contains('*') {
@@ -203,9 +203,9 @@
                 false => Ok(name.to_string()),
             }
         };
-        node.one_or_more().iter().map(name).collect::<Result<Vec<_>, _>>()
+        json.one_or_more().iter().map(name).collect::<Result<Vec<_>, _>>()
     };
-    match node {
+    match json {
         JsonValue::Bool(true) => Ok(SourceFilter::All),
         JsonValue::Bool(false) => Ok(SourceFilter::Excluded),
         JsonValue::String(text) => {
@@ -213,8 +213,8 @@
             Ok(SourceFilter::Filtered { includes: names(&JsonValue::Array(fields))?, excludes: Vec::new() })
         }
         JsonValue::Object(_) => {
-            reject_unknown_fields(node, "_source", &["includes", "excludes"])?;
-            let parse = |name: &str| node.get(name).map_or(Ok(Vec::new()), names);
+            reject_unknown_fields(json, "_source", &["includes", "excludes"])?;
+            let parse = |name: &str| json.get(name).map_or(Ok(Vec::new()), names);
             Ok(SourceFilter::Filtered { includes: parse("includes")?, excludes: parse("excludes")? })
         }
         list => Ok(SourceFilter::Filtered { includes: names(list)?, excludes: Vec::new() }),
@@ -245,11 +245,11 @@
 }
 
 /// Parses `track_total_hits`: a boolean or an upper bound.
-fn parse_track_total_hits(node: &JsonValue) -> Result<TrackTotalHits, ApiError> {
-    match node {
+fn parse_track_total_hits(json: &JsonValue) -> Result<TrackTotalHits, ApiError> {
+    match json {
         JsonValue::Bool(true) => Ok(TrackTotalHits::Exact),
         JsonValue::Bool(false) => Ok(TrackTotalHits::Disabled),
-        node => node.count("track_total_hits").map(TrackTotalHits::UpTo),
+        json => json.count("track_total_hits").map(TrackTotalHits::UpTo),
     }
 }
 
@@ -267,18 +267,18 @@
 
 /// Parses `aggs` or its alias `aggregations`.
 fn parse_aggregations(body: &JsonValue) -> Result<Vec<(String, Aggregation)>, ApiError> {
-    let node = match (body.get("aggs"), body.get("aggregations")) {
+    let json = match (body.get("aggs"), body.get("aggregations")) {
         (Some(_), Some(_)) => return Err(ApiError::parsing("both [aggs] and [aggregations] are given")),
-        (Some(node), None) | (None, Some(node)) => node,
+        (Some(json), None) | (None, Some(json)) => json,
         (None, None) => return Ok(Vec::new()),
     };
-    let entries = node.object("aggs")?;
+    let entries = json.object("aggs")?;
     if entries.len() > MAX_AGGREGATIONS {
         return Err(ApiError::illegal_argument(format!(
             "too many aggregations: {MAX_AGGREGATIONS} are the most"
         )));
     }
-    let parse = |(name, node): &(String, JsonValue)| Ok((name.clone(), Aggregation::parse(node)?));
+    let parse = |(name, json): &(String, JsonValue)| Ok((name.clone(), Aggregation::parse(json)?));
     let mut aggregations = entries.iter().map(parse).collect::<Result<Vec<_>, ApiError>>()?;
     // Sorted by name so that equal searches compare equal, whatever order they list them in.
     aggregations.sort_by(|a, b| a.0.cmp(&b.0));
