--- a/crates/dialect/src/aggregation.rs
+++ b/crates/dialect/src/aggregation.rs
@@ -1,18 +1,19 @@
-//! Aggregations: what is asked of each shard, what comes back, and how shards' parts become one.
+//! Aggregations: parsing, the partial result of each shard, and how partial results are merged.
 
-use crate::query::fields;
-use crate::{Fault, Node};
+use crate::query::reject_unknown_fields;
+use crate::{ApiError, JsonValue};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A requested aggregation. Each variant holds the name of the field.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Aggregation {
-    Count(String),
-    Least(String),
-    Most(String),
+    ValueCount(String),
+    Min(String),
+    Max(String),
     Sum(String),
-    Average(String),
-    /// The commonest values of a field: so many are told, and so many asked of each shard.
+    Avg(String),
+    /// The most frequent values of a field: `size` are returned, `shard_size` are requested from each shard.
     Terms {
         field: String,
         size: usize,
@@ -20,95 +21,110 @@
     },
 }
 
-/// Buckets of one aggregation: what a shard may be asked for, and what the merge holds of each.
-pub const MOST_BUCKETS: usize = 1_000;
+/// Maximum number of buckets of one aggregation that a shard is asked for and that the merge keeps per shard.
+pub const MAX_BUCKETS: usize = 1_000;
 
 impl Aggregation {
-    pub fn read(node: &Node) -> Result<Self, Fault> {
-        let (name, body) = node.one_field("aggs")?;
+    /// Parses the definition of one aggregation.
+    pub fn parse(json: &JsonValue) -> Result<Self, ApiError> {
+        let (name, body) = json.single_field("aggs")?;
         let field = || {
             let field =
-                body.get("field").ok_or_else(|| Fault::parsing(format!("[{name}] requires [field]")))?;
+                body.get("field").ok_or_else(|| ApiError::parsing(format!("[{name}] requires [field]")))?;
             field.text("field").map(String::from)
         };
-        let plain = |make: fn(String) -> Self| {
-            fields(body, name, &["field"])?;
-            field().map(make)
+        let single_field_aggregation = |constructor: fn(String) -> Self| {
+            reject_unknown_fields(body, name, &["field"])?;
+            field().map(constructor)
         };
         match name {
-            "value_count" => plain(Self::Count),
-            "min" => plain(Self::Least),
-            "max" => plain(Self::Most),
-            "sum" => plain(Self::Sum),
-            "avg" => plain(Self::Average),
+            "value_count" => single_field_aggregation(Self::ValueCount),
+            "min" => single_field_aggregation(Self::Min),
+            "max" => single_field_aggregation(Self::Max),
+            "sum" => single_field_aggregation(Self::Sum),
+            "avg" => single_field_aggregation(Self::Avg),
             "terms" => {
-                fields(body, name, &["field", "size", "shard_size"])?;
+                reject_unknown_fields(body, name, &["field", "size", "shard_size"])?;
                 let count =
-                    |name: &str, usual: usize| body.get(name).map_or(Ok(usual), |node| node.count(name));
+                    |name: &str, default: usize| body.get(name).map_or(Ok(default), |json| json.count(name));
                 let size = count("size", 10)?;
-                // The API's own: half as many again, and ten.
+                // The default of OpenSearch: 1.5 * size + 10.
                 let shard_size = count("shard_size", size + size / 2 + 10)?.max(size);
-                if size == 0 || shard_size > MOST_BUCKETS {
-                    return Err(Fault::argument(format!(
-                        "[terms] takes 1 to {MOST_BUCKETS} buckets of a shard"
+                if size == 0 || shard_size > MAX_BUCKETS {
+                    return Err(ApiError::illegal_argument(format!(
+                        "[terms] takes 1 to {MAX_BUCKETS} buckets of a shard"
                     )));
                 }
                 Ok(Self::Terms { field: field()?, size, shard_size })
             }
-            other => Err(Fault::parsing(format!("unknown aggregation type [{other}]"))),
+            other => Err(ApiError::parsing(format!("unknown aggregation type [{other}]"))),
         }
     }
 }
 
-/// One shard's part of an aggregation, or several shards' together.
+/// The result of an aggregation on one shard, or the merged results of several.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Partial {
-    Count(u64),
-    Least(Option<f64>),
-    Most(Option<f64>),
+pub enum PartialAggregation {
+    ValueCount(u64),
+    Min(Option<f64>),
+    Max(Option<f64>),
     Sum(f64),
-    Average { sum: f64, count: u64 },
-    Terms(Buckets),
+    Avg { sum: f64, count: u64 },
+    Terms(TermBuckets),
 }
 
-/// The commonest values that a shard told of. A value it did not tell of has at most `unseen` there.
+/// The most frequent values that shards reported. A value that a shard did not report has at most
+/// `max_unreported` documents there.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Buckets {
-    /// Each value's count, and how many more it may have at shards that did not tell of it.
-    counts: BTreeMap<Key, (u64, u64)>,
-    /// Documents of values that a shard did not tell of.
-    others: u64,
-    /// The sum of what a value may have had at each shard merged so far without being told of.
-    unseen: u64,
+pub struct TermBuckets {
+    /// The document count of each value, and the upper bound of its error: how many more documents it may
+    /// have on shards that did not report it.
+    counts: BTreeMap<BucketKey, (u64, u64)>,
+    /// The number of documents whose values a shard did not report.
+    other_docs: u64,
+    /// The sum, over the shards merged so far, of the most documents that an unreported value may have.
+    max_unreported: u64,
 }
 
-/// A bucket's value; ties between counts go by it, numbers before texts.
+/// The value of a bucket. It breaks ties between counts; integers sort before strings.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Key {
-    Whole(i64),
-    Text(String),
+pub enum BucketKey {
+    Integer(i64),
+    String(String),
 }
 
-impl Buckets {
-    /// From what one shard told, the commonest first; `whole` where it told of all its values.
-    pub fn of_shard(told: Vec<(Key, u64)>, others: u64, whole: bool) -> Self {
-        let unseen = if whole { 0 } else { told.iter().map(|(_, count)| *count).min().unwrap_or(0) };
-        Self { counts: told.into_iter().map(|(key, count)| (key, (count, 0))).collect(), others, unseen }
+impl TermBuckets {
+    /// Builds the buckets of one shard from what it reported, most frequent first; `complete` if it reported
+    /// all values.
+    pub fn from_shard(reported: Vec<(BucketKey, u64)>, other_docs: u64, complete: bool) -> Self {
+        let max_unreported =
+            if complete { 0 } else { reported.iter().map(|(_, count)| *count).min().unwrap_or(0) };
+        Self {
+            counts: reported.into_iter().map(|(key, count)| (key, (count, 0))).collect(),
+            other_docs,
+            max_unreported,
+        }
     }
 
+    /// Adds the buckets of other shards; a value missing on one side counts with that side's error bound.
     fn merge(&mut self, other: Self) {
-        let keys: BTreeSet<Key> = self.counts.keys().chain(other.counts.keys()).cloned().collect();
+        let keys: BTreeSet<BucketKey> = self.counts.keys().chain(other.counts.keys()).cloned().collect();
         let mut counts = BTreeMap::new();
         for key in keys {
-            let (count, error) = self.counts.get(&key).copied().unwrap_or((0, self.unseen));
-            let (more, further) = other.counts.get(&key).copied().unwrap_or((0, other.unseen));
-            counts.insert(key, (count + more, error + further));
+            let (count, error) = self.counts.get(&key).copied().unwrap_or((0, self.max_unreported));
+            let (other_count, other_error) =
+                other.counts.get(&key).copied().unwrap_or((0, other.max_unreported));
+            counts.insert(key, (count + other_count, error + other_error));
         }
-        *self = Self { counts, others: self.others + other.others, unseen: self.unseen + other.unseen };
+        *self = Self {
+            counts,
+            other_docs: self.other_docs + other.other_docs,
+            max_unreported: self.max_unreported + other.max_unreported,
+        };
     }
 
-    /// The commonest, ties by value.
-    fn best(&self, size: usize) -> Vec<(&Key, u64, u64)> {
+    /// The most frequent values with their counts and error bounds; ties are broken by value.
+    fn top(&self, size: usize) -> Vec<(&BucketKey, u64, u64)> {
         let mut all: Vec<_> = self.counts.iter().map(|(key, (count, error))| (key, *count, *error)).collect();
         all.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(b.0)));
         all.truncate(size);
@@ -116,33 +132,34 @@
     }
 }
 
-impl Partial {
-    /// The part of a shard that had nothing.
-    pub fn empty(of: &Aggregation) -> Self {
-        match of {
-            Aggregation::Count(_) => Self::Count(0),
-            Aggregation::Least(_) => Self::Least(None),
-            Aggregation::Most(_) => Self::Most(None),
+impl PartialAggregation {
+    /// The result of a shard without matching documents.
+    pub fn empty(aggregation: &Aggregation) -> Self {
+        match aggregation {
+            Aggregation::ValueCount(_) => Self::ValueCount(0),
+            Aggregation::Min(_) => Self::Min(None),
+            Aggregation::Max(_) => Self::Max(None),
             Aggregation::Sum(_) => Self::Sum(0.0),
-            Aggregation::Average(_) => Self::Average { sum: 0.0, count: 0 },
-            Aggregation::Terms { .. } => Self::Terms(Buckets::default()),
+            Aggregation::Avg(_) => Self::Avg { sum: 0.0, count: 0 },
+            Aggregation::Terms { .. } => Self::Terms(TermBuckets::default()),
         }
     }
 
-    /// Adds another shard's. False where it is a part of another aggregation: then nothing has changed.
+    /// Merges another shard's result. Returns false, and changes nothing, if it belongs to another kind of
+    /// aggregation.
     pub fn merge(&mut self, other: Self) -> bool {
-        let pick = |a: Option<f64>, b: Option<f64>, of: fn(f64, f64) -> f64| match (a, b) {
-            (Some(a), Some(b)) => Some(of(a, b)),
+        let combine = |a: Option<f64>, b: Option<f64>, function: fn(f64, f64) -> f64| match (a, b) {
+            (Some(a), Some(b)) => Some(function(a, b)),
             (one, other) => one.or(other),
         };
         match (self, other) {
-            (Self::Count(all), Self::Count(more)) => *all += more,
-            (Self::Least(all), Self::Least(more)) => *all = pick(*all, more, f64::min),
-            (Self::Most(all), Self::Most(more)) => *all = pick(*all, more, f64::max),
+            (Self::ValueCount(all), Self::ValueCount(more)) => *all += more,
+            (Self::Min(all), Self::Min(more)) => *all = combine(*all, more, f64::min),
+            (Self::Max(all), Self::Max(more)) => *all = combine(*all, more, f64::max),
             (Self::Sum(all), Self::Sum(more)) => *all += more,
-            (Self::Average { sum, count }, Self::Average { sum: more, count: further }) => {
-                *sum += more;
-                *count += further;
+            (Self::Avg { sum, count }, Self::Avg { sum: other_sum, count: other_count }) => {
+                *sum += other_sum;
+                *count += other_count;
             }
             (Self::Terms(all), Self::Terms(more)) => all.merge(more),
             _ => return false,
@@ -150,31 +167,32 @@
         true
     }
 
-    /// As the API tells it.
-    pub fn write(&self, of: &Aggregation) -> Value {
-        match (self, of) {
-            (Self::Count(count), _) => json!({"value": count}),
-            (Self::Least(value) | Self::Most(value), _) => json!({"value": value}),
+    /// The aggregation as it appears in a response.
+    pub fn to_json(&self, aggregation: &Aggregation) -> Value {
+        match (self, aggregation) {
+            (Self::ValueCount(count), _) => json!({"value": count}),
+            (Self::Min(value) | Self::Max(value), _) => json!({"value": value}),
             (Self::Sum(sum), _) => json!({"value": sum}),
-            (Self::Average { sum, count }, _) => {
+            (Self::Avg { sum, count }, _) => {
                 json!({"value": (*count > 0).then(|| sum / *count as f64)})
             }
             (Self::Terms(buckets), Aggregation::Terms { size, .. }) => {
-                let best = buckets.best(*size);
-                let told: u64 = best.iter().map(|(_, count, _)| count).sum();
-                let all: u64 = buckets.counts.values().map(|(count, _)| count).sum();
-                let error = best.iter().map(|(.., error)| *error).max().unwrap_or(0).max(buckets.unseen);
-                let bucket = |(key, count, error): &(&Key, u64, u64)| {
+                let top = buckets.top(*size);
+                let reported_docs: u64 = top.iter().map(|(_, count, _)| count).sum();
+                let all_docs: u64 = buckets.counts.values().map(|(count, _)| count).sum();
+                let error =
+                    top.iter().map(|(.., error)| *error).max().unwrap_or(0).max(buckets.max_unreported);
+                let bucket = |(key, count, error): &(&BucketKey, u64, u64)| {
                     let key = match key {
-                        Key::Whole(whole) => json!(whole),
-                        Key::Text(text) => json!(text),
+                        BucketKey::Integer(integer) => json!(integer),
+                        BucketKey::String(text) => json!(text),
                     };
                     json!({"key": key, "doc_count": count, "doc_count_error_upper_bound": error})
                 };
                 json!({
                     "doc_count_error_upper_bound": error,
-                    "sum_other_doc_count": buckets.others + all - told,
-                    "buckets": best.iter().map(bucket).collect::<Vec<_>>(),
+                    "sum_other_doc_count": buckets.other_docs + all_docs - reported_docs,
+                    "buckets": top.iter().map(bucket).collect::<Vec<_>>(),
                 })
             }
             (Self::Terms(_), _) => Value::Null,
--- a/crates/dialect/src/fault.rs
+++ b/crates/dialect/src/error.rs
@@ -1,10 +1,10 @@
-//! What is wrong with a request or an answer, in the dialect's words.
+//! API errors: the exception type, the reason and the HTTP status code.
 
 use serde_json::{json, Value};
 
 /// Exception types, as the API names them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ErrorKind {
     Parsing,
     IllegalArgument,
     IndexNotFound,
@@ -15,8 +15,9 @@
     ProcessCluster,
 }
 
-impl Kind {
-    pub fn word(self) -> &'static str {
+impl ErrorKind {
+    /// The exception type as written in a response.
+    pub fn type_name(self) -> &'static str {
         match self {
             Self::Parsing => "parsing_exception",
             Self::IllegalArgument => "illegal_argument_exception",
@@ -29,6 +30,7 @@
         }
     }
 
+    /// The HTTP status code.
     pub fn status(self) -> u16 {
         match self {
             Self::Parsing | Self::IllegalArgument => 400,
@@ -42,30 +44,34 @@
     }
 }
 
+/// An error of the API, as reported to a client.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
-    pub kind: Kind,
+pub struct ApiError {
+    pub kind: ErrorKind,
     pub reason: String,
 }
 
-impl Fault {
-    pub fn new(kind: Kind, reason: impl Into<String>) -> Self {
+impl ApiError {
+    /// An error of the given kind.
+    pub fn new(kind: ErrorKind, reason: impl Into<String>) -> Self {
         Self { kind, reason: reason.into() }
     }
 
+    /// A `parsing_exception`.
     pub fn parsing(reason: impl Into<String>) -> Self {
-        Self::new(Kind::Parsing, reason)
+        Self::new(ErrorKind::Parsing, reason)
     }
 
-    pub fn argument(reason: impl Into<String>) -> Self {
-        Self::new(Kind::IllegalArgument, reason)
+    /// An `illegal_argument_exception`.
+    pub fn illegal_argument(reason: impl Into<String>) -> Self {
+        Self::new(ErrorKind::IllegalArgument, reason)
     }
 
-    /// The whole body of an error's answer.
+    /// The body of the error response.
     pub fn body(&self) -> Value {
-        let cause = json!({"type": self.kind.word(), "reason": self.reason});
+        let cause = json!({"type": self.kind.type_name(), "reason": self.reason});
         json!({
-            "error": {"root_cause": [cause], "type": self.kind.word(), "reason": self.reason},
+            "error": {"root_cause": [cause], "type": self.kind.type_name(), "reason": self.reason},
             "status": self.kind.status(),
         })
     }
--- a/crates/dialect/src/request.rs
+++ b/crates/dialect/src/request.rs
@@ -1,185 +1,204 @@
-//! A whole request, from method, target, headers and body.
+//! Parses a complete client request from its method, target, headers and body.
 
-use crate::endpoint::{endpoint, many, preferred, Endpoint, Line, Parameters};
-use crate::fault::{Fault, Kind};
-use crate::query::fields;
-use crate::search::{Search, Totals};
-use crate::Node;
+use crate::endpoint::{
+    parse_multi_search, parse_target, preferred_shards, Endpoint, MultiSearchItem, Parameters,
+};
+use crate::error::{ApiError, ErrorKind};
+use crate::query::reject_unknown_fields;
+use crate::search::{Search, TrackTotalHits};
+use crate::JsonValue;
 use fernglade::Span;
 use serde_json::json;
 
+/// A validated client request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    pub what: What,
-    /// The shards that are preferred, where any are.
-    pub shards: Option<Vec<u32>>,
-    /// Whether a partial answer will do; the index's word stands where nothing is said.
-    pub partial: Option<bool>,
+    pub operation: Operation,
+    /// The shards named by `preference`, if any.
+    pub preferred_shards: Option<Vec<u32>>,
+    /// Whether the client accepts partial results; `None` leaves it to the index's setting.
+    pub allow_partial: Option<bool>,
     pub timeout: Option<Span>,
-    /// Handed back as it came.
-    pub opaque: Option<String>,
+    /// The `X-Opaque-Id` header, returned unchanged in the response.
+    pub opaque_id: Option<String>,
 }
 
+/// What a request asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum Operation {
+    /// Name and version of the service.
     Root,
+    /// Cluster health.
     Health,
-    /// The searchers, and the shards: as JSON, or as lines of text.
-    Nodes {
-        json: bool,
-    },
-    Shards {
-        json: bool,
-    },
-    /// Searches one after another, each of its own index or of this.
-    Many {
-        index: Option<String>,
-        lines: Vec<Line>,
-    },
-    Search {
-        index: String,
-        search: Search,
-    },
-    /// As a search that gives no hits.
-    Count {
-        index: String,
-        search: Search,
-    },
-    Edit {
-        index: String,
-        edit: Edit,
-    },
+    /// The list of searchers; lines of text unless `json`.
+    CatNodes { json: bool },
+    /// The list of shards; lines of text unless `json`.
+    CatShards { json: bool },
+    /// Searches that run one after another; `index` is the default for those that name none.
+    MultiSearch { index: Option<String>, searches: Vec<MultiSearchItem> },
+    /// A search of one index.
+    Search { index: String, search: Search },
+    /// A count, represented as a search without hits.
+    Count { index: String, search: Search },
+    /// A write of one document.
+    Edit { index: String, edit: Edit },
 }
 
-/// A change of one document.
+/// An update or replacement of one document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Edit {
+    /// The document id.
     pub id: String,
-    /// What decides its shard: the id, unless another is named.
+    /// The routing value that selects the shard: the `routing` parameter or else the id.
     pub routing: String,
-    /// What is sent on by the platform's frames.
-    pub text: String,
-    /// What a node of the dialect is asked: the end of its path, and the body.
-    pub step: &'static str,
+    /// The payload of a part that goes to a searcher in the platform's frame protocol.
+    pub payload: String,
+    /// The path segment, `_doc` or `_update`, of the request to a node that speaks the query API.
+    pub path_segment: &'static str,
+    /// The body of that request.
     pub body: String,
-    /// By which a node knows a repeat.
-    pub label: Option<String>,
+    /// The `Idempotency-Key` header, by which a node recognises a repeated request.
+    pub idempotency_key: Option<String>,
 }
 
-/// A handed-back header takes no more.
-const MOST_OPAQUE: usize = 128;
+/// Maximum length of `X-Opaque-Id`, in bytes.
+const MAX_OPAQUE_ID_LENGTH: usize = 128;
 
 impl Request {
-    pub fn read<'h>(
+    /// Parses and validates a request. `header` looks up a header by its lower-case name.
+    pub fn parse<'h>(
         method: &str,
         target: &str,
         header: impl Fn(&str) -> Option<&'h str>,
         body: &[u8],
-    ) -> Result<Self, Fault> {
-        let (endpoint, parameters) = endpoint(method, target)?;
-        let opaque = header("x-opaque-id").map(opaque).transpose()?;
-        let what = match endpoint {
-            Endpoint::Root => What::Root,
-            Endpoint::Health => What::Health,
+    ) -> Result<Self, ApiError> {
+        let (endpoint, parameters) = parse_target(method, target)?;
+        let opaque_id = header("x-opaque-id").map(validate_opaque_id).transpose()?;
+        let operation = match endpoint {
+            Endpoint::Root => Operation::Root,
+            Endpoint::Health => Operation::Health,
             Endpoint::Search { index } => {
-                What::Search { index, search: Search::read(body)?.with_parameters(&parameters)? }
+                Operation::Search { index, search: Search::parse(body)?.with_parameters(&parameters)? }
             }
-            Endpoint::Count { index } => What::Count { index, search: counting(body)? },
+            Endpoint::Count { index } => Operation::Count { index, search: parse_count(body)? },
             Endpoint::Update { index, id } => {
-                let edit = edit(id, &parameters, header("idempotency-key"), update(body)?, false)?;
-                What::Edit { index, edit }
+                let edit =
+                    build_edit(id, &parameters, header("idempotency-key"), parse_update(body)?, false)?;
+                Operation::Edit { index, edit }
             }
             Endpoint::Put { index, id: Some(id) } => {
-                let document = Node::read(body)?;
+                let document = JsonValue::parse(body)?;
                 document.object("document")?;
-                let edit = edit(id, &parameters, header("idempotency-key"), document.write(), true)?;
-                What::Edit { index, edit }
+                let edit = build_edit(id, &parameters, header("idempotency-key"), document.to_json(), true)?;
+                Operation::Edit { index, edit }
             }
             Endpoint::Put { id: None, .. } => {
-                return Err(Fault::argument("a document has to be given its id here: an id of ours would make a repeat a second document"));
+                return Err(ApiError::illegal_argument("a document has to be given its id here: an id of ours would make a repeat a second document"));
             }
-            Endpoint::Many { index } => What::Many { index, lines: many(body)? },
-            Endpoint::Nodes { json } => What::Nodes { json },
-            Endpoint::Shards { json } => What::Shards { json },
+            Endpoint::MultiSearch { index } => {
+                Operation::MultiSearch { index, searches: parse_multi_search(body)? }
+            }
+            Endpoint::CatNodes { json } => Operation::CatNodes { json },
+            Endpoint::CatShards { json } => Operation::CatShards { json },
         };
-        let timeout = match &what {
-            What::Search { search, .. } => search.timeout,
-            _ => named(&parameters, "timeout").map(crate::search::timeout).transpose()?,
+        let timeout = match &operation {
+            Operation::Search { search, .. } => search.timeout,
+            _ => parameter(&parameters, "timeout").map(crate::search::parse_timeout).transpose()?,
         };
-        let partial = named(&parameters, "allow_partial_search_results");
-        let partial =
-            partial.map(|word| Node::Text(word.into()).bool("allow_partial_search_results")).transpose()?;
-        Ok(Self { what, shards: preferred(&parameters)?, partial, timeout, opaque })
+        let allow_partial = parameter(&parameters, "allow_partial_search_results");
+        let allow_partial = allow_partial
+            .map(|value| JsonValue::String(value.into()).bool("allow_partial_search_results"))
+            .transpose()?;
+        Ok(Self {
+            operation,
+            preferred_shards: preferred_shards(&parameters)?,
+            allow_partial,
+            timeout,
+            opaque_id,
+        })
     }
 
+    /// The index of a search, a count or an edit.
     pub fn index(&self) -> Option<&str> {
-        match &self.what {
-            What::Root | What::Health | What::Nodes { .. } | What::Shards { .. } | What::Many { .. } => None,
-            What::Search { index, .. } | What::Count { index, .. } | What::Edit { index, .. } => Some(index),
+        match &self.operation {
+            Operation::Root
+            | Operation::Health
+            | Operation::CatNodes { .. }
+            | Operation::CatShards { .. }
+            | Operation::MultiSearch { .. } => None,
+            Operation::Search { index, .. }
+            | Operation::Count { index, .. }
+            | Operation::Edit { index, .. } => Some(index),
         }
     }
 }
 
-/// Printable, so that it may stand in an answer's head.
-fn opaque(value: &str) -> Result<String, Fault> {
-    if value.len() > MOST_OPAQUE || !value.bytes().all(|byte| (b' '..=b'~').contains(&byte)) {
-        return Err(Fault::argument("X-Opaque-Id takes up to 128 printable characters"));
+/// Accepts printable ASCII only, since the value is written into the head of the response.
+fn validate_opaque_id(value: &str) -> Result<String, ApiError> {
+    if value.len() > MAX_OPAQUE_ID_LENGTH || !value.bytes().all(|byte| (b' '..=b'~').contains(&byte)) {
+        return Err(ApiError::illegal_argument("X-Opaque-Id takes up to 128 printable characters"));
     }
     Ok(value.into())
 }
 
-fn named<'p>(parameters: &'p Parameters, name: &str) -> Option<&'p str> {
-    parameters.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+/// The value of a query parameter.
+fn parameter<'p>(parameters: &'p Parameters, name: &str) -> Option<&'p str> {
+    parameters.iter().find(|(other, _)| other == name).map(|(_, value)| value.as_str())
 }
 
-fn counting(body: &[u8]) -> Result<Search, Fault> {
-    let mut search = Search { size: 0, totals: Totals::All, ..Search::default() };
+/// Parses the body of `_count`, which has only a query.
+fn parse_count(body: &[u8]) -> Result<Search, ApiError> {
+    let mut search = Search { size: 0, track_total_hits: TrackTotalHits::Exact, ..Search::default() };
     if !body.iter().all(u8::is_ascii_whitespace) {
-        let node = Node::read(body)?;
-        fields(&node, "count", &["query"])?;
-        search.query = Search::of(&node)?.query;
+        let json = JsonValue::parse(body)?;
+        reject_unknown_fields(&json, "count", &["query"])?;
+        search.query = Search::from_json(&json)?.query;
     }
     Ok(search)
 }
 
-fn update(body: &[u8]) -> Result<serde_json::Value, Fault> {
-    let node = Node::read(body)?;
-    // Scripts and upserts depend on what is there: they can't be told from a second run.
-    fields(&node, "update", &["doc"])?;
-    let document = node.get("doc").ok_or_else(|| Fault::parsing("[update] requires [doc]"))?;
+/// Parses the body of `_update` and returns the partial document.
+fn parse_update(body: &[u8]) -> Result<serde_json::Value, ApiError> {
+    let json = JsonValue::parse(body)?;
+    // Scripts and upserts depend on the stored document, so a second run cannot be told from the first.
+    reject_unknown_fields(&json, "update", &["doc"])?;
+    let document = json.get("doc").ok_or_else(|| ApiError::parsing("[update] requires [doc]"))?;
     document.object("doc")?;
-    Ok(document.write())
+    Ok(document.to_json())
 }
 
-fn edit(
+/// Builds an edit; `replace` replaces the whole document instead of updating fields of it.
+fn build_edit(
     id: String,
     parameters: &Parameters,
-    label: Option<&str>,
+    idempotency_key: Option<&str>,
     document: serde_json::Value,
-    whole: bool,
-) -> Result<Edit, Fault> {
-    let sound = |key: &str| {
+    replace: bool,
+) -> Result<Edit, ApiError> {
+    let is_valid = |key: &str| {
         !key.is_empty() && key.len() <= 128 && key.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-')
     };
-    if label.is_some_and(|key| !sound(key)) {
-        return Err(Fault::argument("a malformed Idempotency-Key"));
+    if idempotency_key.is_some_and(|key| !is_valid(key)) {
+        return Err(ApiError::illegal_argument("a malformed Idempotency-Key"));
     }
-    let text = json!({"id": id, "doc": document, "whole": whole});
-    let (step, body) = if whole { ("_doc", document) } else { ("_update", json!({"doc": document})) };
-    let routing = named(parameters, "routing").unwrap_or(&id).to_string();
-    let (text, body) = (text.to_string(), body.to_string());
-    Ok(Edit { routing, text, step, body, label: label.map(String::from), id })
+    let payload = json!({"id": id, "doc": document, "whole": replace});
+    let (path_segment, body) =
+        if replace { ("_doc", document) } else { ("_update", json!({"doc": document})) };
+    let routing = parameter(parameters, "routing").unwrap_or(&id).to_string();
+    let (payload, body) = (payload.to_string(), body.to_string());
+    Ok(Edit { routing, payload, path_segment, body, idempotency_key: idempotency_key.map(String::from), id })
 }
 
 impl Edit {
-    /// Its shard of so many: MurmurHash3 (32 bits, seed 0) of the routing's bytes, as a share of the shards.
+    /// The shard of the document, out of `shards`: the 32-bit MurmurHash3 (seed 0) of the routing value,
+    /// scaled to the number of shards.
     pub fn shard(&self, shards: u32) -> u32 {
         let hash = murmur3::murmur3_32(&mut std::io::Cursor::new(self.routing.as_bytes()), 0).unwrap_or(0);
         ((u64::from(hash) * u64::from(shards)) >> 32) as u32
     }
 
-    /// What its client hears once it has been saved.
-    pub fn saved(&self, index: &str) -> serde_json::Value {
+    /// The response to the client once the edit has been saved.
+    pub fn response(&self, index: &str) -> serde_json::Value {
         json!({
             "_index": index, "_id": self.id, "result": "updated",
             "_shards": {"total": 1, "successful": 1, "failed": 0},
@@ -187,8 +206,8 @@
     }
 }
 
-/// What the root says. Clients look at the number to decide what they may ask.
-pub fn root(name: &str) -> serde_json::Value {
+/// The response of `/`. Clients use the version number to decide which features they may use.
+pub fn root_info(name: &str) -> serde_json::Value {
     json!({
         "name": name, "cluster_name": "fernglade",
         "version": {"distribution": "opensearch", "number": "2.11.0", "minimum_wire_compatibility_version": "7.10.0"},
@@ -196,8 +215,8 @@
     })
 }
 
-/// How the searchers stand, in the API's colours.
-pub fn health((ready, listed): (usize, usize), shards: u32) -> serde_json::Value {
+/// The response of `/_cluster/health`, from the numbers of ready and of listed searchers.
+pub fn cluster_health((ready, listed): (usize, usize), shards: u32) -> serde_json::Value {
     let status = match ready {
         0 => "red",
         ready if ready < listed => "yellow",
@@ -209,8 +228,8 @@
     })
 }
 
-/// Rows as JSON, or as lines of words under a head.
-pub fn table(names: &[&str], rows: &[Vec<String>], as_json: bool) -> String {
+/// The body of a `_cat` response: a JSON array of objects, or one line of space-separated values per row.
+pub fn cat_table(names: &[&str], rows: &[Vec<String>], as_json: bool) -> String {
     if as_json {
         let row = |row: &Vec<String>| {
             let fields = names.iter().zip(row).map(|(name, value)| (name.to_string(), value.as_str().into()));
@@ -221,9 +240,9 @@
     rows.iter().map(|row| row.join(" ") + "\n").collect()
 }
 
-/// An index that is not there.
-pub fn no_index(name: &str) -> Fault {
-    Fault::new(Kind::IndexNotFound, format!("no such index [{name}]"))
+/// The error for an index that does not exist.
+pub fn index_not_found(name: &str) -> ApiError {
+    ApiError::new(ErrorKind::IndexNotFound, format!("no such index [{name}]"))
 }
 
 #[cfg(test)]
@@ -231,31 +250,31 @@
     use super::*;
     use test_case::test_case;
 
-    fn read(method: &str, target: &str, key: Option<&'static str>, body: &str) -> Result<Request, Fault> {
-        Request::read(method, target, |name| key.filter(|_| name == "idempotency-key"), body.as_bytes())
+    fn read(method: &str, target: &str, key: Option<&'static str>, body: &str) -> Result<Request, ApiError> {
+        Request::parse(method, target, |name| key.filter(|_| name == "idempotency-key"), body.as_bytes())
     }
 
     #[test]
-    fn an_edit_is_read_with_its_key_and_goes_to_one_shard() {
+    fn an_edit_keeps_its_idempotency_key_and_is_routed_to_one_shard() {
         let request =
             read("POST", "/cues/_update/c7?routing=title-3", Some("k1"), r#"{"doc":{"cue":"hola"}}"#)
                 .unwrap();
-        let What::Edit { edit, .. } = &request.what else { panic!("an edit") };
-        assert_eq!((edit.label.as_deref(), edit.routing.as_str()), (Some("k1"), "title-3"));
-        assert!(edit.text.contains(r#""id":"c7""#) && edit.shard(16) < 16);
+        let Operation::Edit { edit, .. } = &request.operation else { panic!("not an edit") };
+        assert_eq!((edit.idempotency_key.as_deref(), edit.routing.as_str()), (Some("k1"), "title-3"));
+        assert!(edit.payload.contains(r#""id":"c7""#) && edit.shard(16) < 16);
         let other = read("POST", "/cues/_update/c8?routing=title-3", None, r#"{"doc":{}}"#).unwrap();
-        let What::Edit { edit: other, .. } = &other.what else { panic!("an edit") };
-        assert_eq!(edit.shard(16), other.shard(16), "by routing");
+        let Operation::Edit { edit: other, .. } = &other.operation else { panic!("not an edit") };
+        assert_eq!(edit.shard(16), other.shard(16), "routing selects the shard");
     }
 
     #[test_case("POST", "/cues/_update/c7", r#"{"script":{"source":"x"}}"#, "[update] unknown field [script]"; "a script")]
     #[test_case("POST", "/cues/_update/c7", r#"{"doc":{},"upsert":{}}"#, "[update] unknown field [upsert]"; "an upsert")]
     #[test_case("POST", "/cues/_doc", "{}", "has to be given its id"; "a document without an id")]
-    #[test_case("PUT", "/cues/_doc/c7", "[]", "[document] expects an object"; "no document")]
+    #[test_case("PUT", "/cues/_doc/c7", "[]", "[document] expects an object"; "a document that is not an object")]
     #[test_case("POST", "/cues/_count", r#"{"size":1}"#, "[count] unknown field [size]"; "a count with a size")]
-    #[test_case("GET", "/cues/_search?allow_partial_search_results=perhaps", "", "true or false"; "neither yes nor no")]
-    fn what_cant_be_meant_is_refused(method: &str, target: &str, body: &str, says: &str) {
-        let fault = read(method, target, None, body).unwrap_err();
-        assert!(fault.reason.contains(says), "{}", fault.reason);
+    #[test_case("GET", "/cues/_search?allow_partial_search_results=perhaps", "", "true or false"; "a malformed boolean")]
+    fn invalid_requests_are_rejected(method: &str, target: &str, body: &str, message: &str) {
+        let error = read(method, target, None, body).unwrap_err();
+        assert!(error.reason.contains(message), "{}", error.reason);
     }
 }
--- a/crates/mixer/src/protocol/nodes.rs
+++ b/crates/mixer/src/protocol/nodes.rs
@@ -39,7 +39,7 @@
 
 /// The version in a node's response to `GET /`, cut to a length fit for a log line, or `none` without one.
 pub fn node_version(message: &Message) -> String {
-    let node = fernglade_dialect::Node::read(&message.body).ok();
+    let node = fernglade_dialect::JsonValue::parse(&message.body).ok();
     let number = node.as_ref().and_then(|node| node.get("version")?.get("number")?.text("number").ok());
     let is_allowed = |c: &char| c.is_ascii_alphanumeric() || ".-_".contains(*c);
     let number: String = number.unwrap_or_default().chars().filter(is_allowed).take(40).collect();
--- a/crates/mixer/src/protocol/scans.rs
+++ b/crates/mixer/src/protocol/scans.rs
@@ -56,7 +56,7 @@
     HeadTooLong,
     BodyTooLong,
     /// An error of the query dialect.
-    Dialect(fernglade_dialect::Fault),
+    Dialect(fernglade_dialect::ApiError),
 }
 
 fn invalid(message: impl Into<String>) -> RequestError {
@@ -73,7 +73,7 @@
     let is_dialect =
         first.is_empty() || first.starts_with('_') || second.starts_with('_') || indices.contains(first);
     if !indices.is_empty() && is_dialect {
-        let request = Request::read(method, target, |name| message.header(name), &message.body);
+        let request = Request::parse(method, target, |name| message.header(name), &message.body);
         return request.map(|request| ClientRequest::Query(Box::new(request))).map_err(RequestError::Dialect);
     }
     match (method.as_str(), path) {
--- a/crates/mixer/src/routing/api_equivalence.rs
+++ b/crates/mixer/src/routing/api_equivalence.rs
@@ -107,14 +107,14 @@
 
 fn edit_for(key: u32) -> fernglade_dialect::request::Edit {
     let target = format!("/cues/_update/k{key}");
-    let request = Request::read(
+    let request = Request::parse(
         "POST",
         &target,
         |name| (name == "idempotency-key").then_some("k"),
         br#"{"doc":{"cue":"x"}}"#,
     );
-    match request.unwrap().what {
-        fernglade_dialect::request::What::Edit { edit, .. } => edit,
+    match request.unwrap().operation {
+        fernglade_dialect::request::Operation::Edit { edit, .. } => edit,
         _ => unreachable!("an edit"),
     }
 }
@@ -376,7 +376,7 @@
 
     /// The answer of a healthy searcher, whichever API the part came through.
     fn value(&mut self, part_request: &PartRequest) -> String {
-        let Ok(search) = Search::read(part_request.text.as_bytes()) else { return "saved".into() };
+        let Ok(search) = Search::parse(part_request.text.as_bytes()) else { return "saved".into() };
         let give = || {
             let index = if part_request.text.contains("hola") { "cues" } else { "films" };
             String::from_utf8(shard(part_request.shard).body(index, &search, Manner::Sound)).unwrap()
@@ -416,7 +416,7 @@
         Kind::Library => ("/films/_search".into(), r#"{"query":{"match":{"cue":"noche"}}}"#),
         Kind::Fix => (format!("/cues/_update/k{}", line.key), r#"{"doc":{"cue":"x"}}"#),
     };
-    Request::read("POST", &target, key, body.as_bytes()).unwrap()
+    Request::parse("POST", &target, key, body.as_bytes()).unwrap()
 }
 
 #[test]
--- a/crates/mixer/src/routing/query.rs
+++ b/crates/mixer/src/routing/query.rs
@@ -6,14 +6,16 @@
 use crate::protocol::frames::NodeRequest;
 use crate::protocol::scans::{RequestError, ScanPart, ScanRequest};
 use fernglade::{Idempotency, Moment, RelayOutcome, TrafficType};
-use fernglade_dialect::answer::{bounced, counted, found, written_off, Missing, Shards};
-use fernglade_dialect::endpoint::Line;
-use fernglade_dialect::errand::errand;
-use fernglade_dialect::merge::Merge;
-use fernglade_dialect::reply::Reply as NodeReply;
-use fernglade_dialect::request::{no_index, Request, What};
+use fernglade_dialect::endpoint::MultiSearchItem;
+use fernglade_dialect::merge::Merger;
+use fernglade_dialect::request::{index_not_found, Operation, Request};
+use fernglade_dialect::response::{
+    count_response, failed_error, rejected_error, search_response, FailureReason, ShardSummary,
+};
 use fernglade_dialect::search::Search;
-use fernglade_dialect::{Fault, Kind};
+use fernglade_dialect::shard_request::shard_request;
+use fernglade_dialect::shard_response::ShardResponse as NodeReply;
+use fernglade_dialect::{ApiError, ErrorKind};
 use fernglade_orders::{Dialect, Index};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -34,7 +36,7 @@
 /// doesn't affect the others.
 pub struct MultiSearch {
     index: Option<String>,
-    lines: VecDeque<Line>,
+    lines: VecDeque<MultiSearchItem>,
     answers: Vec<serde_json::Value>,
     response_bytes: usize,
     opaque_id: Option<String>,
@@ -45,7 +47,7 @@
     /// Creates a multi-search; `index` is the default for searches that name none.
     pub fn new(
         index: Option<String>,
-        lines: Vec<Line>,
+        lines: Vec<MultiSearchItem>,
         opaque_id: Option<String>,
         started_at: Moment,
     ) -> Self {
@@ -56,14 +58,21 @@
     pub fn next(&mut self) -> Option<Request> {
         while let Some((index, search)) = self.lines.pop_front() {
             let index = index.or_else(|| self.index.clone());
-            let index = index.ok_or_else(|| Fault::argument("index is missing"));
-            let too_large = || Fault::new(Kind::TooLarge, "the answers before this one took all the room");
+            let index = index.ok_or_else(|| ApiError::illegal_argument("index is missing"));
+            let too_large =
+                || ApiError::new(ErrorKind::TooLarge, "the answers before this one took all the room");
             match index.and_then(|index| Ok((index, search?))) {
                 Ok(_) if self.response_bytes > MAX_MULTI_SEARCH_BYTES => self.push(too_large().body()),
                 Ok((index, search)) => {
                     let timeout = search.timeout;
-                    let what = What::Search { index, search };
-                    return Some(Request { what, shards: None, partial: None, timeout, opaque: None });
+                    let what = Operation::Search { index, search };
+                    return Some(Request {
+                        operation: what,
+                        preferred_shards: None,
+                        allow_partial: None,
+                        timeout,
+                        opaque_id: None,
+                    });
                 }
                 Err(fault) => self.push(fault.body()),
             }
@@ -149,29 +158,30 @@
         request: Request,
         types: &[(String, TrafficType)],
         now: Moment,
-    ) -> Result<(ScanRequest, QueryContext), Fault> {
+    ) -> Result<(ScanRequest, QueryContext), ApiError> {
         let name = request.index().unwrap_or_default();
-        let index = self.all.get(name).ok_or_else(|| no_index(name))?;
-        let edits =
-            || index.edits.as_ref().ok_or_else(|| Fault::argument(format!("[{name}] takes no edits")));
-        let (traffic_type, shards, text, idempotency_key) = match &request.what {
-            What::Edit { edit, .. } => {
-                (edits()?, vec![edit.shard(self.shards)], edit.text.clone(), edit.label.clone())
+        let index = self.all.get(name).ok_or_else(|| index_not_found(name))?;
+        let edits = || {
+            index.edits.as_ref().ok_or_else(|| ApiError::illegal_argument(format!("[{name}] takes no edits")))
+        };
+        let (traffic_type, shards, text, idempotency_key) = match &request.operation {
+            Operation::Edit { edit, .. } => {
+                (edits()?, vec![edit.shard(self.shards)], edit.payload.clone(), edit.idempotency_key.clone())
             }
-            What::Search { search, .. } | What::Count { search, .. } => {
-                let all = request.shards.clone().unwrap_or_else(|| (0..self.shards).collect());
+            Operation::Search { search, .. } | Operation::Count { search, .. } => {
+                let all = request.preferred_shards.clone().unwrap_or_else(|| (0..self.shards).collect());
                 (&index.searches, all, node_query_body(name, search), None)
             }
-            _ => return Err(no_index(name)),
+            _ => return Err(index_not_found(name)),
         };
         let Some((_, kind)) = types.iter().find(|(known, _)| known == traffic_type) else {
-            return Err(no_index(name));
+            return Err(index_not_found(name));
         };
         if matches!(kind.idempotency, Idempotency::ByKey(_)) && idempotency_key.is_none() {
-            return Err(Fault::argument("an edit of this index needs an Idempotency-Key"));
+            return Err(ApiError::illegal_argument("an edit of this index needs an Idempotency-Key"));
         }
         if shards.is_empty() {
-            return Err(Fault::argument("no shards are asked for"));
+            return Err(ApiError::illegal_argument("no shards are asked for"));
         }
         self.count += 1;
         let weight = 1.0 / shards.len() as f64;
@@ -188,7 +198,7 @@
             parts: shards.into_iter().map(|shard| ScanPart { shard, weight, work: None }).collect(),
         };
         // Both the index and the request have to allow it.
-        let allow_partial = index.partial && request.partial != Some(false);
+        let allow_partial = index.partial && request.allow_partial != Some(false);
         Ok((
             scan_request,
             QueryContext {
@@ -203,26 +213,26 @@
 
 /// The request body for the nodes. The timeout is sent with each part, so it isn't included here.
 fn node_query_body(index: &str, search: &Search) -> String {
-    let (_, body) = errand(index, search, 0, fernglade::Span::ZERO);
+    let (_, body) = shard_request(index, search, 0, fernglade::Span::ZERO);
     String::from_utf8(body).unwrap_or_default()
 }
 
 /// Translates a request error of the platform into one of the query API.
-pub fn fault_from_request_error(error: RequestError) -> Fault {
+pub fn fault_from_request_error(error: RequestError) -> ApiError {
     match error {
         RequestError::Dialect(fault) => fault,
-        RequestError::Invalid(what) => Fault::argument(what),
-        other => Fault::argument(format!("{other:?}")),
+        RequestError::Invalid(what) => ApiError::illegal_argument(what),
+        other => ApiError::illegal_argument(format!("{other:?}")),
     }
 }
 
 impl QueryContext {
     /// Whether a shard's response is valid. A response that can only be parsed in part fails its part.
     pub fn accepts(&self, value: &str) -> bool {
-        match &self.request.what {
-            What::Search { index, search } | What::Count { index, search } => {
-                let found = NodeReply::read(200, value.as_bytes(), index, &node_search(search));
-                found.landing() == RelayOutcome::Succeeded
+        match &self.request.operation {
+            Operation::Search { index, search } | Operation::Count { index, search } => {
+                let found = NodeReply::parse(200, value.as_bytes(), index, &node_search(search));
+                found.relay_outcome() == RelayOutcome::Succeeded
             }
             _ => true,
         }
@@ -230,20 +240,22 @@
 
     /// Like [`Self::accepts`], for the response of a query API node, which includes edits.
     pub fn accepts_from_node(&self, value: &str) -> bool {
-        match &self.request.what {
-            What::Edit { edit, .. } => fernglade_dialect::reply::saved(value.as_bytes(), &edit.id),
+        match &self.request.operation {
+            Operation::Edit { edit, .. } => {
+                fernglade_dialect::shard_response::confirms_edit(value.as_bytes(), &edit.id)
+            }
             _ => self.accepts(value),
         }
     }
 
     /// The request to a query API node, if this request has one.
     pub fn node_request(&self, text: &str) -> Option<NodeRequest> {
-        match &self.request.what {
-            What::Edit { index, edit } => {
-                let path = format!("/{index}/{}/{}", edit.step, percent_encode(&edit.id));
+        match &self.request.operation {
+            Operation::Edit { index, edit } => {
+                let path = format!("/{index}/{}/{}", edit.path_segment, percent_encode(&edit.id));
                 Some(NodeRequest { path, body: edit.body.clone(), is_search: false })
             }
-            What::Search { index, .. } | What::Count { index, .. } => {
+            Operation::Search { index, .. } | Operation::Count { index, .. } => {
                 Some(NodeRequest { path: format!("/{index}/_search"), body: text.into(), is_search: true })
             }
             _ => None,
@@ -252,49 +264,49 @@
 
     /// The client's X-Opaque-Id.
     pub fn opaque_id(&self) -> Option<String> {
-        self.request.opaque.clone()
+        self.request.opaque_id.clone()
     }
 
     /// Builds the response from the values received, or the error if they aren't enough.
-    pub fn answer(&self, open: &OpenScan, now: Moment) -> Result<serde_json::Value, Fault> {
-        let (index, search) = match &self.request.what {
-            What::Edit { index, edit } => return Ok(edit.saved(index)),
-            What::Search { index, search } | What::Count { index, search } => (index, search),
-            _ => return Err(no_index("")),
+    pub fn answer(&self, open: &OpenScan, now: Moment) -> Result<serde_json::Value, ApiError> {
+        let (index, search) = match &self.request.operation {
+            Operation::Edit { index, edit } => return Ok(edit.response(index)),
+            Operation::Search { index, search } | Operation::Count { index, search } => (index, search),
+            _ => return Err(index_not_found("")),
         };
-        let mut merge = Merge::new(search);
-        let mut shards = Shards { total: open.parts.len(), missing: Vec::new() };
+        let mut merge = Merger::new(search);
+        let mut shards = ShardSummary { total: open.parts.len(), failures: Vec::new() };
         for ((shard, value), last_failure) in open.parts.iter().zip(&open.last_failures) {
             let reply = value
                 .as_ref()
-                .map(|value| NodeReply::read(200, value.as_bytes(), index, &node_search(search)));
+                .map(|value| NodeReply::parse(200, value.as_bytes(), index, &node_search(search)));
             let taken = match reply {
-                Some(NodeReply::Found(found)) => merge.take(*shard, found),
+                Some(NodeReply::Found(found)) => merge.add_shard(*shard, found),
                 _ => false,
             };
             if !taken {
-                shards.missing.push((*shard, missing_reason(*last_failure)));
+                shards.failures.push((*shard, missing_reason(*last_failure)));
             }
         }
-        if !shards.all_in() && !self.allow_partial {
-            return Err(written_off(false));
+        if !shards.all_succeeded() && !self.allow_partial {
+            return Err(failed_error(false));
         }
-        let found_all = merge.finish(shards.all_in());
-        Ok(match &self.request.what {
-            What::Count { .. } => counted(index, found_all.total.unwrap_or(0), &shards),
-            _ => found(index, search, found_all, &shards, now.since(self.started_at)),
+        let found_all = merge.finish(shards.all_succeeded());
+        Ok(match &self.request.operation {
+            Operation::Count { .. } => count_response(index, found_all.total.unwrap_or(0), &shards),
+            _ => search_response(index, search, found_all, &shards, now.since(self.started_at)),
         })
     }
 
     /// The error for a rejected scan, which may safely be retried.
-    pub fn rejection(&self) -> Fault {
-        bounced()
+    pub fn rejection(&self) -> ApiError {
+        rejected_error()
     }
 
     /// The error for a failed scan. Where a second run could do harm, its status is never one that invites a
     /// retry.
-    pub fn failure(&self) -> Fault {
-        written_off(self.not_repeatable)
+    pub fn failure(&self) -> ApiError {
+        failed_error(self.not_repeatable)
     }
 }
 
@@ -310,18 +322,18 @@
 }
 
 /// The reason reported for a shard that is missing from the response.
-fn missing_reason(last_failure: Option<RelayOutcome>) -> Missing {
+fn missing_reason(last_failure: Option<RelayOutcome>) -> FailureReason {
     match last_failure {
-        Some(RelayOutcome::Rejected) => Missing::TurnedAway,
-        Some(RelayOutcome::TimedOut | RelayOutcome::Cancelled) => Missing::Late,
-        None | Some(RelayOutcome::NotSent) => Missing::Skipped,
-        Some(_) => Missing::Failed,
+        Some(RelayOutcome::Rejected) => FailureReason::Rejected,
+        Some(RelayOutcome::TimedOut | RelayOutcome::Cancelled) => FailureReason::TimedOut,
+        None | Some(RelayOutcome::NotSent) => FailureReason::Skipped,
+        Some(_) => FailureReason::Failed,
     }
 }
 
 /// Builds a response of the query API.
 pub fn reply(
-    result: Result<serde_json::Value, Fault>,
+    result: Result<serde_json::Value, ApiError>,
     retry_after: fernglade::Span,
     opaque_id: Option<String>,
 ) -> Reply {
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -14,7 +14,7 @@
 use fernglade::choice::Mixer;
 use fernglade::{Host, Idempotency, Moment, PartSpec, RelayOutcome, ScanSpec, Span, Ticket, TrafficType};
 use fernglade_admission::{AdmissionAction, ClientConnectionId, DescriptorBudget};
-use fernglade_dialect::request::{health, root, table, Request, What};
+use fernglade_dialect::request::{cat_table, cluster_health, root_info, Operation, Request};
 use fernglade_fronts::{Settings, SettingsError};
 use fernglade_orders::OperatorConfig;
 use fernglade_shedding::{FleetLimits, FleetRetryBudget, LoadShedder, ProbeSchedule};
@@ -242,19 +242,19 @@
     /// Handles a request of the query API; searches and edits become the same kind of scan.
     fn query_requested(&mut self, client: ClientId, request: Request) {
         let Some(request_start) = self.host.clients.request_start(client, self.host.now) else { return };
-        let opaque = request.opaque.clone();
-        let result = match request.what {
-            What::Many { index, lines } => {
+        let opaque = request.opaque_id.clone();
+        let result = match request.operation {
+            Operation::MultiSearch { index, searches } => {
                 self.host
                     .multi_searches
-                    .insert(client, MultiSearch::new(index, lines, opaque, request_start));
+                    .insert(client, MultiSearch::new(index, searches, opaque, request_start));
                 return self.resume_multi_search(client);
             }
-            What::Nodes { json } => {
+            Operation::CatNodes { json } => {
                 let rows: Vec<_> = self.host.registry.rows().collect();
                 return self.reply_with_table(client, &["name", "address", "state", "speaks"], rows, json);
             }
-            What::Shards { json } => {
+            Operation::CatShards { json } => {
                 let state = if self.host.registry.any_ready() { "STARTED" } else { "UNASSIGNED" };
                 let row = |shard: u32| vec![shard.to_string(), state.to_string()];
                 return self.reply_with_table(
@@ -264,8 +264,8 @@
                     json,
                 );
             }
-            What::Root => Ok(root(&self.name)),
-            What::Health => Ok(health(self.host.registry.ready_and_total(), self.shards)),
+            Operation::Root => Ok(root_info(&self.name)),
+            Operation::Health => Ok(cluster_health(self.host.registry.ready_and_total(), self.shards)),
             _ => match self.indices.build_scan(request, &self.types, request_start) {
                 Ok((scan_request, context)) => {
                     return self.open_scan(client, scan_request, request_start, Some(context))
@@ -277,7 +277,7 @@
     }
 
     fn reply_with_table(&mut self, client: ClientId, names: &[&str], rows: Vec<Vec<String>>, json: bool) {
-        let body = table(names, &rows, json);
+        let body = cat_table(names, &rows, json);
         let reply = Reply::QueryApi { status: 200, body, retry_after: Span::ZERO, opaque_id: None };
         self.host.reply(client, reply, false);
     }
--- a/crates/mixer/src/routing/tests.rs
+++ b/crates/mixer/src/routing/tests.rs
@@ -1016,8 +1016,12 @@
     let mut mixer = query_api_mixer(2);
     let client = mixer.connect_client();
     mixer.feed(Event::RequestStarted(client, Span::ZERO));
-    let request =
-        fernglade_dialect::request::Request::read("GET", "/cues/_search?preference=_shards:2", |_| None, b"");
+    let request = fernglade_dialect::request::Request::parse(
+        "GET",
+        "/cues/_search?preference=_shards:2",
+        |_| None,
+        b"",
+    );
     mixer.feed(Event::QueryRequested(client, Box::new(request.unwrap())));
     let dialled = mixer.take_dials();
     let (link, first) = dialled[0];
@@ -1039,8 +1043,12 @@
     mixer.send_scan(scan_request("q7-1", "look", &[0]));
     let client = mixer.connect_client();
     mixer.feed(Event::RequestStarted(client, Span::ZERO));
-    let request =
-        fernglade_dialect::request::Request::read("GET", "/cues/_search?preference=_shards:0", |_| None, b"");
+    let request = fernglade_dialect::request::Request::parse(
+        "GET",
+        "/cues/_search?preference=_shards:0",
+        |_| None,
+        b"",
+    );
     mixer.feed(Event::QueryRequested(client, Box::new(request.unwrap())));
     assert!(mixer.take_replies().is_empty(), "both scans are open");
     let ids: Vec<String> = mixer
