--- a/crates/mixer/tests/dialect.rs
+++ b/crates/mixer/tests/dialect.rs
@@ -1,4 +1,5 @@
-//! The query dialect through the built program: the same scans, the same one answer, in that API's words.
+//! Tests of the query API through the built mixer: the same scans with the same answers, in the terms of that
+//! API.
 
 use fernglade::Span;
 use fernglade_dialect::answer::{found, Shards};
@@ -16,38 +17,45 @@
 use std::sync::mpsc::Receiver;
 use test_case::test_case;
 
-const RULES: &str = "{ dialect: { indices: {
+const OPERATOR_CONFIG: &str = "{ dialect: { indices: {
   cues: { searches: 'look', edits: 'fix', customer: 'acme', partial: true },
   whole: { searches: 'look', customer: 'acme' } } } }";
 
-fn mixer_by(
+fn mixer_with_operator(
     name: &str,
     habits: &[Habit],
-    orders_change: (&str, &str),
-    rules: &str,
+    config_change: (&str, &str),
+    operator_config: &str,
 ) -> (Mixer, Vec<Receiver<(u8, String)>>) {
-    let (addresses, told): (Vec<SocketAddr>, Vec<_>) = habits.iter().map(|habit| searcher(*habit)).unzip();
+    let (addresses, received): (Vec<SocketAddr>, Vec<_>) =
+        habits.iter().map(|habit| searcher(*habit)).unzip();
     let (at, known) = (free_address(), list(&addresses));
     let text =
-        orders(&at.to_string(), agent(known.clone()), &known).replace(orders_change.0, orders_change.1);
+        orders(&at.to_string(), agent(known.clone()), &known).replace(config_change.0, config_change.1);
     let orders = file(&format!("dialect-{name}.json"), &text);
-    let operator = file(&format!("dialect-{name}.json5"), rules);
-    (start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at), told)
+    let operator = file(&format!("dialect-{name}.json5"), operator_config);
+    (start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at), received)
 }
 
-fn mixer(name: &str, habits: &[Habit], orders_change: (&str, &str)) -> (Mixer, Vec<Receiver<(u8, String)>>) {
-    mixer_by(name, habits, orders_change, RULES)
+fn mixer(name: &str, habits: &[Habit], config_change: (&str, &str)) -> (Mixer, Vec<Receiver<(u8, String)>>) {
+    mixer_with_operator(name, habits, config_change, OPERATOR_CONFIG)
 }
 
-fn asks(client: &mut Client, method: &str, target: &str, headers: &str, body: &str) -> (u16, String, Value) {
+fn request(
+    client: &mut Client,
+    method: &str,
+    target: &str,
+    headers: &str,
+    body: &str,
+) -> (u16, String, Value) {
     let head = format!("{method} {target} HTTP/1.1\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
     say(client, head + body);
     let (status, head, body) = answer(client);
     (status, head, serde_json::from_str(&body).unwrap_or(Value::Null))
 }
 
-/// What one who has all four shards at hand would answer.
-fn truth(body: &str) -> Value {
+/// The reference answer, computed directly from all four shards.
+fn reference_answer(body: &str) -> Value {
     let search = Search::read(body.as_bytes()).unwrap();
     let mut merge = Merge::new(&search);
     let asked = Search { from: 0, size: search.window(), ..search.clone() };
@@ -57,8 +65,8 @@
 }
 
 #[test]
-fn a_search_is_answered_from_all_shards_as_by_one_who_has_them() {
-    let (mixer, _told) = mixer("whole", &[cue_node, cue_node], ("", ""));
+fn a_search_over_all_shards_matches_the_reference_answer() {
+    let (mixer, _received) = mixer("whole", &[cue_node, cue_node], ("", ""));
     let mut client = mixer.client();
     for body in [
         "",
@@ -66,128 +74,147 @@
         r#"{"query":{"range":{"at":{"gte":200}}},"sort":{"at":"desc"},"_source":["cue"]}"#,
         r#"{"size":0,"aggs":{"l":{"terms":{"field":"lang"}},"m":{"avg":{"field":"at"}}}}"#,
     ] {
-        let (status, head, mut given) =
-            asks(&mut client, "POST", "/cues/_search", "X-Opaque-Id: app 7\r\n", body);
-        assert!(status == 200 && head.contains("X-Opaque-Id: app 7"), "{status} {head} {given}");
-        given["took"] = 0.into();
-        assert_eq!(given, truth(body));
+        let (status, head, mut actual) =
+            request(&mut client, "POST", "/cues/_search", "X-Opaque-Id: app 7\r\n", body);
+        assert!(status == 200 && head.contains("X-Opaque-Id: app 7"), "{status} {head} {actual}");
+        actual["took"] = 0.into();
+        assert_eq!(actual, reference_answer(body));
     }
-    let (_, _, count) = asks(&mut client, "GET", "/cues/_count", "", r#"{"query":{"term":{"lang":"es"}}}"#);
-    let all = truth(r#"{"query":{"term":{"lang":"es"}},"track_total_hits":true}"#);
-    assert_eq!(count["count"], all["hits"]["total"]["value"]);
-    assert_eq!(asks(&mut client, "GET", "/_cluster/health", "", "").2["status"], "green");
-    assert_eq!(asks(&mut client, "GET", "/", "", "").2["version"]["distribution"], "opensearch");
+    let (_, _, count) =
+        request(&mut client, "GET", "/cues/_count", "", r#"{"query":{"term":{"lang":"es"}}}"#);
+    let expected = reference_answer(r#"{"query":{"term":{"lang":"es"}},"track_total_hits":true}"#);
+    assert_eq!(count["count"], expected["hits"]["total"]["value"]);
+    assert_eq!(request(&mut client, "GET", "/_cluster/health", "", "").2["status"], "green");
+    assert_eq!(request(&mut client, "GET", "/", "", "").2["version"]["distribution"], "opensearch");
 }
 
-/// A partial answer only where the class, the index and the request all allow one; it says which shards are missing.
-#[test_case("/cues/_search", RULES, 200; "all allow it")]
-#[test_case("/cues/_search?allow_partial_search_results=false", RULES, 503; "not the request")]
-#[test_case("/cues/_search", &RULES.replace("partial: true", "partial: false"), 503; "not the index")]
-fn what_some_shards_fail_is_marked_or_refused(target: &str, rules: &str, status: u16) {
-    // A class that answers from half of its parts.
-    let floors = (r#""per_call":1"#, r#""per_call":1,"floor_by_class":[0.5,1.0],"complete_from":[1.0,1.0]"#);
-    let name = format!("partial-{}-{}", target.len(), rules.len());
-    let (mixer, _told) = mixer_by(&name, &[odd_node], floors, rules);
-    let (told, _, body) = asks(&mut mixer.client(), "GET", target, "", "");
-    assert_eq!(told, status, "{body}");
+/// A partial answer is given only if the traffic class, the index and the request all allow one, and it names
+/// the missing shards.
+#[test_case("/cues/_search", OPERATOR_CONFIG, 200; "all allow it")]
+#[test_case("/cues/_search?allow_partial_search_results=false", OPERATOR_CONFIG, 503; "the request forbids it")]
+#[test_case("/cues/_search", &OPERATOR_CONFIG.replace("partial: true", "partial: false"), 503; "the index forbids it")]
+fn failed_shards_are_reported_or_the_search_is_refused(target: &str, operator_config: &str, status: u16) {
+    // A traffic class that may answer from half of its parts.
+    let partial_answers =
+        (r#""per_call":1"#, r#""per_call":1,"floor_by_class":[0.5,1.0],"complete_from":[1.0,1.0]"#);
+    let name = format!("partial-{}-{}", target.len(), operator_config.len());
+    let (mixer, _received) = mixer_with_operator(&name, &[odd_node], partial_answers, operator_config);
+    let (actual_status, _, body) = request(&mut mixer.client(), "GET", target, "", "");
+    assert_eq!(actual_status, status, "{body}");
     if status == 200 {
         assert_eq!(
             (&body["_shards"]["failed"], &body["hits"]["total"]["relation"]),
             (&2.into(), &"gte".into())
         );
         let shards: Vec<_> =
-            body["_shards"]["failures"].as_array().unwrap().iter().map(|one| &one["shard"]).collect();
+            body["_shards"]["failures"].as_array().unwrap().iter().map(|failure| &failure["shard"]).collect();
         assert_eq!(shards, [1, 3]);
     } else {
         assert_eq!(body["error"]["type"], "search_phase_execution_exception");
     }
 }
 
-/// Its part goes to another node, and none of what it said is in the answer.
+/// Parts of a node whose responses are partly invalid go to another node, and nothing it sent is in the
+/// answer.
 #[test]
-fn a_node_that_half_understands_is_a_failed_part_and_never_a_wrong_answer() {
-    let (mixer, _told) = mixer("half", &[half_node, cue_node], ("", ""));
+fn a_partly_invalid_node_response_is_a_failed_part() {
+    let (mixer, _received) = mixer("half", &[half_node, cue_node], ("", ""));
     let mut client = mixer.client();
     for _ in 0..5 {
-        let (status, _, mut given) = asks(&mut client, "GET", "/cues/_search", "", "");
+        let (status, _, mut actual) = request(&mut client, "GET", "/cues/_search", "", "");
         assert_eq!(status, 200);
-        given["took"] = 0.into();
-        assert_eq!(given, truth(""));
+        actual["took"] = 0.into();
+        assert_eq!(actual, reference_answer(""));
     }
 }
 
-/// An edit goes to one shard, once; one whose node drops the connection after its last byte may have run.
+/// An edit goes to one shard, once. If the node closes the connection after it has read the whole edit, the
+/// edit may have run, so the client is not asked to retry either.
 #[test]
-fn an_edit_that_may_have_run_is_not_sent_again_nor_asked_for_again() {
-    let (sound, told) = mixer("edit", &[cue_node, cue_node], ("", ""));
+fn an_edit_that_may_have_run_is_neither_resent_nor_reported_retryable() {
+    let (healthy, received) = mixer("edit", &[cue_node, cue_node], ("", ""));
     let (status, _, body) =
-        asks(&mut sound.client(), "POST", "/cues/_update/c7", "", r#"{"doc":{"cue":"x"}}"#);
+        request(&mut healthy.client(), "POST", "/cues/_update/c7", "", r#"{"doc":{"cue":"x"}}"#);
     assert_eq!((status, &body["result"], &body["_id"]), (200, &"updated".into(), &"c7".into()));
-    let sent = |told: &[Receiver<(u8, String)>]| {
-        told.iter().flat_map(|told| told.try_iter()).filter(|(letter, _)| *letter == b'm').count()
+    let sent_parts = |received: &[Receiver<(u8, String)>]| {
+        received.iter().flat_map(|received| received.try_iter()).filter(|(letter, _)| *letter == b'm').count()
     };
-    assert_eq!(sent(&told), 1);
-    let (broken, told) = mixer("broken", &[dying, dying], ("", ""));
+    assert_eq!(sent_parts(&received), 1);
+    let (broken, received) = mixer("broken", &[dying, dying], ("", ""));
     for _ in 0..4 {
         let (status, _, body) =
-            asks(&mut broken.client(), "POST", "/cues/_update/c7", "", r#"{"doc":{"cue":"x"}}"#);
-        assert!(status != 429 && status != 503, "{status} asks for a second run: {body}");
+            request(&mut broken.client(), "POST", "/cues/_update/c7", "", r#"{"doc":{"cue":"x"}}"#);
+        assert!(status != 429 && status != 503, "{status} invites a retry: {body}");
     }
-    assert_eq!(sent(&told), 4, "each once");
+    assert_eq!(sent_parts(&received), 4, "each edit once");
 }
 
-#[test_case("POST", "/none/_search", "", 404, "index_not_found_exception"; "no index")]
-#[test_case("POST", "/cues/_search", r#"{"query":{"fuzzy":{}}}"#, 400, "parsing_exception"; "a query that is not spoken")]
-#[test_case("POST", "/cues/_search", r#"{"size":1,"size":2}"#, 400, "parsing_exception"; "a name twice")]
+#[test_case("POST", "/none/_search", "", 404, "index_not_found_exception"; "unknown index")]
+#[test_case("POST", "/cues/_search", r#"{"query":{"fuzzy":{}}}"#, 400, "parsing_exception"; "unsupported query")]
+#[test_case("POST", "/cues/_search", r#"{"size":1,"size":2}"#, 400, "parsing_exception"; "duplicate field")]
 #[test_case("POST", "/cues/_search", r#"{"from":10000}"#, 400, "illegal_argument_exception"; "deep paging")]
-#[test_case("DELETE", "/cues/_search", "", 405, "method_not_allowed_exception"; "a method")]
+#[test_case("DELETE", "/cues/_search", "", 405, "method_not_allowed_exception"; "method not allowed")]
 #[test_case("POST", "/whole/_update/a", r#"{"doc":{}}"#, 400, "illegal_argument_exception"; "an index without edits")]
-#[test_case("POST", "/_msearch", "{}\n{}", 400, "illegal_argument_exception"; "lines without an end")]
-#[test_case("GET", "/cues/_search?preference=_shards:9", "", 400, "illegal_argument_exception"; "no such shard")]
-fn what_makes_no_sense_is_refused_by_name(method: &str, target: &str, body: &str, status: u16, kind: &str) {
+#[test_case("POST", "/_msearch", "{}\n{}", 400, "illegal_argument_exception"; "missing final newline")]
+#[test_case("GET", "/cues/_search?preference=_shards:9", "", 400, "illegal_argument_exception"; "unknown shard")]
+fn invalid_requests_get_a_specific_error_type(
+    method: &str,
+    target: &str,
+    body: &str,
+    status: u16,
+    error_type: &str,
+) {
     let name = format!("senseless-{}-{}", status, target.len() + body.len());
-    let (mixer, _told) = mixer(&name, &[cue_node], ("", ""));
+    let (mixer, _received) = mixer(&name, &[cue_node], ("", ""));
     let mut client = mixer.client();
-    let (told, _, answer) = asks(&mut client, method, target, "", body);
-    assert_eq!((told, &answer["error"]["type"]), (status, &kind.into()), "{answer}");
-    let (after, ..) = asks(&mut client, "GET", "/_cluster/health", "", "");
-    assert_eq!(after, 200, "the connection goes on");
+    let (actual_status, _, answer) = request(&mut client, method, target, "", body);
+    assert_eq!((actual_status, &answer["error"]["type"]), (status, &error_type.into()), "{answer}");
+    let (next_status, ..) = request(&mut client, "GET", "/_cluster/health", "", "");
+    assert_eq!(next_status, 200, "the connection stays open");
 }
 
-/// A mixer before nodes that speak the dialect over HTTP/1.1; the last of them stands by a frame-speaking searcher's name.
-fn before_nodes(name: &str, ways: &[Way]) -> (Mixer, Vec<Receiver<Asked>>) {
-    let (addresses, told): (Vec<SocketAddr>, Vec<_>) = ways.iter().map(|way| node(*way)).unzip();
+/// A mixer with nodes that serve the query API over HTTP/1.1 in place of searchers that speak the frame
+/// protocol.
+fn mixer_with_nodes(name: &str, behaviours: &[Way]) -> (Mixer, Vec<Receiver<Asked>>) {
+    let (addresses, received): (Vec<SocketAddr>, Vec<_>) =
+        behaviours.iter().map(|behaviour| node(*behaviour)).unzip();
     let (at, known) = (free_address(), list(&addresses));
     let orders = file(&format!("node-{name}.json"), &orders(&at.to_string(), agent(known.clone()), &known));
-    let operator = file(&format!("node-{name}.json5"), &RULES.replace("indices:", "nodes: ['s*'], indices:"));
-    (start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at), told)
+    let operator =
+        file(&format!("node-{name}.json5"), &OPERATOR_CONFIG.replace("indices:", "nodes: ['s*'], indices:"));
+    (start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at), received)
 }
 
-const SOUND: Way = Way::Answers(Manner::Sound);
+const HEALTHY_NODE: Way = Way::Answers(Manner::Sound);
 
 #[test]
-fn nodes_are_asked_in_their_own_words_one_shard_at_a_time_with_the_time_left() {
-    let (mixer, told) = before_nodes("sound", &[SOUND, Way::Closes]);
+fn nodes_get_one_query_per_shard_with_the_remaining_time() {
+    let (mixer, received) = mixer_with_nodes("sound", &[HEALTHY_NODE, Way::Closes]);
     let mut client = mixer.client();
     for body in ["", r#"{"query":{"match":{"cue":"amor luz"}},"from":2,"size":9,"sort":"at"}"#] {
-        let (status, _, mut given) = asks(&mut client, "POST", "/cues/_search?timeout=1500ms", "", body);
-        assert_eq!(status, 200, "{given}");
-        given["took"] = 0.into();
-        assert_eq!(given, truth(body));
+        let (status, _, mut actual) = request(&mut client, "POST", "/cues/_search?timeout=1500ms", "", body);
+        assert_eq!(status, 200, "{actual}");
+        actual["took"] = 0.into();
+        assert_eq!(actual, reference_answer(body));
     }
-    let (_, _, nodes) = asks(&mut client, "GET", "/_cat/nodes?format=json", "", "");
+    let (_, _, nodes) = request(&mut client, "GET", "/_cat/nodes?format=json", "", "");
     assert!(nodes.as_array().unwrap().iter().any(|node| node["speaks"] == "dialect-2.11.0"), "{nodes}");
-    let asked: Vec<Asked> = told.iter().flat_map(|told| told.try_iter()).collect();
-    assert_eq!(asked.len(), 8);
-    for (_, target, _, _) in &asked {
+    let requests: Vec<Asked> = received.iter().flat_map(|received| received.try_iter()).collect();
+    assert_eq!(requests.len(), 8);
+    for (_, target, _, _) in &requests {
         let timeout = target.split("timeout=").nth(1).and_then(|rest| rest.strip_suffix("ms"));
         let timeout: u64 = timeout.and_then(|millis| millis.parse().ok()).unwrap();
         assert!(timeout > 0 && timeout <= 1_500, "{target}");
     }
-    let (status, _, body) =
-        asks(&mut client, "POST", "/cues/_update/a%2Fb", "Idempotency-Key: k7\r\n", r#"{"doc":{"cue":"x"}}"#);
+    let (status, _, body) = request(
+        &mut client,
+        "POST",
+        "/cues/_update/a%2Fb",
+        "Idempotency-Key: k7\r\n",
+        r#"{"doc":{"cue":"x"}}"#,
+    );
     assert_eq!((status, &body["_id"]), (200, &"a/b".into()), "{body}");
-    let (_, target, head, body) = told.iter().find_map(|told| told.try_iter().next()).unwrap();
+    let (_, target, head, body) = received.iter().find_map(|received| received.try_iter().next()).unwrap();
     assert!(
         target.starts_with("/cues/_update/a%2Fb?timeout=") && head.contains("Idempotency-Key: k7"),
         "{target} {head}"
@@ -195,175 +222,178 @@
     assert_eq!(body, r#"{"doc":{"cue":"x"}}"#);
 }
 
-/// Whatever a node does, its part goes to the other one and none of what it said is in the answer.
-#[test_case(Way::Answers(Manner::AllShards); "passes over preference")]
-#[test_case(Way::Answers(Manner::Page); "an error page for an answer")]
-#[test_case(Way::Answers(Manner::CutShort); "a body cut short")]
-#[test_case(Way::Answers(Manner::UnknownField); "another version")]
+/// However a node fails, its part goes to another one and nothing it sent is in the answer.
+#[test_case(Way::Answers(Manner::AllShards); "ignores the preference parameter")]
+#[test_case(Way::Answers(Manner::Page); "an error page as an answer")]
+#[test_case(Way::Answers(Manner::CutShort); "a truncated body")]
+#[test_case(Way::Answers(Manner::UnknownField); "an unknown field")]
 #[test_case(Way::Full; "a full queue")]
 #[test_case(Way::Status(500); "an error")]
-#[test_case(Way::Status(302); "a status that is not known")]
-#[test_case(Way::ResetsAfter; "a connection that ends")]
-#[test_case(Way::ResetsAmid; "an answer that ends amid")]
-#[test_case(Way::Endless; "chunks without end")]
-#[test_case(Way::Open { resets: true }; "an answer of no length that is reset")]
-fn a_failing_node_is_a_failed_part(way: Way) {
-    let name: String = format!("{way:?}").chars().filter(char::is_ascii_alphanumeric).collect();
-    let (mixer, _told) = before_nodes(&name, &[way, SOUND, SOUND]);
+#[test_case(Way::Status(302); "an unsupported status")]
+#[test_case(Way::ResetsAfter; "a connection reset before the answer")]
+#[test_case(Way::ResetsAmid; "a connection reset during the answer")]
+#[test_case(Way::Endless; "endless chunks")]
+#[test_case(Way::Open { resets: true }; "a connection reset during an answer without a length")]
+fn a_failing_node_is_a_failed_part(behaviour: Way) {
+    let name: String = format!("{behaviour:?}").chars().filter(char::is_ascii_alphanumeric).collect();
+    let (mixer, _received) = mixer_with_nodes(&name, &[behaviour, HEALTHY_NODE, HEALTHY_NODE]);
     let mut client = mixer.client();
     for _ in 0..4 {
-        let (status, _, mut given) = asks(&mut client, "GET", "/cues/_search", "", "");
-        assert_eq!(status, 200, "{given}");
-        assert_eq!(given["_shards"]["failed"], 0, "{given}");
-        given["took"] = 0.into();
-        assert_eq!(given, truth(""));
+        let (status, _, mut actual) = request(&mut client, "GET", "/cues/_search", "", "");
+        assert_eq!(status, 200, "{actual}");
+        assert_eq!(actual["_shards"]["failed"], 0, "{actual}");
+        actual["took"] = 0.into();
+        assert_eq!(actual, reference_answer(""));
     }
 }
 
-/// Silence is found by time: it may cost scans their answer until it is, and never gives a wrong one.
+/// A silent node is detected only by timeouts. Until then scans may go unanswered, but no answer is ever
+/// wrong.
 #[test]
-fn a_silent_node_costs_time_and_no_wrong_answer() {
-    let (mixer, _told) = before_nodes("silent", &[Way::Mute, SOUND, SOUND]);
+fn a_silent_node_delays_answers_but_never_falsifies_them() {
+    let (mixer, _received) = mixer_with_nodes("silent", &[Way::Mute, HEALTHY_NODE, HEALTHY_NODE]);
     let mut client = mixer.client();
     let mut served = 0;
     for _ in 0..6 {
-        let (status, _, mut given) = asks(&mut client, "GET", "/cues/_search", "", "");
-        assert!(matches!(status, 200 | 429), "{given}");
+        let (status, _, mut actual) = request(&mut client, "GET", "/cues/_search", "", "");
+        assert!(matches!(status, 200 | 429), "{actual}");
         if status == 200 {
-            given["took"] = 0.into();
-            assert_eq!(given, truth(""));
+            actual["took"] = 0.into();
+            assert_eq!(actual, reference_answer(""));
             served += 1;
         }
     }
     assert!(served >= 3, "{served} of 6");
 }
 
-/// An edit whose node resets after the last byte, amid its answer, or says what can't be used: it may have run.
-#[test_case(Way::ResetsAfter, 502; "after its last byte")]
-#[test_case(Way::ResetsAmid, 502; "amid the answer")]
+/// An edit may have run if its node resets the connection after reading it or during the answer, or sends an
+/// unusable answer. Only an edit that was refused by a full queue is sent again.
+#[test_case(Way::ResetsAfter, 502; "reset after the request")]
+#[test_case(Way::ResetsAmid, 502; "reset during the answer")]
 #[test_case(Way::Answers(Manner::Sound), 200; "saved")]
-#[test_case(Way::Open { resets: false }, 200; "saved, and no length told")]
-#[test_case(Way::Open { resets: true }, 502; "no length told, and reset")]
-#[test_case(Way::Status(503), 502; "an error that may have come late")]
-#[test_case(Way::Full, 429; "none took it: it has not run")]
-fn an_edit_is_sent_once_to_nodes_unless_it_never_ran(way: Way, status: u16) {
-    let name: String = format!("edit{way:?}").chars().filter(char::is_ascii_alphanumeric).collect();
-    let (mixer, told) = before_nodes(&name, &[way, way]);
-    let (got, _, body) = asks(&mut mixer.client(), "POST", "/cues/_update/c1", "", r#"{"doc":{"cue":"x"}}"#);
-    assert_eq!(got, status, "{body}");
-    let sent = told.iter().flat_map(|told| told.try_iter()).count();
-    assert_eq!(sent, if way == Way::Full { 2 } else { 1 });
+#[test_case(Way::Open { resets: false }, 200; "saved, response without a length")]
+#[test_case(Way::Open { resets: true }, 502; "reset during a response without a length")]
+#[test_case(Way::Status(503), 502; "an error that may follow the effect")]
+#[test_case(Way::Full, 429; "refused by all nodes, so it has not run")]
+fn an_edit_is_resent_to_nodes_only_if_it_cannot_have_run(behaviour: Way, status: u16) {
+    let name: String = format!("edit{behaviour:?}").chars().filter(char::is_ascii_alphanumeric).collect();
+    let (mixer, received) = mixer_with_nodes(&name, &[behaviour, behaviour]);
+    let (actual_status, _, body) =
+        request(&mut mixer.client(), "POST", "/cues/_update/c1", "", r#"{"doc":{"cue":"x"}}"#);
+    assert_eq!(actual_status, status, "{body}");
+    let sent_requests = received.iter().flat_map(|received| received.try_iter()).count();
+    assert_eq!(sent_requests, if behaviour == Way::Full { 2 } else { 1 });
 }
 
-/// The platform's own scans are never sent to a node that could not read them.
+/// Scans of the native API are never sent to a node that speaks only the query API.
 #[test]
-fn a_platforms_scan_finds_no_node_of_the_dialect() {
-    let (mixer, told) = before_nodes("mixed", &[SOUND]);
+fn native_scans_are_not_sent_to_query_api_nodes() {
+    let (mixer, received) = mixer_with_nodes("mixed", &[HEALTHY_NODE]);
     let mut client = mixer.client();
     say(&mut client, fernglade_standins::client::scan("a", &[0]));
     assert_eq!(answer(&mut client).0, 503);
-    assert_eq!(told[0].try_iter().count(), 0);
+    assert_eq!(received[0].try_iter().count(), 0);
 }
 
-/// A hundred searches in one request, of which three are bad and two have no time.
+/// One request with a hundred searches: three are invalid and two have no time left.
 #[test]
-fn many_searches_are_answered_in_order_and_a_bad_one_spoils_no_other() {
-    let (mixer, _told) = mixer("many", &[cue_node, cue_node], ("", ""));
-    let line = |number: usize| match number {
+fn multi_search_answers_in_order_and_isolates_invalid_searches() {
+    let (mixer, _received) = mixer("many", &[cue_node, cue_node], ("", ""));
+    let search = |number: usize| match number {
         7 => "{}\n{\"size\":-1}\n".to_string(),
         50 => "{\"index\":\"none\"}\n{}\n".into(),
         99 => "{\"index\":\"*\"}\n{}\n".into(),
         20 | 80 => "{}\n{\"timeout\":\"1us\"}\n".into(),
         number => format!("{{}}\n{{\"size\":{}}}\n", number % 5),
     };
-    let body: String = (0..100).map(line).collect();
+    let body: String = (0..100).map(search).collect();
     let mut client = mixer.client();
-    let (status, _, answer) = asks(&mut client, "POST", "/cues/_msearch", "", &body);
+    let (status, _, answer) = request(&mut client, "POST", "/cues/_msearch", "", &body);
     assert_eq!(status, 200);
     let responses = answer["responses"].as_array().unwrap();
     assert_eq!(responses.len(), 100);
-    for (number, one) in responses.iter().enumerate() {
+    for (number, response) in responses.iter().enumerate() {
         let expected = match number {
             7 => 400,
             50 | 99 => 404,
             20 | 80 => 429,
             _ => 200,
         };
-        assert_eq!(one["status"], expected, "{number}: {one}");
+        assert_eq!(response["status"], expected, "{number}: {response}");
         if expected == 200 {
-            assert_eq!(one["hits"]["hits"].as_array().unwrap().len(), number % 5);
+            assert_eq!(response["hits"]["hits"].as_array().unwrap().len(), number % 5);
         }
     }
-    let (_, _, nodes) = asks(&mut client, "GET", "/_cat/nodes?format=json", "", "");
+    let (_, _, nodes) = request(&mut client, "GET", "/_cat/nodes?format=json", "", "");
     assert_eq!((nodes.as_array().unwrap().len(), &nodes[0]["speaks"]), (2, &"frames".into()));
-    let (status, _, _) = asks(&mut client, "GET", "/_cat/shards", "", "");
-    assert_eq!(status, 200, "lines of text");
+    let (status, _, _) = request(&mut client, "GET", "/_cat/shards", "", "");
+    assert_eq!(status, 200, "plain text");
 }
 
-/// A client that leaves between two of its searches: the next is never sent.
+/// When a client disconnects during a multi-search, its remaining searches are not sent.
 #[test]
-fn a_client_that_leaves_amid_its_searches_ends_them() {
-    let (mixer, told) = mixer("leaves", &[fernglade_standins::searcher::mute], ("", ""));
+fn a_disconnect_during_a_multi_search_ends_it() {
+    let (mixer, received) = mixer("leaves", &[fernglade_standins::searcher::mute], ("", ""));
     let mut client = mixer.client();
     let body = "{}\n{\"timeout\":\"300ms\"}\n".repeat(4);
     say(&mut client, format!("POST /cues/_msearch HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
-    let first = told[0].recv_timeout(fernglade_standins::PATIENCE).unwrap();
+    let first = received[0].recv_timeout(fernglade_standins::PATIENCE).unwrap();
     assert_eq!(first.0, b'm');
     drop(client);
-    let mut after = mixer.client();
-    let ids = |told: &Receiver<(u8, String)>| {
-        let calls = told.try_iter().filter(|(letter, _)| *letter == b'm');
+    let mut next_client = mixer.client();
+    let scan_ids = |received: &Receiver<(u8, String)>| {
+        let calls = received.try_iter().filter(|(letter, _)| *letter == b'm');
         calls
             .map(|(_, rest)| rest.split('.').next().unwrap_or_default().to_string())
             .collect::<std::collections::BTreeSet<_>>()
     };
     std::thread::sleep(std::time::Duration::from_millis(700));
-    let sent = ids(&told[0]);
+    let sent = scan_ids(&received[0]);
     assert!(sent.len() <= 1, "no scan after the first: {sent:?}");
-    assert_eq!(asks(&mut after, "GET", "/_cluster/health", "", "").0, 200);
+    assert_eq!(request(&mut next_client, "GET", "/_cluster/health", "", "").0, 200);
 }
 
-/// The same mix through both doors on sockets: before the same searchers, the same verdicts.
+/// The same queries through the native API and the query API, with the same searchers, have the same outcome.
 #[test]
-fn both_doors_come_to_the_same_verdicts_on_sockets() {
-    let (mixer, _told) = mixer("both", &[cue_node, odd_node, cue_node], ("", ""));
+fn native_and_query_api_have_the_same_outcomes() {
+    let (mixer, _received) = mixer("both", &[cue_node, odd_node, cue_node], ("", ""));
     let mut clients = [mixer.client(), mixer.client()];
     let search = r#"{"query":{"match_all":{}},"size":3}"#;
     for number in 0..30u32 {
         let shards: Vec<u32> =
             (0..4).filter(|shard| number & (1 << shard) != 0 || *shard == number % 4).collect();
-        let words: Vec<String> = shards.iter().map(u32::to_string).collect();
-        let platform = fernglade_standins::client::scan_for(
+        let shard_list: Vec<String> = shards.iter().map(u32::to_string).collect();
+        let native_scan = fernglade_standins::client::scan_for(
             &search.replace('"', "\\\""),
             &format!("b{number}"),
             &shards,
         );
-        say(&mut clients[0], platform);
+        say(&mut clients[0], native_scan);
         let (status, _, body) = answer(&mut clients[0]);
-        let target = format!("/cues/_search?preference=_shards:{}", words.join(","));
-        let (dialect, _, found) = asks(&mut clients[1], "POST", &target, "", search);
-        assert_eq!((status, dialect), (200, 200), "{body} {found}");
+        let target = format!("/cues/_search?preference=_shards:{}", shard_list.join(","));
+        let (search_status, _, response) = request(&mut clients[1], "POST", &target, "", search);
+        assert_eq!((status, search_status), (200, 200), "{body} {response}");
         assert!(body.contains("\"total\":true"), "{body}");
         assert_eq!(
-            (&found["_shards"]["total"], &found["_shards"]["failed"]),
+            (&response["_shards"]["total"], &response["_shards"]["failed"]),
             (&shards.len().into(), &0.into())
         );
     }
 }
 
-/// A further listener serves as the first does, and is stopped with it.
+/// A second listener serves the same requests as the first and shuts down with it.
 #[test]
-fn a_further_listener_serves_both_kinds() {
-    let (addresses, _told) = searcher(cue_node);
-    let (at, further, known) = (free_address(), free_address(), list(&[addresses]));
+fn a_second_listener_serves_both_apis() {
+    let (searcher_address, _received) = searcher(cue_node);
+    let (at, second, known) = (free_address(), free_address(), list(&[searcher_address]));
     let orders = file("dialect-further.json", &orders(&at.to_string(), agent(known.clone()), &known));
-    let rules = RULES.replace("indices:", &format!("listen: '{further}', indices:"));
-    let operator = file("dialect-further.json5", &rules);
+    let operator_config = OPERATOR_CONFIG.replace("indices:", &format!("listen: '{second}', indices:"));
+    let operator = file("dialect-further.json5", &operator_config);
     let mut mixer = start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at);
-    for listens in [at, further] {
-        let mut client = fernglade_standins::client::client(listens);
-        assert_eq!(asks(&mut client, "GET", "/cues/_search", "", "").0, 200);
-        say(&mut client, fernglade_standins::client::scan(&format!("f{}", listens.ip()), &[0]));
+    for listener in [at, second] {
+        let mut client = fernglade_standins::client::client(listener);
+        assert_eq!(request(&mut client, "GET", "/cues/_search", "", "").0, 200);
+        say(&mut client, fernglade_standins::client::scan(&format!("f{}", listener.ip()), &[0]));
         assert_eq!(answer(&mut client).0, 200);
     }
     mixer.signal("-TERM");
--- a/crates/mixer/tests/door.rs
+++ b/crates/mixer/tests/door.rs
@@ -1,5 +1,6 @@
-//! The door of the built program, with few descriptors, before crowds. Judged by what comes and in which order;
-//! the crowds are bounded, and the time-outs only keep a failure from hanging.
+//! Tests of admission control in the built mixer with few descriptors and floods of connections. They check
+//! which responses arrive and in which order; the floods are bounded, and timeouts only keep a failing test
+//! from hanging.
 
 use fernglade_standins::child::{file, free_address, orders, start, Mixer};
 use fernglade_standins::client::{
@@ -17,190 +18,207 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-const RULES: &str =
+const ADMISSION_RULES: &str =
     "{ admission: { per_address: 20, kept: 0.25, known: ['127.9.0.0/16'], retry_after: '250ms' } }";
 
-const CROWD: Bounds = Bounds { threads: 2, opened: 20_000, held: 500, time: Duration::from_secs(10) };
+const FLOOD: Bounds = Bounds { threads: 2, opened: 20_000, held: 500, time: Duration::from_secs(10) };
 
-fn editor(n: u8) -> IpAddr {
+fn known_address(n: u8) -> IpAddr {
     Ipv4Addr::new(127, 9, 0, n).into()
 }
 
-/// A mixer that may hold so many descriptors, before searchers with these habits.
+/// A mixer with this limit on open descriptors and one searcher per listed behaviour.
 fn mixer(
     name: &str,
-    held: usize,
-    rules: Option<&str>,
+    descriptor_limit: usize,
+    operator_config: Option<&str>,
     habits: &[Habit],
 ) -> (Mixer, Vec<Receiver<(u8, String)>>) {
-    let (addresses, told): (Vec<SocketAddr>, Vec<_>) = habits.iter().map(|habit| searcher(*habit)).unzip();
-    let (at, known) = (free_address(), list(&addresses));
-    let orders = file(&format!("door-{name}.json"), &orders(&at.to_string(), agent(known.clone()), &known));
-    let operator = rules.map(|text| file(&format!("door-{name}.json5"), text));
+    let (addresses, received): (Vec<SocketAddr>, Vec<_>) =
+        habits.iter().map(|habit| searcher(*habit)).unzip();
+    let (listen_address, known) = (free_address(), list(&addresses));
+    let orders = file(
+        &format!("door-{name}.json"),
+        &orders(&listen_address.to_string(), agent(known.clone()), &known),
+    );
+    let operator = operator_config.map(|text| file(&format!("door-{name}.json5"), text));
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    (start(program, held, orders, operator, at), told)
+    (start(program, descriptor_limit, orders, operator, listen_address), received)
 }
 
-/// How often each part went out, by its id.
-fn sent(told: &[Receiver<(u8, String)>]) -> BTreeMap<String, usize> {
-    let calls = told.iter().flat_map(|told| told.try_iter()).filter(|(letter, _)| *letter == b'm');
-    let mut sent = BTreeMap::new();
+/// How often each part was sent, by part id.
+fn sent_counts(received: &[Receiver<(u8, String)>]) -> BTreeMap<String, usize> {
+    let calls =
+        received.iter().flat_map(|received| received.try_iter()).filter(|(letter, _)| *letter == b'm');
+    let mut sent_counts = BTreeMap::new();
     calls.for_each(|(_, rest)| {
-        *sent.entry(rest.split(' ').next().unwrap_or_default().into()).or_default() += 1
+        *sent_counts.entry(rest.split(' ').next().unwrap_or_default().into()).or_default() += 1
     });
-    sent
+    sent_counts
 }
 
-/// Editors come one after another while a crowd pushes; each asks, and each is served.
+/// Clients of a known prefix connect one after another during a flood of connections; each is served.
 #[test_case(From::One(Ipv4Addr::new(127, 99, 0, 1)); "one address that opens thousands")]
 #[test_case(From::Many; "thousands of addresses that open one each")]
-fn known_clients_are_served_before_any_crowd(from: From) {
+fn known_clients_are_served_during_a_flood(from: From) {
     let name = if matches!(from, From::Many) { "many" } else { "one" };
-    let (mixer, told) = mixer(name, 96, Some(RULES), &[good]);
-    let crowd = Crowd::gather(mixer.at, from, CROWD);
+    let (mixer, received) = mixer(name, 96, Some(ADMISSION_RULES), &[good]);
+    let flood = Crowd::gather(mixer.at, from, FLOOD);
     for n in 0..150u8 {
-        // Each behind so many of the crowd.
-        crowd.await_opened(20 * usize::from(n));
-        let mut asks = client_from(editor(n), mixer.at);
-        say(&mut asks, scan_of("fix", "edit", &format!("e{n}"), &[0]));
-        let (status, _, body) = answer(&mut asks);
+        // The next client connects behind this many connections of the flood.
+        flood.await_opened(20 * usize::from(n));
+        let mut client = client_from(known_address(n), mixer.at);
+        say(&mut client, scan_of("fix", "edit", &format!("e{n}"), &[0]));
+        let (status, _, body) = answer(&mut client);
         assert!(status == 200 && body.contains(&format!("of e{n}.0")), "{n}: {status} {body}");
     }
-    crowd.leave();
-    let sent = sent(&told);
-    assert!(sent.len() == 150 && sent.values().all(|times| *times == 1), "no second effect");
+    flood.leave();
+    let sent_counts = sent_counts(&received);
+    assert!(
+        sent_counts.len() == 150 && sent_counts.values().all(|times| *times == 1),
+        "no edit is sent twice"
+    );
     let (descriptors, _, memory) = mixer.descriptors_time_memory();
     assert!(descriptors <= 96 && memory < 24 * 1024, "{descriptors} descriptors, {memory} KB");
 }
 
-/// Without any rules one address displaces only itself.
+/// Without an operator file, a flood from one address evicts only connections of that address.
 #[test]
-fn a_client_from_elsewhere_finds_a_place_beside_a_crowd_of_one_address() {
-    let (mixer, _told) = mixer("bare", 96, None, &[good]);
-    let crowd = Crowd::gather(mixer.at, From::One(Ipv4Addr::new(127, 99, 0, 1)), CROWD);
+fn other_clients_are_admitted_during_a_flood_from_one_address() {
+    let (mixer, _received) = mixer("bare", 96, None, &[good]);
+    let flood = Crowd::gather(mixer.at, From::One(Ipv4Addr::new(127, 99, 0, 1)), FLOOD);
     for n in 0..100u8 {
-        crowd.await_opened(20 * usize::from(n));
-        let mut asks = client_from(Ipv4Addr::new(127, 50, 0, n).into(), mixer.at);
-        say(&mut asks, scan(&format!("s{n}"), &[0]));
-        assert_eq!(answer(&mut asks).0, 200);
+        flood.await_opened(20 * usize::from(n));
+        let mut client = client_from(Ipv4Addr::new(127, 50, 0, n).into(), mixer.at);
+        say(&mut client, scan(&format!("s{n}"), &[0]));
+        assert_eq!(answer(&mut client).0, 200);
     }
-    crowd.leave();
+    flood.leave();
 }
 
-/// Scans that were taken are answered once, by editors that came while all places were waiting on scans or half
-/// asked; and who came over its cap has heard so.
+/// While connections wait for answers or for the rest of a request, accepted edits are each answered and sent
+/// once, a client over its connection limit gets a 503 with `Retry-After`, and a known client is still served.
 #[test]
-fn every_scan_taken_has_its_one_answer_and_who_is_over_the_cap_is_told() {
-    let (mixer, told) = mixer("cap", 96, Some(RULES), &[slow]);
-    let one: IpAddr = Ipv4Addr::new(127, 60, 0, 1).into();
-    let mut clients: Vec<Client> = (0..20).map(|_| client_from(one, mixer.at)).collect();
-    for (n, asks) in clients.iter_mut().enumerate().take(10) {
-        say(asks, scan_of("fix", "edit", &format!("c{n}"), &[(n % 4) as u32]));
+fn accepted_edits_are_answered_once_and_clients_over_the_limit_are_rejected() {
+    let (mixer, received) = mixer("cap", 96, Some(ADMISSION_RULES), &[slow]);
+    let address: IpAddr = Ipv4Addr::new(127, 60, 0, 1).into();
+    let mut clients: Vec<Client> = (0..20).map(|_| client_from(address, mixer.at)).collect();
+    for (n, client) in clients.iter_mut().enumerate().take(10) {
+        say(client, scan_of("fix", "edit", &format!("c{n}"), &[(n % 4) as u32]));
     }
-    let mut over = client_from(one, mixer.at);
-    let (status, head, _) = answer(&mut over);
+    let mut over_limit = client_from(address, mixer.at);
+    let (status, head, _) = answer(&mut over_limit);
     assert_eq!(status, 503);
     assert!(head.contains("Connection: close") && head.contains("Retry-After: 0.250"), "{head}");
-    assert_eq!(over.read(&mut [0]).unwrap(), 0);
-    let mut known = client_from(editor(1), mixer.at);
-    say(&mut known, HEALTH);
-    assert_eq!(answer(&mut known).0, 200);
-    for asks in &mut clients[..10] {
-        assert!(matches!(answer(asks).0, 200 | 502 | 503));
+    assert_eq!(over_limit.read(&mut [0]).unwrap(), 0);
+    let mut known_client = client_from(known_address(1), mixer.at);
+    say(&mut known_client, HEALTH);
+    assert_eq!(answer(&mut known_client).0, 200);
+    for client in &mut clients[..10] {
+        assert!(matches!(answer(client).0, 200 | 502 | 503));
     }
-    let sent = sent(&told);
-    assert!(sent.values().all(|times| *times == 1), "{sent:?}");
+    let sent_counts = sent_counts(&received);
+    assert!(sent_counts.values().all(|times| *times == 1), "{sent_counts:?}");
 }
 
-/// One that never reads its refusal, and one that is still sending.
+/// Rejected clients that never read the response, and one that is still sending its request.
 #[test]
-fn a_refusal_is_given_at_once_and_whoever_does_not_fetch_it_is_let_go() {
-    let (mixer, _told) = mixer("refusal", 96, Some(RULES), &[good]);
-    let one: IpAddr = Ipv4Addr::new(127, 60, 0, 1).into();
-    let mut held: Vec<Client> = (0..20).map(|_| client_from(one, mixer.at)).collect();
-    say(&mut held[19], HEALTH);
-    answer(&mut held[19]);
+fn rejections_are_immediate_and_unread_ones_are_closed() {
+    let (mixer, _received) = mixer("refusal", 96, Some(ADMISSION_RULES), &[good]);
+    let address: IpAddr = Ipv4Addr::new(127, 60, 0, 1).into();
+    let mut open_clients: Vec<Client> = (0..20).map(|_| client_from(address, mixer.at)).collect();
+    say(&mut open_clients[19], HEALTH);
+    answer(&mut open_clients[19]);
     let (before, ..) = mixer.descriptors_time_memory();
-    let deaf: Vec<_> = (0..200).map(|_| connect_from(one, mixer.at, PATIENCE).unwrap()).collect();
+    let unread: Vec<_> = (0..200).map(|_| connect_from(address, mixer.at, PATIENCE).unwrap()).collect();
     let (meanwhile, ..) = mixer.descriptors_time_memory();
-    assert!(meanwhile <= before + 4, "those who are told: {before}, {meanwhile}");
-    let mut sends = client_from(one, mixer.at);
-    let _ = std::io::Write::write_all(sends.get_mut(), &[b'x'; 3000]);
-    assert_eq!(answer(&mut sends).0, 503, "also while it is sending");
-    let began = Instant::now();
+    assert!(meanwhile <= before + 4, "descriptors of rejected connections: {before}, {meanwhile}");
+    let mut sending_client = client_from(address, mixer.at);
+    let _ = std::io::Write::write_all(sending_client.get_mut(), &[b'x'; 3000]);
+    assert_eq!(answer(&mut sending_client).0, 503, "rejected while still sending");
+    let started = Instant::now();
     while mixer.descriptors_time_memory().0 > before {
-        assert!(began.elapsed() < PATIENCE, "they are never let go");
+        assert!(started.elapsed() < PATIENCE, "the rejected connections are not closed");
         std::thread::sleep(Duration::from_millis(20));
     }
-    drop((held, deaf));
+    drop((open_clients, unread));
 }
 
-/// Descriptors that the system takes away, and links that are replaced all the while with scans open.
-#[test_case(40; "hardly enough to serve")]
-#[test_case(64; "a quarter of what is stated")]
-fn where_descriptors_run_dry_scans_are_answered_and_the_door_recovers(held: usize) {
-    let (mixer, told) = mixer(&format!("dry-{held}"), held, None, &[dying, good, mute]);
-    let crowd = Crowd::gather(mixer.at, From::One(Ipv4Addr::new(127, 99, 0, 1)), CROWD);
+/// The system limit on descriptors is below the configured one, and connections to searchers keep breaking
+/// with scans in flight.
+#[test_case(40; "barely enough to serve")]
+#[test_case(64; "a quarter of the configured limit")]
+fn scans_are_answered_under_descriptor_exhaustion_and_admission_recovers(descriptor_limit: usize) {
+    let (mixer, received) =
+        mixer(&format!("dry-{descriptor_limit}"), descriptor_limit, None, &[dying, good, mute]);
+    let flood = Crowd::gather(mixer.at, From::One(Ipv4Addr::new(127, 99, 0, 1)), FLOOD);
     for n in 0..60u8 {
-        let mut asks = client_from(Ipv4Addr::new(127, 50, 1, n).into(), mixer.at);
-        say(&mut asks, scan_of("fix", "edit", &format!("d{n}"), &[u32::from(n) % 4]));
-        let answered = try_answer(&mut asks).expect("one final answer");
-        assert!(matches!(answered.0, 200 | 502 | 503), "{answered:?}");
+        let mut client = client_from(Ipv4Addr::new(127, 50, 1, n).into(), mixer.at);
+        say(&mut client, scan_of("fix", "edit", &format!("d{n}"), &[u32::from(n) % 4]));
+        let response = try_answer(&mut client).expect("one final response");
+        assert!(matches!(response.0, 200 | 502 | 503), "{response:?}");
     }
-    crowd.leave();
-    let sent = sent(&told);
-    assert!(sent.values().all(|times| *times == 1), "an edit that may have run went out again: {sent:?}");
-    let mut after = client_from(Ipv4Addr::new(127, 50, 2, 1).into(), mixer.at);
-    say(&mut after, HEALTH);
-    assert_eq!(answer(&mut after).0, 200);
+    flood.leave();
+    let sent_counts = sent_counts(&received);
+    assert!(
+        sent_counts.values().all(|times| *times == 1),
+        "an edit that may have run was sent again: {sent_counts:?}"
+    );
+    let mut next_client = client_from(Ipv4Addr::new(127, 50, 2, 1).into(), mixer.at);
+    say(&mut next_client, HEALTH);
+    assert_eq!(answer(&mut next_client).0, 200);
     let (descriptors, time, _) = mixer.descriptors_time_memory();
-    assert!(descriptors <= held && time < 600, "{descriptors} descriptors, {time}0 ms");
+    assert!(descriptors <= descriptor_limit && time < 600, "{descriptors} descriptors, {time}0 ms");
 }
 
-/// SIGHUP in the middle of a flood: wrong rules change nothing, good ones hold at once, and a cap lowered below what is
-/// held sends off what is idle.
+/// SIGHUP during a flood: invalid rules change nothing, valid ones apply at once, and lowering the limit per
+/// address below the current count closes idle connections.
 #[test]
-fn rules_change_in_the_middle_of_a_flood() {
-    let (mixer, _told) = mixer("hup", 128, Some(RULES), &[good]);
-    let crowd = Crowd::gather(mixer.at, From::Many, CROWD);
-    let one = editor(7);
-    let mut clients: Vec<Client> = (0..10).map(|_| client_from(one, mixer.at)).collect();
-    for asks in &mut clients {
-        say(asks, HEALTH);
-        assert_eq!(answer(asks).0, 200);
+fn admission_rules_reload_during_a_flood() {
+    let (mixer, _received) = mixer("hup", 128, Some(ADMISSION_RULES), &[good]);
+    let flood = Crowd::gather(mixer.at, From::Many, FLOOD);
+    let address = known_address(7);
+    let mut clients: Vec<Client> = (0..10).map(|_| client_from(address, mixer.at)).collect();
+    for client in &mut clients {
+        say(client, HEALTH);
+        assert_eq!(answer(client).0, 200);
     }
-    for wrong in ["{ admission: { per_adress: 2 } }", "{", "{ admission: { kept: 7 } }"] {
-        std::fs::write(&mixer.files[1], wrong).unwrap();
+    for invalid in ["{ admission: { per_adress: 2 } }", "{", "{ admission: { kept: 7 } }"] {
+        std::fs::write(&mixer.files[1], invalid).unwrap();
         mixer.signal("-HUP");
         say(&mut clients[0], HEALTH);
-        assert_eq!(answer(&mut clients[0]).0, 200, "the old rules stand");
+        assert_eq!(answer(&mut clients[0]).0, 200, "the old rules stay in force");
     }
-    let lower = RULES.replace("per_address: 20", "per_address: 2");
-    std::fs::write(&mixer.files[1], lower).unwrap();
+    let lower_limit = ADMISSION_RULES.replace("per_address: 20", "per_address: 2");
+    std::fs::write(&mixer.files[1], lower_limit).unwrap();
     mixer.signal("-HUP");
-    let ended = clients.iter_mut().skip(1).take(8).map(|asks| asks.read(&mut [0]));
-    assert_eq!(ended.filter(|read| matches!(read, Ok(0))).count(), 8, "the longest idle of it");
-    let mut stays = reader(clients.pop().unwrap().into_inner());
-    say(&mut stays, HEALTH);
-    assert_eq!(answer(&mut stays).0, 200);
-    crowd.leave();
+    let ended = clients.iter_mut().skip(1).take(8).map(|client| client.read(&mut [0]));
+    assert_eq!(
+        ended.filter(|read| matches!(read, Ok(0))).count(),
+        8,
+        "the longest idle connections are closed"
+    );
+    let mut kept = reader(clients.pop().unwrap().into_inner());
+    say(&mut kept, HEALTH);
+    assert_eq!(answer(&mut kept).0, 200);
+    flood.leave();
 }
 
 #[test]
-fn told_to_stop_in_the_middle_of_a_flood_it_answers_what_it_took_and_ends() {
-    let (mut mixer, told) = mixer("term", 96, Some(RULES), &[slow]);
-    let mut open = client_from(editor(1), mixer.at);
-    say(&mut open, scan_of("fix", "edit", "open", &[0]));
-    told[0].recv_timeout(PATIENCE).unwrap();
-    let crowd = Crowd::gather(mixer.at, From::Many, CROWD);
+fn sigterm_during_a_flood_completes_accepted_scans_before_exit() {
+    let (mut mixer, received) = mixer("term", 96, Some(ADMISSION_RULES), &[slow]);
+    let mut in_flight = client_from(known_address(1), mixer.at);
+    say(&mut in_flight, scan_of("fix", "edit", "open", &[0]));
+    received[0].recv_timeout(PATIENCE).unwrap();
+    let flood = Crowd::gather(mixer.at, From::Many, FLOOD);
     mixer.signal("-TERM");
-    let (status, head, _) = answer(&mut open);
+    let (status, head, _) = answer(&mut in_flight);
     assert!(status == 200 && head.contains("Connection: close"), "{head}");
-    let began = Instant::now();
+    let started = Instant::now();
     while mixer.child.try_wait().unwrap().is_none() {
-        assert!(began.elapsed() < PATIENCE, "it never ends");
+        assert!(started.elapsed() < PATIENCE, "the mixer does not exit");
         std::thread::sleep(Duration::from_millis(10));
     }
     assert!(mixer.child.wait().unwrap().success());
-    crowd.leave();
+    flood.leave();
 }
--- a/crates/mixer/tests/ends.rs
+++ b/crates/mixer/tests/ends.rs
@@ -1,6 +1,7 @@
-//! What is still owed when something ends at the wrong instant, on real connections to the built program. Each bad
-//! order is brought about every time: by a peer that writes, closes, resets or says nothing on the test's word, or by
-//! a mixer that is held still while its peers act. docs/architecture.md has the table of these ends.
+//! Tests of connections, watches and processes that end at an unfavourable moment, on real connections to the
+//! built mixer. Each ordering is forced deterministically: a peer writes, closes, resets or stays silent when
+//! the test says so, or the mixer is stopped with SIGSTOP while its peers act. docs/architecture.md has the
+//! table of these cases.
 
 use fernglade_standins::child::{file, free_address, orders, start, Mixer};
 use fernglade_standins::client::{answer, reset, say, scan, scan_of, try_answer, Client, HEALTH};
@@ -15,44 +16,56 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// What is given in place of what in the orders.
+/// A replacement in the configuration text: the old text and the new one.
 type Change<'a> = (&'a str, &'a str);
 
-/// So long a quoted time that only an event ends a scan before a test is over.
-const LONG: [Change; 2] =
+/// Time limits so long that no scan times out before the test is over.
+const LONG_TIME_LIMITS: [Change; 2] =
     [("\"aim\":2000000", "\"aim\":60000000"), ("\"give_up\":4000000", "\"give_up\":60000000")];
 
 fn mixer(name: &str, discovery: SocketAddr, known: &str, changes: &[Change]) -> Mixer {
-    mixer_within(1024, name, discovery, known, changes)
+    mixer_with_descriptor_limit(1024, name, discovery, known, changes)
 }
 
-/// With so many descriptors allowed by the system.
-fn mixer_within(held: usize, name: &str, discovery: SocketAddr, known: &str, changes: &[Change]) -> Mixer {
-    let at = free_address();
-    let change = |text: String, (from, to): &Change| text.replace(from, to);
-    let text = changes.iter().fold(orders(&at.to_string(), discovery, known), change);
-    start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), held, file(name, &text), None, at)
+/// Starts a mixer with this limit on its open descriptors.
+fn mixer_with_descriptor_limit(
+    descriptor_limit: usize,
+    name: &str,
+    discovery: SocketAddr,
+    known: &str,
+    changes: &[Change],
+) -> Mixer {
+    let address = free_address();
+    let change = |config: String, (from, to): &Change| config.replace(from, to);
+    let config = changes.iter().fold(orders(&address.to_string(), discovery, known), change);
+    start(
+        Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")),
+        descriptor_limit,
+        file(name, &config),
+        None,
+        address,
+    )
 }
 
-/// With lists that are pushed to this agent, whose first call is answered by the list: until then it is not ready. The
-/// call after that.
-fn mixer_pushed_to(name: &str, agent: Agent, known: &str) -> (Mixer, Agent, Call) {
-    let (discovery, first) = (agent.at(), known.to_string());
-    let answers = std::thread::spawn(move || {
-        let watch = agent.call().answer(&first);
+/// Starts a mixer whose discovery agent pushes lists. The agent answers the first call with the list, without
+/// which the mixer does not become ready. Returns the call after that, the watch.
+fn mixer_with_pushed_lists(name: &str, agent: Agent, known: &str) -> (Mixer, Agent, Call) {
+    let (discovery, first_list) = (agent.at(), known.to_string());
+    let agent_thread = std::thread::spawn(move || {
+        let watch = agent.call().answer(&first_list);
         (agent, watch)
     });
     let mixer = mixer(name, discovery, known, &[("\"tick\"", "\"discovery\":\"pushed\",\"tick\"")]);
-    let (agent, watch) = answers.join().expect("it asks for the whole list");
+    let (agent, watch) = agent_thread.join().expect("the mixer requests the full list");
     (mixer, agent, watch)
 }
 
-fn patient(name: &str) -> String {
+fn long_scan(name: &str) -> String {
     scan(name, &[0]).replace("X-Timeout: 4.0", "X-Timeout: 60.0")
 }
 
-/// Everything that has come to the mixer before this is through once it has answered twice.
-fn settle(mixer: &Mixer) {
+/// Waits until the mixer has processed everything that reached it before: two answered health checks show it.
+fn wait_until_processed(mixer: &Mixer) {
     for _ in 0..2 {
         let mut client = mixer.client();
         say(&mut client, HEALTH);
@@ -60,10 +73,10 @@
     }
 }
 
-/// The frames that a searcher read up to the part of this scan, and not that one.
-fn before(told: &Receiver<(u8, String)>, name: &str) -> Vec<(u8, String)> {
+/// The frames that a searcher received before the first part of this scan.
+fn frames_before(received: &Receiver<(u8, String)>, name: &str) -> Vec<(u8, String)> {
     let first = format!("{name}.");
-    let frame = || told.recv_timeout(PATIENCE).expect("the mixer serves on");
+    let frame = || received.recv_timeout(PATIENCE).expect("the mixer keeps serving");
     std::iter::from_fn(|| Some(frame()).filter(|(_, rest)| !rest.starts_with(&first))).collect()
 }
 
@@ -73,267 +86,285 @@
     answer(&mut client).0
 }
 
-#[test_case(false; "in order")]
+#[test_case(false; "by an orderly close")]
 #[test_case(true; "by a reset")]
-fn a_request_whose_client_left_before_it_was_read_is_not_sent_on(resets: bool) {
-    let (address, told) = searcher(good);
-    let mixer = mixer(&format!("unread-{resets}"), agent(list(&[address])), &list(&[address]), &[]);
-    assert_eq!(ask(&mixer, "warm"), 200, "the link is up: nothing holds a call back");
+fn an_unread_request_is_dropped_when_its_client_disconnects(reset_connection: bool) {
+    let (address, received) = searcher(good);
+    let mixer = mixer(&format!("unread-{reset_connection}"), agent(list(&[address])), &list(&[address]), &[]);
+    assert_eq!(ask(&mixer, "warm"), 200, "the connection to the searcher is up, so nothing delays a call");
     mixer.signal("-STOP");
     let mut client = mixer.client();
     say(&mut client, scan("left", &[0]));
-    if resets {
+    if reset_connection {
         reset(client);
     } else {
         drop(client);
     }
     mixer.signal("-CONT");
     assert_eq!(ask(&mixer, "mark"), 200);
-    let seen = before(&told, "mark");
-    assert!(seen.iter().all(|(_, rest)| rest.starts_with("warm.")), "{seen:?}");
+    let frames = frames_before(&received, "mark");
+    assert!(frames.iter().all(|(_, rest)| rest.starts_with("warm.")), "{frames:?}");
 }
 
-/// Its end stands behind more than may wait behind a request in work.
+/// The client pipelines more bytes than the mixer buffers behind a request in flight, then closes: the mixer
+/// has to notice the close although it comes behind the unread bytes.
 #[test]
-fn a_client_that_sends_much_at_once_and_goes_is_seen_to_go() {
-    let (address, told) = searcher(mute);
-    let mixer = mixer("flood", agent(list(&[address])), &list(&[address]), &LONG);
+fn a_disconnect_behind_a_full_pipeline_buffer_is_detected() {
+    let (address, received) = searcher(mute);
+    let mixer = mixer("flood", agent(list(&[address])), &list(&[address]), &LONG_TIME_LIMITS);
     let mut client = mixer.client();
-    say(&mut client, patient("first"));
-    assert_eq!(told.recv_timeout(PATIENCE).unwrap().0, b'm');
-    let rest: String = (0..300).map(|number| patient(&format!("rest{number}"))).collect();
-    assert!(rest.len() > 40_000);
-    say(&mut client, rest);
+    say(&mut client, long_scan("first"));
+    assert_eq!(received.recv_timeout(PATIENCE).unwrap().0, b'm');
+    let pipelined: String = (0..300).map(|number| long_scan(&format!("rest{number}"))).collect();
+    assert!(pipelined.len() > 40_000);
+    say(&mut client, pipelined);
     drop(client);
-    assert_eq!(told.recv_timeout(PATIENCE).unwrap(), (b'n', "first.0".into()));
+    assert_eq!(received.recv_timeout(PATIENCE).unwrap(), (b'n', "first.0".into()));
     let mut client = mixer.client();
-    say(&mut client, patient("mark"));
-    assert_eq!(before(&told, "mark"), [], "nothing of what stood behind it");
+    say(&mut client, long_scan("mark"));
+    assert_eq!(frames_before(&received, "mark"), [], "no pipelined request is sent on");
 }
 
-/// And one that sends as much and stays has the answer to what it asked first, and then an end.
+/// A client that pipelines as much and stays connected gets the answer to its first request; then the
+/// connection closes.
 #[test]
-fn a_client_that_sends_much_at_once_and_stays_has_its_answer() {
-    let (listener, queue) = late_port();
+fn a_client_that_overfills_its_pipeline_gets_its_first_answer() {
+    let (listener, backlog) = late_port();
     let address = listener.local_addr().unwrap();
-    let late = [("\"dial_timeout\":250000", "\"dial_timeout\":15000000"), LONG[0], LONG[1]];
-    let mixer = mixer("stays", agent(list(&[address])), &list(&[address]), &late);
+    let changes =
+        [("\"dial_timeout\":250000", "\"dial_timeout\":15000000"), LONG_TIME_LIMITS[0], LONG_TIME_LIMITS[1]];
+    let mixer = mixer("stays", agent(list(&[address])), &list(&[address]), &changes);
     let mut client = mixer.client();
-    say(&mut client, patient("first") + &(0..200).map(|n| patient(&format!("rest{n}"))).collect::<String>());
-    settle(&mixer);
-    drop(queue);
-    let _told = searcher_on(listener, good);
+    say(
+        &mut client,
+        long_scan("first") + &(0..200).map(|n| long_scan(&format!("rest{n}"))).collect::<String>(),
+    );
+    wait_until_processed(&mixer);
+    drop(backlog);
+    let _received = searcher_on(listener, good);
     assert_eq!(answer(&mut client).0, 200);
-    let rest = std::iter::from_fn(|| try_answer(&mut client).ok());
-    assert!(rest.take(2).count() < 2, "it ends, whatever stood behind");
+    let later_answers = std::iter::from_fn(|| try_answer(&mut client).ok());
+    assert!(later_answers.take(2).count() < 2, "the connection closes, whatever was pipelined");
 }
 
-/// A call that waits for its link when its client leaves, where the platform lets nobody call off what was sent.
+/// The client disconnects while its call waits for the connection to the searcher, with and without
+/// cancellation of calls that were sent.
 #[test_case("true")]
 #[test_case("false")]
-fn what_waits_for_a_link_is_not_sent_once_its_client_has_left(may_call_off: &str) {
-    let (listener, queue) = late_port();
+fn a_call_waiting_for_a_connection_is_dropped_when_its_client_disconnects(may_cancel: &str) {
+    let (listener, backlog) = late_port();
     let address = listener.local_addr().unwrap();
-    let cancel = format!("\"cancel\":{may_call_off}");
+    let cancel = format!("\"cancel\":{may_cancel}");
     let changes = [
         ("\"cancel\":true", &*cancel),
         ("\"dial_timeout\":250000", "\"dial_timeout\":15000000"),
-        LONG[0],
-        LONG[1],
+        LONG_TIME_LIMITS[0],
+        LONG_TIME_LIMITS[1],
     ];
-    let mixer = mixer(&format!("late-{may_call_off}"), agent(list(&[address])), &list(&[address]), &changes);
+    let mixer = mixer(&format!("late-{may_cancel}"), agent(list(&[address])), &list(&[address]), &changes);
     let (mut client, mut other) = (mixer.client(), mixer.client());
-    say(&mut client, patient("left"));
-    settle(&mixer);
+    say(&mut client, long_scan("left"));
+    wait_until_processed(&mixer);
     drop(client);
-    settle(&mixer);
-    let told = searcher_on(listener, good);
-    drop(queue);
-    say(&mut other, patient("mark"));
+    wait_until_processed(&mixer);
+    let received = searcher_on(listener, good);
+    drop(backlog);
+    say(&mut other, long_scan("mark"));
     assert_eq!(answer(&mut other).0, 200);
-    assert_eq!(before(&told, "mark"), []);
+    assert_eq!(frames_before(&received, "mark"), []);
 }
 
-/// How discovery's watch ends under the mixer.
-enum Ends {
+/// How discovery ends the mixer's watch.
+enum WatchEnd {
     Silent,
     Closed,
     Reset,
 }
 
-#[test_case(Ends::Silent)]
-#[test_case(Ends::Closed)]
-#[test_case(Ends::Reset)]
-fn a_watch_that_ends_is_opened_anew_and_asks_for_what_is_there(ends: Ends) {
-    let ((drains, told), (stays, _told)) = (searcher(good), searcher(good));
-    let (agent, both) = (Agent::default(), list(&[drains, stays]));
+#[test_case(WatchEnd::Silent)]
+#[test_case(WatchEnd::Closed)]
+#[test_case(WatchEnd::Reset)]
+fn an_ended_watch_is_reopened_and_requests_the_current_changes(watch_end: WatchEnd) {
+    let ((draining, received), (serving, _received)) = (searcher(good), searcher(good));
+    let (agent, full_list) = (Agent::default(), list(&[draining, serving]));
     let name = format!("watch-{}", agent.at().port());
-    let (mixer, agent, watch) = mixer_pushed_to(&name, agent, &both);
+    let (mixer, agent, watch) = mixer_with_pushed_lists(&name, agent, &full_list);
     assert!(
         watch.path.starts_with("/v1/servers?after=1&wait_ms=") && !watch.path.ends_with("=0"),
         "{}",
         watch.path
     );
-    let since = Instant::now();
-    let held: Option<Call> = match ends {
-        Ends::Silent => Some(watch),
-        Ends::Closed => {
+    let ended_at = Instant::now();
+    let silent_watch: Option<Call> = match watch_end {
+        WatchEnd::Silent => Some(watch),
+        WatchEnd::Closed => {
             drop(watch);
             None
         }
-        Ends::Reset => {
+        WatchEnd::Reset => {
             watch.reset();
             None
         }
     };
-    let again = agent.call();
-    // What it misses counts as told six seconds after it fell silent.
-    assert!(since.elapsed() < Duration::from_secs(5), "{:?}", since.elapsed());
-    assert!(matches!(again.path.as_str(), "/v1/servers?after=1&wait_ms=0"), "{}", again.path);
-    let row =
-        format!(r#"{{"instanceId":"s0","hostPort":"{drains}","zone":"a","cell":0,"lifecycle":"DRAINING"}}"#);
-    let next = again.answer(&format!(r#"{{"generation":2,"reset":false,"instances":[{row}]}}"#));
+    let next_call = agent.call();
+    // A change that the mixer misses counts as announced six seconds after the watch went silent.
+    assert!(ended_at.elapsed() < Duration::from_secs(5), "{:?}", ended_at.elapsed());
+    assert!(matches!(next_call.path.as_str(), "/v1/servers?after=1&wait_ms=0"), "{}", next_call.path);
+    let row = format!(
+        r#"{{"instanceId":"s0","hostPort":"{draining}","zone":"a","cell":0,"lifecycle":"DRAINING"}}"#
+    );
+    let next_watch = next_call.answer(&format!(r#"{{"generation":2,"reset":false,"instances":[{row}]}}"#));
     assert!(
-        next.path.starts_with("/v1/servers?after=2&wait_ms=") && !next.path.ends_with("=0"),
+        next_watch.path.starts_with("/v1/servers?after=2&wait_ms=") && !next_watch.path.ends_with("=0"),
         "{}",
-        next.path
+        next_watch.path
     );
     for number in 0..8 {
         assert_eq!(ask(&mixer, &format!("r{number}")), 200);
     }
-    assert!(told.try_recv().is_err(), "nothing goes where nothing new may go");
-    drop(held);
+    assert!(received.try_recv().is_err(), "no new part is sent to a draining searcher");
+    drop(silent_watch);
 }
 
-/// An answer of no length is whole where its connection ends in order, and never where it is reset.
-#[test_case(false, "/v1/servers?after=2&wait_ms=2500"; "ended")]
+/// A response without a length is complete when its connection closes in order, and never when it is reset.
+#[test_case(false, "/v1/servers?after=2&wait_ms=2500"; "closed in order")]
 #[test_case(true, "/v1/servers?after=1&wait_ms=0"; "reset")]
-fn an_answer_of_discovery_that_tells_no_length(resets: bool, next: &str) {
-    let (address, _told) = searcher(good);
+fn a_discovery_response_without_a_length(reset_connection: bool, next_path: &str) {
+    let (address, _received) = searcher(good);
     let (agent, known) = (Agent::default(), list(&[address]));
-    let (_mixer, agent, watch) = mixer_pushed_to(&format!("open-{resets}"), agent, &known);
+    let (_mixer, agent, watch) = mixer_with_pushed_lists(&format!("open-{reset_connection}"), agent, &known);
     let watch = watch.answer_open(r#"{"generation":2,"reset":false,"instances":[]}"#);
-    if resets {
+    if reset_connection {
         watch.reset();
     } else {
         drop(watch);
     }
-    assert_eq!(agent.call().path, next);
+    assert_eq!(agent.call().path, next_path);
 }
 
-/// A list of changes from before a drain does not take it back, not even until the whole list comes.
+/// A change list older than a drain does not undo the drain, not even until the full list arrives.
 #[test]
-fn changes_that_come_late_do_not_take_a_drain_back() {
-    let ((drains, told), (stays, _told)) = (searcher(good), searcher(good));
-    let (agent, both) = (Agent::default(), list(&[drains, stays]));
-    let mixer = mixer("older", agent.at(), &both, &[]);
-    let row = |word| {
-        format!(r#"{{"instanceId":"s0","hostPort":"{drains}","zone":"a","cell":0,"lifecycle":"{word}"}}"#)
+fn stale_changes_do_not_undo_a_drain() {
+    let ((draining, received), (serving, _received)) = (searcher(good), searcher(good));
+    let (agent, full_list) = (Agent::default(), list(&[draining, serving]));
+    let mixer = mixer("older", agent.at(), &full_list, &[]);
+    let row = |lifecycle| {
+        format!(
+            r#"{{"instanceId":"s0","hostPort":"{draining}","zone":"a","cell":0,"lifecycle":"{lifecycle}"}}"#
+        )
     };
-    let changes =
-        |version, word| format!(r#"{{"generation":{version},"reset":false,"instances":[{}]}}"#, row(word));
-    let call = agent.call().answer(&both).answer(&changes(9, "DRAINING")).answer(&changes(8, "SERVING"));
-    assert_eq!(call.path, "/v1/servers", "the whole list is asked for");
+    let changes = |version, lifecycle| {
+        format!(r#"{{"generation":{version},"reset":false,"instances":[{}]}}"#, row(lifecycle))
+    };
+    let call = agent.call().answer(&full_list).answer(&changes(9, "DRAINING")).answer(&changes(8, "SERVING"));
+    assert_eq!(call.path, "/v1/servers", "the full list is requested");
     let mut client = mixer.client();
     say(&mut client, scan("a", &[0, 1, 2, 3]));
     assert_eq!(answer(&mut client).0, 200);
-    assert!(told.try_recv().is_err());
+    assert!(received.try_recv().is_err());
 }
 
-/// Who is sent off to make room has begun to ask just then: its request stands unread.
+/// The mixer closes the longest idle connection to make room while that client's next request is still
+/// unread.
 #[test]
-fn a_request_that_crosses_with_its_client_being_sent_off_is_answered() {
-    let (address, _told) = searcher(good);
+fn a_request_sent_while_its_idle_connection_is_evicted_is_answered() {
+    let (address, _received) = searcher(good);
     let mixer = mixer(
         "crosses",
         agent(list(&[address])),
         &list(&[address]),
         &[("\"sockets\":256", "\"sockets\":64")],
     );
-    let mut longest = mixer.client();
-    say(&mut longest, HEALTH);
-    answer(&mut longest);
+    let mut longest_idle = mixer.client();
+    say(&mut longest_idle, HEALTH);
+    answer(&mut longest_idle);
     std::thread::sleep(Duration::from_millis(150));
-    // Every place is taken, by none that is idle for as long.
-    let crowd: Vec<Client> = (0..24).map(|_| mixer.client()).collect();
+    // Every connection slot is taken, by clients that have been idle for less time.
+    let connections: Vec<Client> = (0..24).map(|_| mixer.client()).collect();
     mixer.signal("-STOP");
     let newcomers: Vec<Client> = (0..3).map(|_| mixer.client()).collect();
-    say(&mut longest, scan("a", &[0]));
+    say(&mut longest_idle, scan("a", &[0]));
     mixer.signal("-CONT");
-    assert_eq!(answer(&mut longest).0, 200);
-    drop((crowd, newcomers));
+    assert_eq!(answer(&mut longest_idle).0, 200);
+    drop((connections, newcomers));
 }
 
-/// Half a request at the last call, the rest after it: whoever stops the mixer waits for it no more.
+/// Half of a request arrives before the listener closes and the rest after it: shutdown no longer waits for
+/// it.
 #[test]
-fn a_request_that_is_whole_after_the_last_call_is_turned_away_at_once() {
-    let (address, told) = searcher(mute);
-    let mut mixer = mixer("last", free_address(), &list(&[address]), &LONG);
-    let (mut half, mut other) = (mixer.client(), mixer.client());
-    let asked = patient("a");
-    let (begun, rest) = asked.split_at(60);
-    say(&mut half, begun);
-    say(&mut other, HEALTH);
-    answer(&mut other);
-    settle(&mixer);
+fn a_request_completed_after_the_listener_closes_is_rejected_at_once() {
+    let (address, received) = searcher(mute);
+    let mut mixer = mixer("last", free_address(), &list(&[address]), &LONG_TIME_LIMITS);
+    let (mut partial_client, mut idle_client) = (mixer.client(), mixer.client());
+    let request = long_scan("a");
+    let (first_half, second_half) = request.split_at(60);
+    say(&mut partial_client, first_half);
+    say(&mut idle_client, HEALTH);
+    answer(&mut idle_client);
+    wait_until_processed(&mixer);
     mixer.signal("-TERM");
-    assert_eq!(other.read(&mut [0]).unwrap(), 0, "the stop has begun");
-    let mut late = mixer.client();
-    assert_eq!(late.read(&mut [0]).unwrap(), 0, "the last call has been");
-    say(&mut half, rest);
-    let (status, head, _) = answer(&mut half);
+    assert_eq!(idle_client.read(&mut [0]).unwrap(), 0, "shutdown has begun");
+    let mut late_client = mixer.client();
+    assert_eq!(late_client.read(&mut [0]).unwrap(), 0, "the listener is closed");
+    say(&mut partial_client, second_half);
+    let (status, head, _) = answer(&mut partial_client);
     assert!(status == 503 && head.contains("Connection: close"), "{head}");
-    assert!(told.try_recv().is_err());
+    assert!(received.try_recv().is_err());
     assert!(mixer.child.wait().unwrap().success());
 }
 
-/// Who stands in the listener's queue as the door is shut was taken in by the system: a request of theirs is answered.
+/// Connections in the listener's backlog when the listener closes were accepted by the kernel: their requests
+/// are answered.
 #[test]
-fn those_in_the_queue_of_a_listener_that_is_shut_are_answered() {
-    let (address, _told) = searcher(good);
+fn connections_in_the_backlog_of_a_closing_listener_are_answered() {
+    let (address, _received) = searcher(good);
     let mut mixer = mixer("queue", free_address(), &list(&[address]), &[]);
     let mut idle = mixer.client();
     say(&mut idle, HEALTH);
     answer(&mut idle);
     std::thread::sleep(Duration::from_millis(150));
     mixer.signal("-TERM");
-    assert_eq!(idle.read(&mut [0]).unwrap(), 0, "the stop has begun");
+    assert_eq!(idle.read(&mut [0]).unwrap(), 0, "shutdown has begun");
     mixer.signal("-STOP");
-    let mut queued: Vec<Client> = (0..5).map(|_| mixer.client()).collect();
-    queued.iter_mut().zip(0..).for_each(|(client, at)| say(client, scan(&format!("q{at}"), &[0])));
-    // Until the door is long overdue to be shut.
+    let mut queued_clients: Vec<Client> = (0..5).map(|_| mixer.client()).collect();
+    queued_clients
+        .iter_mut()
+        .zip(0..)
+        .for_each(|(client, number)| say(client, scan(&format!("q{number}"), &[0])));
+    // Longer than the mixer waits before it closes its listener.
     std::thread::sleep(Duration::from_millis(900));
     mixer.signal("-CONT");
-    for client in &mut queued {
+    for client in &mut queued_clients {
         let (status, head, _) = answer(client);
         assert!(matches!(status, 200 | 503) && head.contains("Connection: close"), "{head}");
     }
     assert!(mixer.child.wait().unwrap().success());
 }
 
-/// An edit whose connection breaks under it is never sent again, and never called harmless; one whose link never came
-/// up is.
-#[test_case(true, 502; "once it may have run")]
-#[test_case(false, 503; "while it can't have run")]
-fn an_edit_is_called_harmless_to_ask_again_only_where_it_cannot_have_run(reached: bool, says: u16) {
-    let (address, told) = searcher(|letter, _| (letter != b'm').then(Vec::new));
-    let nobody = free_address();
-    let known = list(&[if reached { address } else { nobody }]);
-    let mixer = mixer(&format!("edit-{reached}"), free_address(), &known, &[]);
+/// An edit whose connection breaks after it was sent is neither sent again nor reported as safe to retry. One
+/// whose connection was never established is reported as safe to retry.
+#[test_case(true, 502; "may have run")]
+#[test_case(false, 503; "cannot have run")]
+fn an_edit_is_reported_safe_to_retry_only_if_it_cannot_have_run(reachable: bool, expected: u16) {
+    let (address, received) = searcher(|letter, _| (letter != b'm').then(Vec::new));
+    let unreachable = free_address();
+    let searchers = list(&[if reachable { address } else { unreachable }]);
+    let mixer = mixer(&format!("edit-{reachable}"), free_address(), &searchers, &[]);
     let mut client = mixer.client();
     say(&mut client, scan_of("fix", "x", "e", &[0]));
     let status = answer(&mut client).0;
-    assert_eq!(status == 503, says == 503, "{status}");
-    assert_eq!(told.try_iter().filter(|(letter, _)| *letter == b'm').count(), usize::from(reached));
+    assert_eq!(status == 503, expected == 503, "{status}");
+    assert_eq!(received.try_iter().filter(|(letter, _)| *letter == b'm').count(), usize::from(reachable));
 }
 
-/// Clients that leave while they wait: on the porch, behind much that they sent themselves, for a link that comes up
-/// late. Judged by the searcher's clock: none is sent on 0.3 s after its client has left.
+/// Clients that disconnect while they wait: for admission, behind requests that they pipelined themselves, or
+/// for a connection to a searcher that comes up late. By the time at the searcher, none of their requests is
+/// sent on more than 0.3 s after its client disconnected.
 #[test]
-fn of_many_clients_that_leave_while_they_wait_none_is_sent_on_late() {
-    let (address, told) = searcher(mute);
-    let (listener, queue) = late_port();
-    let late = listener.local_addr().unwrap();
+fn requests_of_disconnected_clients_are_not_sent_on_late() {
+    let (address, received) = searcher(mute);
+    let (listener, backlog) = late_port();
+    let late_address = listener.local_addr().unwrap();
     let row = |name: &str, at: SocketAddr, cell: u32| {
         format!(
             r#"{{"instanceId":"{name}","hostPort":"{at}","zone":"a","cell":{cell},"lifecycle":"SERVING"}}"#
@@ -342,62 +373,65 @@
     let known = format!(
         r#"{{"generation":1,"reset":true,"instances":[{},{}]}}"#,
         row("s0", address, 0),
-        row("s1", late, 1)
+        row("s1", late_address, 1)
     );
     let changes = [
         ("\"cells\":1", "\"cells\":2"),
         ("\"dial_timeout\":250000", "\"dial_timeout\":15000000"),
         ("\"cancel\":true", "\"cancel\":false"),
-        LONG[0],
-        LONG[1],
+        LONG_TIME_LIMITS[0],
+        LONG_TIME_LIMITS[1],
     ];
-    let mixer = mixer_within(32, "leavers", agent(known.clone()), &known, &changes);
+    let mixer = mixer_with_descriptor_limit(32, "leavers", agent(known.clone()), &known, &changes);
     let of_shard = |name: &str, shard: u32| scan(name, &[shard]).replace("X-Timeout: 4.0", "X-Timeout: 60.0");
-    let mut left: BTreeMap<String, Instant> = BTreeMap::new();
-    // For a link that is late.
+    let mut disconnected: BTreeMap<String, Instant> = BTreeMap::new();
+    // Waiting for a connection to a searcher that comes up late.
     for number in 0..10 {
         let mut client = mixer.client();
         say(&mut client, of_shard(&format!("late{number}"), 1));
-        settle(&mixer);
-        left.insert(format!("late{number}"), Instant::now());
+        wait_until_processed(&mixer);
+        disconnected.insert(format!("late{number}"), Instant::now());
     }
-    // Behind much of their own.
+    // Waiting behind their own pipelined requests.
     for number in 0..3 {
         let mut client = mixer.client();
         let name = format!("deep{number}");
         let behind = (0..150).map(|at| of_shard(&format!("{name}x{at}"), 0));
         say(&mut client, of_shard(&name, 0) + &behind.collect::<String>());
-        while told.recv_timeout(PATIENCE).unwrap().1.split('.').next() != Some(&name) {}
-        left.extend((0..150).map(|at| (format!("{name}x{at}"), Instant::now())));
+        while received.recv_timeout(PATIENCE).unwrap().1.split('.').next() != Some(&name) {}
+        disconnected.extend((0..150).map(|at| (format!("{name}x{at}"), Instant::now())));
     }
-    // On the porch: all places are taken by who waits for an answer.
-    let busy: Vec<Client> = (0..8)
+    // Waiting for admission: clients that wait for an answer hold all connection slots.
+    let busy_clients: Vec<Client> = (0..8)
         .map(|number| {
             let mut client = mixer.client();
             say(&mut client, of_shard(&format!("busy{number}"), 0));
             client
         })
         .collect();
-    while told.recv_timeout(PATIENCE).unwrap().1.split('.').next() != Some("busy7") {}
+    while received.recv_timeout(PATIENCE).unwrap().1.split('.').next() != Some("busy7") {}
     let mut client = mixer.client();
-    say(&mut client, of_shard("porch", 0));
+    say(&mut client, of_shard("unadmitted", 0));
     drop(client);
-    left.insert("porch".into(), Instant::now());
-    drop(busy);
-    let (searcher, _) = (searcher_on(listener, good), drop(queue));
-    let mut marks = mixer.client();
-    say(&mut marks, of_shard("mark", 1));
-    assert_eq!(answer(&mut marks).0, 200);
-    say(&mut marks, of_shard("end", 0));
+    disconnected.insert("unadmitted".into(), Instant::now());
+    drop(busy_clients);
+    let (searcher, _) = (searcher_on(listener, good), drop(backlog));
+    let mut marker_client = mixer.client();
+    say(&mut marker_client, of_shard("mark", 1));
+    assert_eq!(answer(&mut marker_client).0, 200);
+    say(&mut marker_client, of_shard("end", 0));
     let (mut sent, mut sent_late) = (0, 0);
-    let frames = std::iter::from_fn(|| told.recv_timeout(PATIENCE).ok())
+    let frames = std::iter::from_fn(|| received.recv_timeout(PATIENCE).ok())
         .take_while(|(_, rest)| !rest.starts_with("end."));
-    for (letter, rest) in frames.chain(before(&searcher, "mark")) {
-        let at = left.get(rest.split('.').next().unwrap_or_default());
+    for (letter, rest) in frames.chain(frames_before(&searcher, "mark")) {
+        let at = disconnected.get(rest.split('.').next().unwrap_or_default());
         let waited = at.filter(|_| letter == b'm').map(Instant::elapsed);
         sent += usize::from(waited.is_some());
         sent_late += usize::from(waited.is_some_and(|waited| waited > Duration::from_millis(300)));
     }
-    println!("{} left while they waited, {sent} sent on, {sent_late} of them later than 0.3 s", left.len());
+    println!(
+        "{} disconnected while waiting, {sent} sent on, {sent_late} of them later than 0.3 s",
+        disconnected.len()
+    );
     assert_eq!((sent, sent_late), (0, 0));
 }
--- a/crates/mixer/tests/figures.rs
+++ b/crates/mixer/tests/figures.rs
@@ -1,4 +1,5 @@
-//! What the built mixer tells of itself: to whom it may, in a form that the conductor reads, with sums that add up.
+//! Tests of the metrics of the built mixer: only permitted clients can read them, the conductor can parse
+//! them, and the scan counters are consistent.
 
 use fernglade_rollout::told::{Sums, Told};
 use fernglade_standins::child::{file, free_address, orders, start, Mixer};
@@ -9,112 +10,117 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-const ASK: &str = "GET /figures HTTP/1.1\r\n\r\n";
+const METRICS_REQUEST: &str = "GET /figures HTTP/1.1\r\n\r\n";
 
-/// By the last shard of a call: the first is answered, the second fails, the third says nothing.
-fn by_shard(letter: u8, rest: &str) -> Option<Vec<u8>> {
-    let id = rest.split(' ').next().unwrap_or_default();
-    Some(match (letter, id.rsplit('.').next()) {
-        (b'm', Some("0")) => frame(b'q', &format!("{id} good 1 -\nof {id}")),
-        (b'm', Some("1")) => frame(b'q', &format!("{id} bad 1 -\n")),
+/// A searcher whose response depends on the part's shard: shard 0 is answered, shard 1 fails, others get no
+/// response.
+fn answer_by_shard(letter: u8, rest: &str) -> Option<Vec<u8>> {
+    let part_id = rest.split(' ').next().unwrap_or_default();
+    Some(match (letter, part_id.rsplit('.').next()) {
+        (b'm', Some("0")) => frame(b'q', &format!("{part_id} good 1 -\nof {part_id}")),
+        (b'm', Some("1")) => frame(b'q', &format!("{part_id} bad 1 -\n")),
         _ => Vec::new(),
     })
 }
 
 fn mixer(operator: &str) -> Mixer {
-    let (at, there) = (free_address(), list(&[searcher(by_shard).0]));
-    let name = at.ip().to_string();
-    let orders = file(&format!("{name}.json"), &orders(&at.to_string(), agent(there.clone()), &there));
+    let (address, known) = (free_address(), list(&[searcher(answer_by_shard).0]));
+    let name = address.ip().to_string();
+    let orders = file(&format!("{name}.json"), &orders(&address.to_string(), agent(known.clone()), &known));
     let operator = file(&format!("{name}.json5"), operator);
-    start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at)
+    start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), address)
 }
 
-fn told(mixer: &Mixer) -> Told {
+fn read_metrics(mixer: &Mixer) -> Told {
     let mut client = mixer.client();
-    say(&mut client, ASK);
+    say(&mut client, METRICS_REQUEST);
     let (status, head, body) = answer(&mut client);
     assert!(status == 200 && head.contains("openmetrics"), "{head}");
     Told::read(&body).unwrap_or_else(|why| panic!("{why}: {body}"))
 }
 
-fn until(mixer: &Mixer, what: impl Fn(&Told) -> bool) -> Told {
+fn wait_for_metrics(mixer: &Mixer, condition: impl Fn(&Told) -> bool) -> Told {
     for _ in 0..200 {
-        let told = told(mixer);
-        assert_eq!(told.wrong_sum(), None, "{told:?}");
-        if what(&told) {
-            return told;
+        let metrics = read_metrics(mixer);
+        assert_eq!(metrics.wrong_sum(), None, "{metrics:?}");
+        if condition(&metrics) {
+            return metrics;
         }
         sleep(Duration::from_millis(20));
     }
-    panic!("never: {:?}", told(mixer));
+    panic!("the condition was never met: {:?}", read_metrics(mixer));
 }
 
 #[test]
-fn each_scan_is_in_exactly_one_sum_however_it_ends() {
+fn each_scan_is_counted_in_exactly_one_outcome() {
     let mixer = mixer("{ figures: { to: ['127.0.0.0/8'] } }");
     let mut client = mixer.client();
     say(&mut client, scan("a", &[0]));
     assert_eq!(answer(&mut client).0, 200);
-    // A lookup that errs is harmless to ask again; an edit that errs may have run.
+    // A failed lookup is safe to retry; a failed edit may have run.
     say(&mut client, scan("b", &[1]));
     assert_eq!(answer(&mut client).0, 503);
     say(&mut client, scan_of("fix", "x", "c", &[1]));
     assert_eq!(answer(&mut client).0, 502);
-    // One whose client leaves while it is open, and one that is open still.
-    let mut leaves = mixer.client();
-    say(&mut leaves, scan("d", &[2]));
-    until(&mixer, |told| told.types["look"].open == 1);
-    drop(leaves);
-    until(&mixer, |told| told.types["look"].failed == 1);
-    let mut stays = mixer.client();
-    say(&mut stays, scan("e", &[2]));
-    let told = until(&mixer, |told| told.types["look"].open == 1);
-    let is = |sums: &Sums| (sums.taken, sums.served, sums.refused, sums.failed, sums.open);
-    assert_eq!(is(&told.types["look"]), (4, 1, 1, 1, 1));
-    assert_eq!(is(&told.types["fix"]), (1, 0, 0, 1, 0));
-    assert_eq!(told.types["look"].within(60.0), 1);
-    assert!(told.types["look"].quantile(0.5).is_some_and(|seconds| seconds < 1.0), "{told:?}");
-    assert!(told.ready && told.memory > 100_000 && told.relays >= 5 && told.listed == 1, "{told:?}");
-    assert_eq!(told.process, mixer_process(&mixer));
-    assert_ne!(told.makes.program, "-");
+    // One scan whose client disconnects before the answer, and one that stays open.
+    let mut leaving_client = mixer.client();
+    say(&mut leaving_client, scan("d", &[2]));
+    wait_for_metrics(&mixer, |metrics| metrics.types["look"].open == 1);
+    drop(leaving_client);
+    wait_for_metrics(&mixer, |metrics| metrics.types["look"].failed == 1);
+    let mut waiting_client = mixer.client();
+    say(&mut waiting_client, scan("e", &[2]));
+    let metrics = wait_for_metrics(&mixer, |metrics| metrics.types["look"].open == 1);
+    let counts = |sums: &Sums| (sums.taken, sums.served, sums.refused, sums.failed, sums.open);
+    assert_eq!(counts(&metrics.types["look"]), (4, 1, 1, 1, 1));
+    assert_eq!(counts(&metrics.types["fix"]), (1, 0, 0, 1, 0));
+    assert_eq!(metrics.types["look"].within(60.0), 1);
+    assert!(metrics.types["look"].quantile(0.5).is_some_and(|seconds| seconds < 1.0), "{metrics:?}");
+    assert!(
+        metrics.ready && metrics.memory > 100_000 && metrics.relays >= 5 && metrics.listed == 1,
+        "{metrics:?}"
+    );
+    assert_eq!(metrics.process, mixer_process(&mixer));
+    assert_ne!(metrics.makes.program, "-");
 }
 
-/// The shell that set the limit became the mixer.
+/// The shell that set the descriptor limit replaced itself by the mixer, so the child's id is the mixer's.
 fn mixer_process(mixer: &Mixer) -> u32 {
     mixer.child.id()
 }
 
-/// A file in force is told by its digest; one that is wrong, or wants a start, is told as refused, and the old stands.
+/// The metrics identify the operator file in force by its digest. A file that is invalid or that requires a
+/// restart is reported as refused, and the previous one stays in force.
 #[test]
-fn settings_are_told_as_they_are_in_force() {
+fn metrics_identify_the_settings_in_force() {
     let mixer = mixer("{ figures: { to: ['127.0.0.0/8'] } }");
-    let before = told(&mixer).makes;
-    let hand = |text: &str| {
+    let before = read_metrics(&mixer).makes;
+    let reload_operator = |text: &str| {
         std::fs::write(&mixer.files[1], text).unwrap();
         mixer.signal("-HUP");
     };
-    hand("{ figures: { to: ['127.0.0.0/8'] }, admission: { per_address: 50 } }");
-    let after = until(&mixer, |told| told.makes != before).makes;
+    reload_operator("{ figures: { to: ['127.0.0.0/8'] }, admission: { per_address: 50 } }");
+    let after = wait_for_metrics(&mixer, |metrics| metrics.makes != before).makes;
     assert_eq!(after.program, before.program);
-    for bad in ["{ figures: ", "{ figures: { to: ['127.0.0.0/8'] }, shedding: { as_one: true } }"] {
-        hand(bad);
-        let told = until(&mixer, |told| told.refused_settings);
-        assert_eq!(told.makes, after, "{bad}");
-        hand("{ figures: { to: ['127.0.0.0/8'] }, admission: { per_address: 50 } }");
-        until(&mixer, |told| !told.refused_settings);
+    for refused in ["{ figures: ", "{ figures: { to: ['127.0.0.0/8'] }, shedding: { as_one: true } }"] {
+        reload_operator(refused);
+        let metrics = wait_for_metrics(&mixer, |metrics| metrics.refused_settings);
+        assert_eq!(metrics.makes, after, "{refused}");
+        reload_operator("{ figures: { to: ['127.0.0.0/8'] }, admission: { per_address: 50 } }");
+        wait_for_metrics(&mixer, |metrics| !metrics.refused_settings);
     }
 }
 
-/// By default there is nothing at that path, and who is not named finds nothing either.
+/// By default there are no metrics at that path, and clients that are not listed do not get any either.
 #[test]
-fn nobody_else_is_told_anything() {
+fn metrics_are_hidden_from_other_clients() {
     for operator in ["{}", "{ figures: { to: ['10.0.0.0/8'] } }"] {
         let mixer = mixer(operator);
         let mut client = mixer.client();
-        say(&mut client, ASK);
+        say(&mut client, METRICS_REQUEST);
         let (status, _, body) = answer(&mut client);
         assert!(status == 405 && !body.contains("fernglade"), "{body}");
         say(&mut client, scan("a", &[0]));
-        assert_eq!(answer(&mut client).0, 200, "and may ask on");
+        assert_eq!(answer(&mut client).0, 200, "the connection stays usable");
     }
 }
--- a/crates/mixer/tests/fleet.rs
+++ b/crates/mixer/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Several processes of the built mixer before one set of searchers, with faults on the links between them. Judged by
-//! the rules, which must hold on every day, and by wide ratios of what was served; times only bound a day.
+//! Tests of several processes of the built mixer that share one set of searchers, with faults on the
+//! connections between them. They check the rules that hold in every simulated day, and wide ratios of what
+//! was served; times only bound a day.
 
 use fernglade_standins::child::{file, free_address, orders, start};
 use fernglade_standins::client::{answer, say, scan};
@@ -10,7 +11,7 @@
 use std::sync::OnceLock;
 use test_case::test_case;
 
-fn day(troubles: &str, mixers: &str) -> Day {
+fn day(faults: &str, mixers: &str) -> Day {
     let text = format!(
         r#"{{
           lasts: "7s", mixers: {mixers}, searchers: {{ cells: 3, replicas: 3, cold_from: 0.3, cold: "4s" }},
@@ -20,83 +21,90 @@
             {{ name: "fix", rate: 20, parts: 1, work: "10ms", quoted: "500ms", abandon: "1500ms", repeat: "irreversible", credit: 2 }},
             {{ name: "tag", rate: 10, parts: 2, work: "10ms", quoted: "500ms", abandon: "1500ms", repeat: "labelled", window: "800ms" }},
           ],
-          troubles: [{troubles}] }}"#
+          troubles: [{faults}] }}"#
     );
     Day::read(&text).unwrap()
 }
 
-fn played(day: &Day, seed: u64) -> (Figures, Vec<Breach>) {
-    played_by(day, seed, None)
+fn run_day(day: &Day, seed: u64) -> (Figures, Vec<Breach>) {
+    run_day_with_operator(day, seed, None)
 }
 
-fn played_by(day: &Day, seed: u64, operator: Option<&Path>) -> (Figures, Vec<Breach>) {
+fn run_day_with_operator(day: &Day, seed: u64, operator: Option<&Path>) -> (Figures, Vec<Breach>) {
     let played = play::play(day, seed, Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), operator).unwrap();
     (played.figures, played.breaches)
 }
 
-/// An operator's file in which the fleet sheds as one. Written once: a mixer of another day may be reading it.
-fn as_one() -> &'static Path {
+/// An operator file that enables fleet-wide load shedding. Written only once, as a mixer of another test may
+/// be reading it.
+fn fleet_shedding_operator() -> &'static Path {
     static FILE: OnceLock<PathBuf> = OnceLock::new();
     FILE.get_or_init(|| file("as-one.json5", "{ shedding: { as_one: true } }"))
 }
 
-/// What each trouble may cost at the most is wide: a machine that builds at the same time is slow.
-#[test_case("", 0.95, 1.05; "calm")]
-#[test_case("{ what: 'reset', at: '2s' }, { what: 'reset', at: '3s', mixers: 0.5 }", 0.7, 1.2; "every link is reset at once")]
-#[test_case("{ what: 'cut', at: '2s', lasts: '2s', searchers: [0, 3, 6] }", 0.6, 1.2; "a searcher of each cell is cut off from all")]
+/// The bounds on what each fault may cost are wide, because a machine that compiles at the same time is slow.
+#[test_case("", 0.95, 1.05; "no fault")]
+#[test_case("{ what: 'reset', at: '2s' }, { what: 'reset', at: '3s', mixers: 0.5 }", 0.7, 1.2; "every connection is reset at once")]
+#[test_case("{ what: 'cut', at: '2s', lasts: '2s', searchers: [0, 3, 6] }", 0.6, 1.2; "one searcher per cell is cut off from all mixers")]
 #[test_case("{ what: 'cut', at: '2s', lasts: '2s', mixers: [0], searchers: [0, 1, 3, 4, 6, 7] }, { what: 'cut', at: '2s', lasts: '2s', mixers: [1, 2], searchers: [2, 5, 8] }", 0.6, 1.2; "a partition that leaves each side some searchers")]
-#[test_case("{ what: 'deaf-back', at: '2s', lasts: '1500ms', searchers: [1, 4, 7] }", 0.6, 1.2; "what they answer does not come back")]
-#[test_case("{ what: 'lose-answers', at: '1s', lasts: '4s', share: 0.02 }", 0.6, 1.2; "one answer in fifty is lost")]
-#[test_case("{ what: 'lag', at: '2s', lasts: '2s', by: '40ms', searchers: 0.4 }", 0.7, 1.2; "four in ten answer later")]
-#[test_case("{ what: 'hang', at: '2s', lasts: '2s', searchers: [2] }, { what: 'drain', at: '3s', lasts: '2s', searchers: [5] }", 0.6, 1.2; "one hangs while another drains")]
-#[test_case("{ what: 'drain', at: '2s', lasts: '3s', searchers: [0, 4, 8] }", 0.9, 1.1; "one of each cell drains")]
-fn rules_hold_and_most_is_served(troubles: &str, least: f64, most_sent: f64) {
-    let (figures, breaches) = played(&day(troubles, "{ count: 3 }"), 11);
+#[test_case("{ what: 'deaf-back', at: '2s', lasts: '1500ms', searchers: [1, 4, 7] }", 0.6, 1.2; "responses of one searcher per cell do not arrive")]
+#[test_case("{ what: 'lose-answers', at: '1s', lasts: '4s', share: 0.02 }", 0.6, 1.2; "one response in fifty is lost")]
+#[test_case("{ what: 'lag', at: '2s', lasts: '2s', by: '40ms', searchers: 0.4 }", 0.7, 1.2; "four searchers in ten respond later")]
+#[test_case("{ what: 'hang', at: '2s', lasts: '2s', searchers: [2] }, { what: 'drain', at: '3s', lasts: '2s', searchers: [5] }", 0.6, 1.2; "one searcher hangs while another drains")]
+#[test_case("{ what: 'drain', at: '2s', lasts: '3s', searchers: [0, 4, 8] }", 0.9, 1.1; "one searcher per cell drains")]
+fn faults_break_no_rule_and_most_scans_are_served(faults: &str, least_share: f64, most_sent_over_asked: f64) {
+    let (figures, breaches) = run_day(&day(faults, "{ count: 3 }"), 11);
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
     let whole = figures.whole();
-    assert!(whole.scans > 400 && whole.share() >= least, "{figures}");
-    assert!(whole.sent_over_asked() <= most_sent, "{figures}");
+    assert!(whole.scans > 400 && whole.share() >= least_share, "{figures}");
+    assert!(whole.sent_over_asked() <= most_sent_over_asked, "{figures}");
 }
 
-#[test_case("{ what: 'stall', at: '2s', lasts: '1500ms', mixers: [1] }"; "a mixer stands still, and its beliefs are old")]
-#[test_case("{ what: 'kill', at: '2s', lasts: '500ms', mixers: [0, 2] }"; "two of three are killed and know nothing")]
-#[test_case("{ what: 'term', at: '2s', lasts: '2500ms', mixers: [1] }"; "one is told to end amid its scans")]
-#[test_case("{ what: 'stall', at: '2s', lasts: '1500ms', mixers: [0] }, { what: 'drain', at: '2200ms', lasts: '3s', searchers: [0, 3] }"; "a drain is told to one that stands still")]
-fn mixers_that_are_away_break_no_rule_and_the_others_serve_on(troubles: &str) {
-    let (figures, breaches) = played(&day(troubles, "{ count: 3 }"), 12);
+#[test_case("{ what: 'stall', at: '2s', lasts: '1500ms', mixers: [1] }"; "a mixer is stopped, and its state is stale")]
+#[test_case("{ what: 'kill', at: '2s', lasts: '500ms', mixers: [0, 2] }"; "two of three mixers are killed and restart without state")]
+#[test_case("{ what: 'term', at: '2s', lasts: '2500ms', mixers: [1] }"; "one mixer is terminated with scans in flight")]
+#[test_case("{ what: 'stall', at: '2s', lasts: '1500ms', mixers: [0] }, { what: 'drain', at: '2200ms', lasts: '3s', searchers: [0, 3] }"; "a drain is announced while a mixer is stopped")]
+fn unavailable_mixers_break_no_rule_and_the_others_keep_serving(faults: &str) {
+    let (figures, breaches) = run_day(&day(faults, "{ count: 3 }"), 12);
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
     assert!(figures.whole().share() >= 0.4, "{figures}");
     let last = figures.between(5, 7);
-    assert!(last.share() >= 0.8, "they are back: {figures}");
+    assert!(last.share() >= 0.8, "the mixers are back: {figures}");
 }
 
-#[test_case("{ count: 4, first: 0.25 }"; "one has a quarter of all")]
-#[test_case("{ count: 4, told: 2 }"; "they are told half of their number")]
-#[test_case("{ count: 4, told: 8 }"; "they are told twice their number")]
-fn searchers_that_return_cold_are_not_toppled_and_the_fleet_comes_back(mixers: &str) {
-    let troubles = "{ what: 'crash', at: '1500ms', lasts: '1s', searchers: [0, 1, 3, 4, 6] }";
-    let (figures, breaches) = played(&day(troubles, mixers), 13);
+#[test_case("{ count: 4, first: 0.25 }"; "one mixer has a quarter of all scans")]
+#[test_case("{ count: 4, told: 2 }"; "configured with half of the fleet size")]
+#[test_case("{ count: 4, told: 8 }"; "configured with twice the fleet size")]
+fn searchers_that_restart_cold_are_not_overloaded_and_the_fleet_recovers(mixers: &str) {
+    let faults = "{ what: 'crash', at: '1500ms', lasts: '1s', searchers: [0, 1, 3, 4, 6] }";
+    let (figures, breaches) = run_day(&day(faults, mixers), 13);
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
     let last = figures.between(5, 7);
     assert!(last.share() >= 0.8, "{figures}");
-    // Each of four asks a dead one every five seconds, and dials one that is back when it has a part for it.
+    // Each of four mixers probes a dead searcher every five seconds, and connects to one that is back when it
+    // has a part for it.
     assert!(figures.most_checks() <= 8, "{figures}");
 }
 
-/// What the whole fleet's test asks of the program, as far as it can be held here (docs/architecture.md).
+/// What the test of a whole fleet requires of the program, as far as it can be checked here
+/// (docs/architecture.md).
 #[test]
 fn the_program_stays_one_process_linked_dynamically() {
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    let head = std::fs::read(program).unwrap();
-    let half = |at: usize| usize::from(u16::from_le_bytes([head[at], head[at + 1]]));
-    // ELF of 64 bits: the table of segments lies where eight bytes at 32 say; a segment of type 3 names the loader.
-    let table = u64::from_le_bytes(head[32..40].try_into().unwrap()) as usize;
-    let types = (0..half(56)).map(|number| head[table + number * half(54)]);
-    assert!(head.starts_with(b"\x7fELF") && types.collect::<Vec<u8>>().contains(&3), "no loader is named");
+    let binary = std::fs::read(program).unwrap();
+    let u16_at = |at: usize| usize::from(u16::from_le_bytes([binary[at], binary[at + 1]]));
+    // In a 64-bit ELF file the eight bytes at offset 32 give the offset of the program header table; a
+    // segment of type 3 (PT_INTERP) names the dynamic loader.
+    let program_headers = u64::from_le_bytes(binary[32..40].try_into().unwrap()) as usize;
+    let segment_types = (0..u16_at(56)).map(|number| binary[program_headers + number * u16_at(54)]);
+    assert!(
+        binary.starts_with(b"\x7fELF") && segment_types.collect::<Vec<u8>>().contains(&3),
+        "no dynamic loader is named"
+    );
     let at = free_address();
-    let there = list(&[searcher(good).0]);
-    let text = orders(&at.to_string(), agent(there.clone()), &there);
-    let mixer = start(program, 256, file("alone.json", &text), None, at);
+    let known = list(&[searcher(good).0]);
+    let config = orders(&at.to_string(), agent(known.clone()), &known);
+    let mixer = start(program, 256, file("alone.json", &config), None, at);
     let mut client = mixer.client();
     for number in 0..20 {
         say(&mut client, scan(&format!("a{number}"), &[0, 1]));
@@ -107,12 +115,12 @@
     assert!(threads.len() <= 2, "{} threads", threads.len());
     for thread in threads {
         let children = std::fs::read_to_string(thread.path().join("children")).unwrap_or_default();
-        assert_eq!(children, "", "it starts nothing");
+        assert_eq!(children, "", "the mixer starts no child process");
     }
 }
 
-/// Scans that need every cell, edits of twice the worth beside them, and clients of whom half come again at once.
-fn heavy(load: f64, troubles: &str, mixers: &str) -> Day {
+/// Scans that need every cell, edits worth twice as much, and clients of which half retry without waiting.
+fn overload_day(load: f64, faults: &str, mixers: &str) -> Day {
     let text = format!(
         r#"{{
           lasts: "7s", mixers: {mixers}, searchers: {{ cells: 3, replicas: 2, cold_from: 0.3, cold: "3s" }},
@@ -121,55 +129,61 @@
             {{ name: "look", rate: 60, parts: 3, work: "30ms", quoted: "500ms", abandon: "1500ms", repeat: "redoable" }},
             {{ name: "fix", rate: 10, parts: 1, work: "30ms", quoted: "500ms", abandon: "1500ms", repeat: "irreversible", credit: 4 }},
           ],
-          troubles: [{troubles}] }}"#
+          troubles: [{faults}] }}"#
     );
     Day::read(&text).unwrap().at_load(load)
 }
 
-/// Shed as one, overload and faults on the links break no rule, are not made worse by relays, and cost the edits little.
+/// With fleet-wide load shedding, overload and connection faults break no rule, are not amplified by relays,
+/// and cost few edits.
 #[test_case(2.0, "", "{ count: 4 }", 0.3; "twice the load")]
 #[test_case(5.0, "", "{ count: 4 }", 0.15; "five times the load")]
-#[test_case(2.0, "", "{ count: 4, first: 0.25 }", 0.3; "one mixer has a quarter of it")]
-#[test_case(2.0, "", "{ count: 4, told: 2 }", 0.3; "they are told half of their number")]
-#[test_case(2.0, "{ what: 'drain', at: '3s', lasts: '2s', searchers: [0, 3] }", "{ count: 4 }", 0.2; "a drain in the worst of it")]
-#[test_case(1.0, "{ what: 'crash', at: '2s', lasts: '1s', searchers: [0, 2, 4] }", "{ count: 4 }", 0.2; "half of the searchers are gone and come back cold")]
-#[test_case(1.5, "{ what: 'stall', at: '2s', lasts: '1500ms', mixers: [0] }", "{ count: 4 }", 0.2; "a mixer stands still and its level is old")]
-#[test_case(1.5, "{ what: 'kill', at: '2s', lasts: '500ms', mixers: [0, 1, 2] }", "{ count: 4 }", 0.15; "three of four are killed and know of no level")]
+#[test_case(2.0, "", "{ count: 4, first: 0.25 }", 0.3; "one mixer has a quarter of the load")]
+#[test_case(2.0, "", "{ count: 4, told: 2 }", 0.3; "configured with half of the fleet size")]
+#[test_case(2.0, "{ what: 'drain', at: '3s', lasts: '2s', searchers: [0, 3] }", "{ count: 4 }", 0.2; "a drain during the overload")]
+#[test_case(1.0, "{ what: 'crash', at: '2s', lasts: '1s', searchers: [0, 2, 4] }", "{ count: 4 }", 0.2; "half of the searchers crash and come back cold")]
+#[test_case(1.5, "{ what: 'stall', at: '2s', lasts: '1500ms', mixers: [0] }", "{ count: 4 }", 0.2; "a mixer is stopped and its shedding level is stale")]
+#[test_case(1.5, "{ what: 'kill', at: '2s', lasts: '500ms', mixers: [0, 1, 2] }", "{ count: 4 }", 0.15; "three of four mixers are killed and restart without a shedding level")]
 #[test_case(1.0, "{ what: 'cut', at: '2s', lasts: '2s', mixers: [0, 1], searchers: [0, 2, 4] }, { what: 'cut', at: '2s', lasts: '2s', mixers: [2, 3], searchers: [1, 3, 5] }", "{ count: 4 }", 0.2; "a partition leaves each half of the mixers half of the searchers")]
-#[test_case(1.5, "{ what: 'slow', at: '2s', lasts: '2s', times: 8, searchers: [0] }", "{ count: 4 }", 0.2; "a slow searcher that all leave and come back to")]
-fn shed_as_one_overload_breaks_no_rule_and_is_not_made_worse(
+#[test_case(1.5, "{ what: 'slow', at: '2s', lasts: '2s', times: 8, searchers: [0] }", "{ count: 4 }", 0.2; "a slow searcher that all mixers leave and return to")]
+fn fleet_wide_shedding_keeps_overload_within_the_rules(
     load: f64,
-    troubles: &str,
+    faults: &str,
     mixers: &str,
-    least: f64,
+    least_share: f64,
 ) {
-    let (figures, breaches) = played_by(&heavy(load, troubles, mixers), 21, Some(as_one()));
+    let (figures, breaches) =
+        run_day_with_operator(&overload_day(load, faults, mixers), 21, Some(fleet_shedding_operator()));
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
     let whole = figures.whole();
-    assert!(whole.share() >= least, "{figures}");
+    assert!(whole.share() >= least_share, "{figures}");
     assert!(whole.sent_over_asked() <= 1.2, "{figures}");
-    let (_, asked, served) = figures.types["fix"];
-    // Of what came to a mixer while it stood still nothing can be served, whatever sheds.
-    let stood = figures.stood.get("fix").copied().unwrap_or_default();
-    assert!(served >= 0.9 * (asked - stood), "edits go before lookups, {stood} stood: {figures}");
+    let (_, sent, served) = figures.types["fix"];
+    // Nothing that reached a mixer while it was stopped can be served, with any load shedding.
+    let stopped = figures.stood.get("fix").copied().unwrap_or_default();
+    assert!(
+        served >= 0.9 * (sent - stopped),
+        "edits have priority over lookups, {stopped} reached a stopped mixer: {figures}"
+    );
 }
 
-/// Five times what can be done for two seconds, then eight tenths of it again: what was served before is served again.
+/// Five times the capacity for two seconds, then eight tenths of it again: the fleet serves as much as before
+/// the burst.
 #[test]
-fn shed_as_one_the_fleet_comes_back_by_itself_after_a_burst() {
-    let mut day = heavy(0.7, "{ what: 'burst', at: '2s', lasts: '2s', times: 7 }", "{ count: 4 }");
+fn fleet_wide_shedding_recovers_after_a_burst() {
+    let mut day = overload_day(0.7, "{ what: 'burst', at: '2s', lasts: '2s', times: 7 }", "{ count: 4 }");
     day.lasts = std::time::Duration::from_secs(11);
-    let (figures, breaches) = played_by(&day, 22, Some(as_one()));
+    let (figures, breaches) = run_day_with_operator(&day, 22, Some(fleet_shedding_operator()));
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
     let (burst, after) = (figures.between(2, 4), figures.between(8, 11));
-    assert!(burst.share() <= 0.7, "it is more than can be done: {figures}");
+    assert!(burst.share() <= 0.7, "the burst exceeds the capacity: {figures}");
     assert!(after.share() >= 0.9, "{figures}");
 }
 
-/// A sixth of the searchers is cut off, their connections open. Those asked whether they are there are asked by each
-/// mixer once in five seconds at the most, and no rule is broken by what moves.
+/// A sixth of the searchers is cut off while their connections stay open. Each mixer probes such a searcher
+/// at most once in five seconds, and the load that moves to the others breaks no rule.
 #[test]
-fn searchers_that_are_cut_off_are_asked_by_each_mixer_once_where_checks_pass_by_the_queue() {
+fn each_mixer_probes_a_cut_off_searcher_once_when_probes_bypass_the_queue() {
     let text = r#"{
           lasts: "7s", mixers: { count: 6 }, searchers: { cells: 6, replicas: 3 },
           types: [
@@ -177,52 +191,60 @@
             { name: "fix", rate: 10, parts: 1, work: "5ms", quoted: "600ms", abandon: "1500ms", repeat: "irreversible", credit: 2 },
           ],
           troubles: [{ what: 'cut', at: '2s', lasts: '3s', searchers: [0, 7, 14] }] }"#;
-    let asks = file("asks.json5", "{ searchers: { checks_beside_queue: true } }");
-    let (figures, breaches) = played_by(&Day::read(text).unwrap(), 31, Some(&asks));
+    let operator = file("asks.json5", "{ searchers: { checks_beside_queue: true } }");
+    let (figures, breaches) = run_day_with_operator(&Day::read(text).unwrap(), 31, Some(&operator));
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
     assert!(figures.whole().sent_over_asked() <= 1.2 && figures.between(2, 5).share() >= 0.7, "{figures}");
     assert!((1..=6).contains(&figures.most_checks()), "{figures}");
 }
 
-/// An operator's file in which all mixers together keep to sums, and checks pass by the queue.
-fn in_sum() -> &'static Path {
+/// An operator file with fleet-wide limits on relays and health probes, and probes that bypass the searchers'
+/// queues.
+fn fleet_limits_operator() -> &'static Path {
     static FILE: OnceLock<PathBuf> = OnceLock::new();
     let sums = "fleet: { relays_in_sum: true, asks_in_sum: true }, searchers: { checks_beside_queue: true }";
     FILE.get_or_init(|| file("in-sum.json5", &format!("{{ {sums} }}")))
 }
 
-/// One of eighteen searchers falls silent, checks too. Six mixers ask it in turns: each once as it finds it by a late part,
-/// and then once in five seconds at a time of its own. By themselves all would ask in one second, and none for four.
-#[test_case("{ count: 6 }", 18, 4; "told their number")]
-#[test_case("{ count: 6, told: 3, first: 0.25 }", 18, 4; "told half of it, and one has a quarter of all scans")]
-#[test_case("{ count: 6, told: 96 }", 12, 1; "told sixteen times their number, they ask less than half as often")]
-fn a_searcher_that_says_nothing_is_asked_by_turns(mixers: &str, most: usize, turns: usize) {
+/// One of eighteen searchers stops responding, also to probes. The six mixers spread their probes: each
+/// probes once when a late part reveals the fault, and then every five seconds at a time of its own. Without
+/// coordination all would probe within the same second and none in the next four.
+#[test_case("{ count: 6 }", 18, 4; "configured with the fleet size")]
+#[test_case("{ count: 6, told: 3, first: 0.25 }", 18, 4; "configured with half of the fleet size, and one has a quarter of all scans")]
+#[test_case("{ count: 6, told: 96 }", 12, 1; "configured with sixteen times the fleet size, they probe less than half as often")]
+fn probes_of_a_silent_searcher_are_spread_over_time(mixers: &str, most_probes: usize, least_seconds: usize) {
     let text = format!(
         r#"{{
           lasts: "14s", mixers: {mixers}, searchers: {{ cells: 6, replicas: 3 }},
           types: [{{ name: "look", rate: 30, parts: 12, work: "5ms", quoted: "600ms", abandon: "1500ms", repeat: "redoable" }}],
           troubles: [{{ what: 'hang', at: '1s', lasts: '13s', searchers: [7] }}] }}"#
     );
-    let (figures, breaches) = played_by(&Day::read(&text).unwrap(), 41, Some(in_sum()));
+    let (figures, breaches) =
+        run_day_with_operator(&Day::read(&text).unwrap(), 41, Some(fleet_limits_operator()));
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
     assert!(figures.whole().sent_over_asked() <= 1.2, "{figures}");
-    let asked: Vec<usize> = (4..14).map(|s| figures.most(&[7], s..s + 1, |load| load.checks)).collect();
-    assert!(asked.iter().sum::<usize>() <= most, "{asked:?}");
-    assert!(asked.iter().filter(|second| **second > 0).count() >= turns, "at the same time: {asked:?}");
+    let probes: Vec<usize> = (4..14).map(|s| figures.most(&[7], s..s + 1, |load| load.checks)).collect();
+    assert!(probes.iter().sum::<usize>() <= most_probes, "{probes:?}");
+    assert!(
+        probes.iter().filter(|second| **second > 0).count() >= least_seconds,
+        "probes in the same second: {probes:?}"
+    );
 }
 
-/// A searcher of each cell says `later` to all, while one mixer has a quarter of the scans or a partition makes two
-/// fleets: what is relayed stays under the share in sum, and no rule is broken.
-#[test_case("{ count: 4 }", ""; "alone")]
-#[test_case("{ count: 4, told: 2, first: 0.25 }", ""; "told half of their number, one has a quarter")]
-#[test_case("{ count: 4, told: 8 }", "{ what: 'cut', at: '2s', lasts: '2s', mixers: [0, 1], searchers: [1, 4] }, { what: 'cut', at: '2s', lasts: '2s', mixers: [2, 3], searchers: [2, 5] },"; "told twice, in a partition")]
-fn what_says_later_to_all_is_not_thrown_at_its_neighbours(mixers: &str, more: &str) {
-    let trouble = format!("{more} {{ what: 'full', at: '2s', lasts: '3s', searchers: [0, 3, 6] }}");
-    let (figures, breaches) = played_by(&day(&trouble, mixers), 42, Some(in_sum()));
+/// One searcher per cell answers every part with `later`, while one mixer has a quarter of the scans or a
+/// partition splits the fleet in two. The further relays of all mixers together stay within their budget and
+/// break no rule.
+#[test_case("{ count: 4 }", ""; "no other fault")]
+#[test_case("{ count: 4, told: 2, first: 0.25 }", ""; "configured with half of the fleet size, and one has a quarter of the scans")]
+#[test_case("{ count: 4, told: 8 }", "{ what: 'cut', at: '2s', lasts: '2s', mixers: [0, 1], searchers: [1, 4] }, { what: 'cut', at: '2s', lasts: '2s', mixers: [2, 3], searchers: [2, 5] },"; "configured with twice the fleet size, in a partition")]
+fn relays_of_refused_parts_stay_within_the_fleet_wide_budget(mixers: &str, further_faults: &str) {
+    let faults = format!("{further_faults} {{ what: 'full', at: '2s', lasts: '3s', searchers: [0, 3, 6] }}");
+    let (figures, breaches) = run_day_with_operator(&day(&faults, mixers), 42, Some(fleet_limits_operator()));
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
     let whole = figures.whole();
-    // A fifth of what was asked for, and of all three cells the few that time earns in ten seconds, twice over at half.
+    // A fifth of all parts, and for each of three cells the relays that time earns in ten seconds, doubled
+    // because the mixers may be configured with half of their number.
     assert!(whole.further as f64 <= 0.2 * whole.parts as f64 + 3.0 * 2.0 * 10.0, "{figures}");
-    assert!(whole.turned_away >= 3, "they were met: {figures}");
+    assert!(whole.turned_away >= 3, "the full searchers were asked: {figures}");
     assert!(whole.share() >= 0.6 && figures.between(6, 7).share() >= 0.8, "{figures}");
 }
--- a/crates/mixer/tests/log.rs
+++ b/crates/mixer/tests/log.rs
@@ -1,6 +1,6 @@
-//! What happens: whoever reads the mixer's log hangs, and the mixer answers nobody any more. Why: lines went to standard
-//! error by a call that blocks while the pipe there is full, on the one thread that does all else. What showed it: a
-//! trace of the program, which stands in `write(2, ...)`.
+//! Guards against a mixer that stops answering because the reader of its log hangs. Log lines used to be
+//! written to standard error with a blocking call on the only thread, which stalled in `write(2, ...)` once
+//! the pipe was full.
 
 use fernglade_standins::child::{file, free_address, orders, start_with_log, Mixer};
 use fernglade_standins::client::{answer, say, scan};
@@ -13,28 +13,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a pipe holds on Linux, where nobody changes it.
-const PIPE: usize = 65_536;
+/// The default capacity of a pipe on Linux, in bytes.
+const PIPE_CAPACITY: usize = 65_536;
 
-/// A pipe that is full, as its reader hangs.
+/// A full pipe, as if its reader hung.
 fn full_pipe() -> (PipeReader, Stdio) {
     let (reader, mut writer) = pipe().expect("a pipe");
-    let filler = [&[b'x'; PIPE - 1][..], b"\n"].concat();
-    writer.write_all(&filler).expect("it has room for so much");
+    let filler = [&[b'x'; PIPE_CAPACITY - 1][..], b"\n"].concat();
+    writer.write_all(&filler).expect("the pipe has room for its capacity");
     (reader, writer.into())
 }
 
 fn mixer(name: &str, log: Stdio) -> Mixer {
-    let (address, _told) = searcher(good);
-    let (at, known) = (free_address(), list(&[address]));
-    let text = orders(&at.to_string(), agent(known.clone()), &known);
+    let (address, _received) = searcher(good);
+    let (listen_address, known) = (free_address(), list(&[address]));
+    let config = orders(&listen_address.to_string(), agent(known.clone()), &known);
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    start_with_log(program, file(&format!("log-{name}.json"), &text), at, log)
+    start_with_log(program, file(&format!("log-{name}.json"), &config), listen_address, log)
 }
 
-fn ends_in_time(mixer: &mut Mixer) -> bool {
-    let began = Instant::now();
-    while began.elapsed() < Duration::from_secs(3) {
+fn exits_in_time(mixer: &mut Mixer) -> bool {
+    let started = Instant::now();
+    while started.elapsed() < Duration::from_secs(3) {
         if mixer.child.try_wait().is_ok_and(|ended| ended.is_some()) {
             return true;
         }
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_log_that_nobody_reads_holds_nobody_up() {
+fn an_unread_log_does_not_block_the_mixer() {
     let (_reader, log) = full_pipe();
     let mut mixer = mixer("full", log);
     let mut client = mixer.client();
@@ -57,28 +57,28 @@
     }
     drop(client);
     mixer.signal("-TERM");
-    assert!(ends_in_time(&mut mixer), "it stops as usual");
+    assert!(exits_in_time(&mut mixer), "the mixer exits as usual");
 }
 
 #[test]
-fn lines_that_could_not_be_written_are_counted_once_the_log_is_read_again() {
+fn dropped_log_lines_are_counted_once_the_log_is_read_again() {
     let (reader, log) = full_pipe();
     let mixer = mixer("read-again", log);
-    let (tell, lines) = channel();
+    let (line_sender, lines) = channel();
     thread::spawn(move || {
-        BufReader::new(reader).lines().map_while(Result::ok).try_for_each(|line| tell.send(line))
+        BufReader::new(reader).lines().map_while(Result::ok).try_for_each(|line| line_sender.send(line))
     });
-    let next = || lines.recv_timeout(Duration::from_secs(5)).expect("a line");
-    assert_eq!(next().len(), PIPE - 1);
+    let next_line = || lines.recv_timeout(Duration::from_secs(5)).expect("a line");
+    assert_eq!(next_line().len(), PIPE_CAPACITY - 1);
     mixer.signal("-HUP");
-    let first = next();
+    let first = next_line();
     assert!(first.contains("lines of the log could not be written"), "{first}");
-    let then = next();
-    assert!(then.contains("orders read again"), "{then}");
+    let second = next_line();
+    assert!(second.contains("orders read again"), "{second}");
 }
 
 #[test]
-fn a_log_whose_reader_has_gone_holds_nobody_up() {
+fn a_closed_log_pipe_does_not_block_the_mixer() {
     let (reader, writer) = pipe().expect("a pipe");
     drop(reader);
     let mut mixer = mixer("gone", writer.into());
@@ -87,5 +87,5 @@
     assert_eq!(answer(&mut client).0, 200);
     drop(client);
     mixer.signal("-TERM");
-    assert!(ends_in_time(&mut mixer), "it stops as usual");
+    assert!(exits_in_time(&mut mixer), "the mixer exits as usual");
 }
--- a/crates/mixer/tests/pipelined.rs
+++ b/crates/mixer/tests/pipelined.rs
@@ -1,4 +1,4 @@
-//! What a client sends behind its own request, and the end of its connection behind that, in the built program.
+//! Tests of pipelined requests in the built mixer, and of a disconnect that follows them.
 
 use fernglade_standins::child::{file, free_address, orders, start, Mixer};
 use fernglade_standins::client::{answer, say, scan, try_answer, HEALTH};
@@ -13,10 +13,10 @@
 use test_case::test_case;
 
 fn mixer(name: &str, searcher: SocketAddr) -> Mixer {
-    let (at, known) = (free_address(), list(&[searcher]));
-    let text = orders(&at.to_string(), agent(known.clone()), &known);
+    let (address, known) = (free_address(), list(&[searcher]));
+    let config = orders(&address.to_string(), agent(known.clone()), &known);
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    start(program, 1024, file(&format!("pipelined-{name}.json"), &text), None, at)
+    start(program, 1024, file(&format!("pipelined-{name}.json"), &config), None, address)
 }
 
 fn ask(mixer: &Mixer, name: &str) -> u16 {
@@ -26,21 +26,22 @@
 }
 
 /// The next frame that carries a part of this scan.
-fn part_of(told: &Receiver<(u8, String)>, name: &str) -> String {
+fn next_part_of(received: &Receiver<(u8, String)>, name: &str) -> String {
     let first = format!("{name}.");
-    let mut frames = std::iter::from_fn(|| told.recv_timeout(PATIENCE).ok());
+    let mut frames = std::iter::from_fn(|| received.recv_timeout(PATIENCE).ok());
     frames.find(|(letter, rest)| *letter == b'm' && rest.starts_with(&first)).expect("the part comes").1
 }
 
-/// It asked, sent more and left while the mixer stood still: the end stands behind what it sent more.
+/// While the mixer is stopped, a client sends a request and further bytes and disconnects: the close comes
+/// behind those bytes.
 #[test_case("x".into(); "a stray byte")]
 #[test_case(scan("next", &[0]); "another request")]
-#[test_case((0..150).map(|number| scan(&format!("next{number}"), &[0])).collect(); "more than may wait")]
-#[test_case((0..1500).map(|number| scan(&format!("next{number}"), &[0])).collect(); "far more")]
-fn a_request_whose_client_left_behind_further_bytes_is_not_sent_on(further: String) {
-    let (address, told) = searcher(good);
+#[test_case((0..150).map(|number| scan(&format!("next{number}"), &[0])).collect(); "more than is buffered")]
+#[test_case((0..1500).map(|number| scan(&format!("next{number}"), &[0])).collect(); "far more than is buffered")]
+fn a_request_is_dropped_when_its_client_disconnects_behind_pipelined_bytes(further: String) {
+    let (address, received) = searcher(good);
     let mixer = mixer(&format!("left-{}", further.len()), address);
-    assert_eq!(ask(&mixer, "warm"), 200, "the link is up: nothing holds a call back");
+    assert_eq!(ask(&mixer, "warm"), 200, "the connection to the searcher is up, so nothing delays a call");
     mixer.signal("-STOP");
     let mut client = mixer.client();
     say(&mut client, scan("left", &[0]) + &further);
@@ -48,18 +49,18 @@
     std::thread::sleep(Duration::from_millis(150));
     mixer.signal("-CONT");
     assert_eq!(ask(&mixer, "mark"), 200);
-    let seen: Vec<String> = told.try_iter().map(|(_, rest)| rest).collect();
-    assert!(seen.iter().all(|rest| rest.starts_with("warm.") || rest.starts_with("mark.")), "{seen:?}");
+    let frames: Vec<String> = received.try_iter().map(|(_, rest)| rest).collect();
+    assert!(frames.iter().all(|rest| rest.starts_with("warm.") || rest.starts_with("mark.")), "{frames:?}");
 }
 
-/// They had been read when the stop came: each is owed its answer.
+/// Requests that the mixer had read when shutdown began each get an answer.
 #[test]
-fn requests_that_were_read_before_the_stop_are_all_answered() {
-    let (address, told) = searcher(slow);
+fn requests_read_before_shutdown_are_all_answered() {
+    let (address, received) = searcher(slow);
     let mut mixer = mixer("stop", address);
     let mut client = mixer.client();
     say(&mut client, scan("a", &[0]) + &scan("b", &[1]) + &scan("c", &[2]));
-    part_of(&told, "a");
+    next_part_of(&received, "a");
     mixer.signal("-TERM");
     let statuses: Vec<u16> =
         std::iter::from_fn(|| try_answer(&mut client).ok().map(|answer| answer.0)).collect();
@@ -68,49 +69,52 @@
     assert!(mixer.child.wait().expect("it runs").success());
 }
 
-/// Its client's time counts from when it was sent, and it stood behind another one for a third of a second.
+/// A client's timeout counts from when it sent the request. This one waited a third of a second behind
+/// another, so the searcher is given correspondingly less time.
 #[test]
-fn the_time_told_of_a_request_that_stood_behind_another_is_what_its_client_has_left() {
-    let (address, told) = searcher(slow);
+fn time_spent_behind_a_pipelined_request_is_deducted_from_the_deadline() {
+    let (address, received) = searcher(slow);
     let mixer = mixer("time", address);
     let mut client = mixer.client();
-    let short = |name| scan(name, &[0]).replace("X-Timeout: 4.0", "X-Timeout: 1.0");
-    say(&mut client, short("a") + &short("b"));
-    let (first, second) = (part_of(&told, "a"), part_of(&told, "b"));
-    let told_ms = |part: &str| -> u64 {
+    let short_scan = |name| scan(name, &[0]).replace("X-Timeout: 4.0", "X-Timeout: 1.0");
+    say(&mut client, short_scan("a") + &short_scan("b"));
+    let (first, second) = (next_part_of(&received, "a"), next_part_of(&received, "b"));
+    let deadline_ms = |part: &str| -> u64 {
         let list = part.split(' ').nth(2).expect("a list").to_string();
         let time = list.split(',').find_map(|word| word.strip_prefix("d=")).expect("a time");
         time.parse().expect("milliseconds")
     };
-    assert!(told_ms(&first) <= 1000, "{first}");
-    assert!(told_ms(&second) <= 1000 - 300 + 150, "{second}");
+    assert!(deadline_ms(&first) <= 1000, "{first}");
+    assert!(deadline_ms(&second) <= 1000 - 300 + 150, "{second}");
 }
 
-/// A request that stood behind one for longer than its own time is answered at once, and goes nowhere.
+/// A request that waited behind another for longer than its own timeout is refused at once and not sent on.
 #[test]
-fn a_request_whose_time_ran_out_behind_another_is_refused_at_once() {
-    let (address, told) = searcher(slow);
+fn a_request_that_times_out_behind_another_is_refused_at_once() {
+    let (address, received) = searcher(slow);
     let mixer = mixer("out-of-time", address);
     let mut client = mixer.client();
-    let short = scan("b", &[0]).replace("X-Timeout: 4.0", "X-Timeout: 0.2");
-    say(&mut client, scan("a", &[0]) + &short + HEALTH);
+    let short_scan = scan("b", &[0]).replace("X-Timeout: 4.0", "X-Timeout: 0.2");
+    say(&mut client, scan("a", &[0]) + &short_scan + HEALTH);
     let statuses = [0; 3].map(|_| answer(&mut client).0);
     assert_eq!(statuses, [200, 503, 200]);
-    let parts = told.try_iter().filter(|(letter, rest)| *letter == b'm' && rest.starts_with("b.")).count();
+    let parts =
+        received.try_iter().filter(|(letter, rest)| *letter == b'm' && rest.starts_with("b.")).count();
     assert_eq!(parts, 0);
     let _ = client.get_mut().shutdown(std::net::Shutdown::Both);
     assert_eq!(client.read(&mut [0]).unwrap_or(0), 0);
 }
 
-/// It sends on and on, and reads its answers: it is answered what was read, and the program ends all the same.
+/// A client sends without pause and reads its answers: requests that were read are answered, and the mixer
+/// still exits in time.
 #[test]
-fn a_client_that_never_stops_sending_holds_no_stop_up() {
-    let (address, _told) = searcher(good);
+fn a_client_that_never_stops_sending_does_not_delay_shutdown() {
+    let (address, _received) = searcher(good);
     let mut mixer = mixer("endless", address);
     let client = mixer.client();
-    let mut sends = client.get_ref().try_clone().expect("a descriptor");
+    let mut stream = client.get_ref().try_clone().expect("a descriptor");
     let sender = std::thread::spawn(move || {
-        let sent = (0..).map(|number| sends.write_all(scan(&format!("e{number}"), &[0]).as_bytes()));
+        let sent = (0..).map(|number| stream.write_all(scan(&format!("e{number}"), &[0]).as_bytes()));
         sent.take_while(Result::is_ok).count()
     });
     let reader = std::thread::spawn(move || {
@@ -119,20 +123,21 @@
     });
     std::thread::sleep(Duration::from_millis(300));
     mixer.signal("-TERM");
-    let began = std::time::Instant::now();
+    let stop_started = std::time::Instant::now();
     while mixer.child.try_wait().expect("it runs").is_none() {
-        assert!(began.elapsed() < Duration::from_millis(1_700), "still there");
+        assert!(stop_started.elapsed() < Duration::from_millis(1_700), "the mixer is still running");
         std::thread::sleep(Duration::from_millis(10));
     }
     let (sent, statuses) = (sender.join().expect("it ends"), reader.join().expect("it ends"));
     assert!(statuses.iter().all(|status| matches!(status, 200 | 503)), "{statuses:?}");
-    println!("{sent} sent, {} answered, gone after {:?}", statuses.len(), began.elapsed());
+    println!("{sent} sent, {} answered, exited after {:?}", statuses.len(), stop_started.elapsed());
 }
 
-/// It keeps three requests on the way at any time: what it sends after the stop meets the end of its connection.
+/// A client keeps three requests in flight at all times. What it sends after shutdown began meets a closed
+/// connection.
 #[test]
-fn a_client_that_keeps_requests_on_the_way_holds_no_stop_up() {
-    let (address, _told) = searcher(good);
+fn a_client_with_requests_always_in_flight_does_not_delay_shutdown() {
+    let (address, _received) = searcher(good);
     let mut mixer = mixer("on-the-way", address);
     let mut client = mixer.client();
     (0..3).for_each(|number| say(&mut client, scan(&format!("w{number}"), &[0])));
@@ -147,9 +152,9 @@
     });
     std::thread::sleep(Duration::from_millis(300));
     mixer.signal("-TERM");
-    let began = std::time::Instant::now();
+    let stop_started = std::time::Instant::now();
     while mixer.child.try_wait().expect("it runs").is_none() {
-        assert!(began.elapsed() < Duration::from_millis(1_700), "still there");
+        assert!(stop_started.elapsed() < Duration::from_millis(1_700), "the mixer is still running");
         std::thread::sleep(Duration::from_millis(10));
     }
     let statuses = caller.join().expect("it ends");
--- a/crates/mixer/tests/scale.rs
+++ b/crates/mixer/tests/scale.rs
@@ -1,4 +1,5 @@
-//! Sixteen times the searchers: what a mixer needs may grow a little, and every request is answered.
+//! Scaling tests of the built mixer: with sixteen times the searchers its resource usage may grow only a
+//! little, and every request is answered.
 
 use fernglade_standins::child::{file, free_address, orders, start, Mixer};
 use fernglade_standins::client::{say, scan, try_answer, Client};
@@ -11,26 +12,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Requests, and how many each second.
+/// The number of requests in all, and the number per second.
 const REQUESTS: u32 = 480;
 const PER_SECOND: u32 = 60;
 const CLIENTS: u32 = 12;
-/// Searchers of a fleet of 300 mixers; sixteen times as many stand before 900.
-const USUAL: u32 = 200;
+/// The searchers of a fleet of 300 mixers; the large case has sixteen times as many searchers and 900 mixers.
+const USUAL_SEARCHERS: u32 = 200;
 
-/// What it took to serve them.
+/// The resources that a mixer used to serve all requests.
 #[derive(Debug)]
-struct Needs {
+struct Usage {
     unanswered: usize,
-    processor: Duration,
+    cpu_time: Duration,
     kilobytes: u64,
     descriptors: usize,
-    /// Connections made to searchers.
+    /// Connections opened to searchers.
     connections: usize,
 }
 
-/// One of very many searchers, all of which are one listener on any loopback address.
-fn row(number: u32, cells: u32, port: u16, state: &str) -> String {
+/// The discovery entry of one searcher. All searchers are one listener, reached by different loopback
+/// addresses.
+fn instance_entry(number: u32, cells: u32, port: u16, state: &str) -> String {
     let address = SocketAddr::from(([127, 3, (number >> 8) as u8, number as u8], port));
     let cell = number % cells;
     format!(
@@ -42,53 +44,59 @@
     format!(r#"{{"generation":{generation},"reset":{whole},"instances":[{}]}}"#, rows.join(","))
 }
 
-/// Serves requests of eight parts before so many searchers, of which one is replaced each half second.
-fn needs(searchers: u32, cells: u32) -> Needs {
+/// Measures a mixer that serves scans of eight parts with this many searchers, one of which is replaced every
+/// half second.
+fn measure(searchers: u32, cells: u32) -> Usage {
     let listener = TcpListener::bind("0.0.0.0:0").expect("a port");
     let port = listener.local_addr().expect("its address").port();
-    let (_told, accepted) = counting_searcher_on(listener, good);
+    let (_received, accepted) = counting_searcher_on(listener, good);
     let agent = Agent::default();
-    let rows: Vec<String> = (0..searchers).map(|number| row(number, cells, port, "SERVING")).collect();
-    let whole = list(1, true, &rows);
-    let at = free_address();
-    let change = [
+    let rows: Vec<String> =
+        (0..searchers).map(|number| instance_entry(number, cells, port, "SERVING")).collect();
+    let full_list = list(1, true, &rows);
+    let address = free_address();
+    let changes = [
         ("\"cells\":1", format!("\"cells\":{cells}")),
         ("\"slabs\":4", "\"slabs\":128".into()),
-        ("\"fleet_size\":1", format!("\"fleet_size\":{}", if searchers > USUAL { 900 } else { 300 })),
+        (
+            "\"fleet_size\":1",
+            format!("\"fleet_size\":{}", if searchers > USUAL_SEARCHERS { 900 } else { 300 }),
+        ),
     ];
-    let text = orders(&at.to_string(), agent.at(), &whole);
-    let text = change.iter().fold(text, |text, (from, to)| text.replace(from, to));
+    let config = orders(&address.to_string(), agent.at(), &full_list);
+    let config = changes.iter().fold(config, |config, (from, to)| config.replace(from, to));
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    let mixer = start(program, 4096, file(&format!("scale-{port}.json"), &text), None, at);
-    let (tell, has_list) = channel();
-    let replacing = thread::spawn(move || {
-        let mut call = agent.call().answer(&whole);
-        tell.send(()).expect("it is waited for");
+    let mixer = start(program, 4096, file(&format!("scale-{port}.json"), &config), None, address);
+    let (list_sent, list_received) = channel();
+    let replacement_thread = thread::spawn(move || {
+        let mut call = agent.call().answer(&full_list);
+        list_sent.send(()).expect("the test waits for the list");
         for replaced in 0..REQUESTS / PER_SECOND * 2 {
             thread::sleep(Duration::from_millis(500));
             let (old, new) = (replaced * 7 % searchers, searchers + replaced);
-            let new = row(new, cells, port, "SERVING")
+            let new = instance_entry(new, cells, port, "SERVING")
                 .replace(&format!("\"cell\":{}", new % cells), &format!("\"cell\":{}", old % cells));
-            call = call.answer(&list(2 + replaced, false, &[row(old, cells, port, "DELETED"), new]));
+            call =
+                call.answer(&list(2 + replaced, false, &[instance_entry(old, cells, port, "DELETED"), new]));
         }
         call
     });
-    has_list.recv().expect("the mixer asks for what is newer");
-    let (_, before, _) = mixer.descriptors_time_memory();
+    list_received.recv().expect("the mixer requests newer changes");
+    let (_, cpu_before, _) = mixer.descriptors_time_memory();
     let connected_before = accepted.load(Ordering::Relaxed);
     let process = mixer.child.id();
-    let mean_open = thread::spawn(move || mean_open(process));
-    let unanswered = ask_all(&mixer);
-    let (_, after, kilobytes) = mixer.descriptors_time_memory();
-    let descriptors = mean_open.join().expect("it counts");
-    drop(replacing.join().expect("the mixer asks on"));
-    let processor = Duration::from_millis((after - before) * 10);
+    let mean_open_descriptors = thread::spawn(move || mean_open_descriptors(process));
+    let unanswered = send_all(&mixer);
+    let (_, cpu_after, kilobytes) = mixer.descriptors_time_memory();
+    let descriptors = mean_open_descriptors.join().expect("the descriptor count");
+    drop(replacement_thread.join().expect("the mixer keeps requesting changes"));
+    let cpu_time = Duration::from_millis((cpu_after - cpu_before) * 10);
     let connections = accepted.load(Ordering::Relaxed) - connected_before;
-    Needs { unanswered, processor, kilobytes, descriptors, connections }
+    Usage { unanswered, cpu_time, kilobytes, descriptors, connections }
 }
 
-/// How many descriptors a process holds in the mean while the requests are served.
-fn mean_open(process: u32) -> usize {
+/// The mean number of descriptors that a process has open while the requests are served.
+fn mean_open_descriptors(process: u32) -> usize {
     let count = |_| {
         thread::sleep(Duration::from_millis(50));
         std::fs::read_dir(format!("/proc/{process}/fd")).map_or(0, |open| open.count())
@@ -97,12 +105,13 @@
     (0..samples).map(count).sum::<usize>() / samples as usize
 }
 
-/// Each client asks at times of its own; how many had no answer of 200.
-fn ask_all(mixer: &Mixer) -> usize {
+/// Sends all requests, each client at times of its own, and returns how many were not answered with status
+/// 200.
+fn send_all(mixer: &Mixer) -> usize {
     let began = Instant::now();
-    let ask = move |at: u32, mut client: Client| {
+    let ask = move |first: u32, mut client: Client| {
         let mut unanswered = 0;
-        for number in (at..REQUESTS).step_by(CLIENTS as usize) {
+        for number in (first..REQUESTS).step_by(CLIENTS as usize) {
             thread::sleep((Duration::from_secs(1) * number / PER_SECOND).saturating_sub(began.elapsed()));
             let shards: Vec<u32> = (0..8).map(|part| (number * 8 + part * 5) % 128).collect();
             say(&mut client, scan(&format!("r{number}"), &shards));
@@ -111,47 +120,48 @@
         unanswered
     };
     let clients: Vec<_> = (0..CLIENTS)
-        .map(|at| (at, mixer.client()))
-        .map(|(at, client)| thread::spawn(move || ask(at, client)))
+        .map(|first| (first, mixer.client()))
+        .map(|(first, client)| thread::spawn(move || ask(first, client)))
         .collect();
     clients.into_iter().map(|client| client.join().expect("a client")).sum()
 }
 
-/// The table of the standing test, with what one run on a busy machine may add.
-fn grows_little(usual: &Needs, large: &Needs) {
+/// The bounds of the acceptance test, with an allowance for a single run on a busy machine.
+fn check_usage_growth(usual: &Usage, large: &Usage) {
     println!("usual {usual:?}\nlarge {large:?}");
     assert_eq!(large.unanswered, 0, "{large:?}");
     assert!(
-        large.processor <= usual.processor * 14 / 10 + Duration::from_millis(120 + 150),
+        large.cpu_time <= usual.cpu_time * 14 / 10 + Duration::from_millis(120 + 150),
         "{usual:?} {large:?}"
     );
     assert!(large.kilobytes <= usual.kilobytes * 3 / 2 + 8_000 + 13_000, "{usual:?} {large:?}");
     assert!(large.descriptors <= usual.descriptors * 2 + 40, "{usual:?} {large:?}");
 }
 
-/// The page's bound on connections made, for a mixer that asks as many cells.
-fn connects_little_more(usual: &Needs, large: &Needs) {
+/// The documented bound on opened connections, for the same number of cells.
+fn check_connection_growth(usual: &Usage, large: &Usage) {
     assert!(large.connections <= usual.connections * 5 / 2 + 40, "{usual:?} {large:?}");
 }
 
 #[test]
-fn sixteen_times_the_searchers_in_as_many_cells_need_little_more() {
-    let (usual, large) = (needs(USUAL, 8), needs(16 * USUAL, 8));
-    grows_little(&usual, &large);
-    connects_little_more(&usual, &large);
+fn sixteen_times_the_searchers_in_the_same_cells_need_little_more() {
+    let (usual, large) = (measure(USUAL_SEARCHERS, 8), measure(16 * USUAL_SEARCHERS, 8));
+    check_usage_growth(&usual, &large);
+    check_connection_growth(&usual, &large);
 }
 
 #[test]
 fn sixteen_times_the_searchers_in_one_cell_need_little_more() {
-    let (usual, large) = (needs(USUAL, 1), needs(16 * USUAL, 1));
-    grows_little(&usual, &large);
-    connects_little_more(&usual, &large);
+    let (usual, large) = (measure(USUAL_SEARCHERS, 1), measure(16 * USUAL_SEARCHERS, 1));
+    check_usage_growth(&usual, &large);
+    check_connection_growth(&usual, &large);
 }
 
-/// What happens: 128 cells are asked by turns, with 92 links allowed. Why it went wrong: a full pool let all idle links
-/// go, and dialled for every part. What showed it: 3,840 connections accepted for 3,840 parts. The page's bound on
-/// connections is not asked for here: 128 cells need as many at the least, where it allows some 80.
+/// Guards against a connection pool that thrashes: 128 cells are asked in turn with 92 connections allowed. A
+/// full pool used to close all its idle connections and open one for every part: 3,840 connections for 3,840
+/// parts. The documented bound on connections is not checked here, as 128 cells need at least 128 where it
+/// allows about 80.
 #[test]
 fn sixteen_times_the_searchers_in_sixteen_times_the_cells_need_little_more() {
-    grows_little(&needs(USUAL, 8), &needs(16 * USUAL, 128));
+    check_usage_growth(&measure(USUAL_SEARCHERS, 8), &measure(16 * USUAL_SEARCHERS, 128));
 }
--- a/crates/mixer/tests/signals.rs
+++ b/crates/mixer/tests/signals.rs
@@ -1,8 +1,8 @@
-//! What happens: a signal to the mixer now and then has no effect: a stop is never begun, a configuration never read.
-//! Why: each signal was handed on as a record of four bytes through a pair of sockets; the handler dropped a record whose
-//! write failed, a short one shifted all later records, and numbers that no signal has were passed over without a word.
-//! What showed it: of 12 lives with one socket write in five short or interrupted, SIGTERM had no effect in 5, and no
-//! line in the log told why; without such faults it had in all.
+//! Guards against lost signals: a SIGTERM that does not stop the mixer, or a SIGHUP that does not reload its
+//! configuration. Signals used to be passed on as four-byte records through a socket pair. The handler
+//! dropped a record whose write failed, a short write shifted all later records, and invalid signal numbers
+//! were ignored silently. In 5 of 12 runs with one socket write in five short or interrupted, SIGTERM had no
+//! effect and nothing was logged; without such faults it took effect in all runs.
 
 use fernglade_standins::child::{file, free_address, orders, start_with_system_faults, Mixer, SystemFault};
 use fernglade_standins::client::{say, HEALTH};
@@ -12,25 +12,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A signal takes effect within this.
-const PROMPTLY: Duration = Duration::from_millis(200);
-const READ_AGAIN: &str = "orders read again";
-const STOPS: &str = "told to stop";
+/// The time limit for a signal to take effect.
+const EFFECT_LIMIT: Duration = Duration::from_millis(200);
+const RELOAD_LINE: &str = "orders read again";
+const STOP_LINE: &str = "told to stop";
 
-/// One life of a mixer: the fault, how many configurations come, and the signal that ends it.
-struct Life {
+/// One run of a mixer: the injected fault, the number of configuration reloads, and the signal that ends the
+/// run.
+struct Run {
     fault: SystemFault,
-    configurations: usize,
-    end: &'static str,
+    reloads: usize,
+    end_signal: &'static str,
 }
 
-/// Which uses of a call fail: each from the eighth on (the mixer is ready by then), or each of so many.
-const FROM_THE_EIGHTH: &str = "8+1";
+/// Which invocations of a system call fail: all from the eighth on, when the mixer is ready, or one in two,
+/// three or five.
+const FROM_EIGHTH_CALL: &str = "8+1";
 const ONE_IN: [&str; 3] = ["4+2", "4+3", "4+5"];
 
-fn lives() -> Vec<Life> {
+fn runs() -> Vec<Run> {
     let mut faults = Vec::new();
-    // What wakes the mixer goes over sockets, where all calls may fail; other calls may be interrupted.
+    // The mixer is woken through sockets, whose calls may fail with any of these errors. Other calls may only
+    // be interrupted.
     for (call, errors) in [
         ("sendto", &["EINTR", "EAGAIN", "ENOBUFS"][..]),
         ("recvfrom", &["EINTR", "EAGAIN", "ENOBUFS"][..]),
@@ -38,73 +41,73 @@
         ("read", &["EINTR"][..]),
     ] {
         for error in errors {
-            // Reads of files and writes of the log are among the other calls, and the standard library repeats an
-            // interrupted one until it is not: where each is, the program stands at its own log for good.
-            let wakes = matches!(call, "sendto" | "recvfrom");
-            let whens = ONE_IN.iter().copied().chain(wakes.then_some(FROM_THE_EIGHTH));
-            faults.extend(whens.map(|when| SystemFault { call, error, when }));
+            // The other calls include file reads and log writes, which the standard library repeats while
+            // they are interrupted: if every call were, the mixer would hang in its own logging forever.
+            let wakes_mixer = matches!(call, "sendto" | "recvfrom");
+            let patterns = ONE_IN.iter().copied().chain(wakes_mixer.then_some(FROM_EIGHTH_CALL));
+            faults.extend(patterns.map(|when| SystemFault { call, error, when }));
         }
     }
-    let lives = faults.iter().copied().cycle().take(50).enumerate();
-    let end = |number: usize| ["-TERM", "-INT"][number / 2 % 2];
-    lives.map(|(number, fault)| Life { fault, configurations: number % 12, end: end(number) }).collect()
+    let runs = faults.iter().copied().cycle().take(50).enumerate();
+    let end_signal = |number: usize| ["-TERM", "-INT"][number / 2 % 2];
+    runs.map(|(number, fault)| Run { fault, reloads: number % 12, end_signal: end_signal(number) }).collect()
 }
 
-fn log_of(mixer: &Mixer) -> String {
+fn read_log(mixer: &Mixer) -> String {
     std::fs::read_to_string(&mixer.files[1]).expect("its log")
 }
 
-/// Whether so many lines with these words stand in the log in time.
-fn told(mixer: &Mixer, words: &str, times: usize) -> bool {
-    let began = Instant::now();
+/// Whether the log contains these words this many times before the time limit.
+fn logs_in_time(mixer: &Mixer, words: &str, times: usize) -> bool {
+    let started = Instant::now();
     loop {
-        if log_of(mixer).matches(words).count() >= times {
+        if read_log(mixer).matches(words).count() >= times {
             return true;
         }
-        if began.elapsed() > PROMPTLY {
+        if started.elapsed() > EFFECT_LIMIT {
             return false;
         }
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// What of this life's signals had no effect in time.
-fn live(number: usize, life: &Life) -> Vec<String> {
-    let (address, _told) = searcher(good);
-    let (at, known) = (free_address(), list(&[address]));
-    let text = orders(&at.to_string(), agent(known.clone()), &known);
+/// Performs a run, and returns the signals that took no effect in time.
+fn perform(number: usize, run: &Run) -> Vec<String> {
+    let (address, _received) = searcher(good);
+    let (listen_address, known) = (free_address(), list(&[address]));
+    let config = orders(&listen_address.to_string(), agent(known.clone()), &known);
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    let orders = file(&format!("signals-{number}.json"), &text);
-    let mixer = start_with_system_faults(program, orders, at, &[life.fault]);
-    // Some writes and reads more, so that the faults have begun.
+    let orders = file(&format!("signals-{number}.json"), &config);
+    let mixer = start_with_system_faults(program, orders, listen_address, &[run.fault]);
+    // Some more reads and writes, so that the faults have begun.
     let mut clients: Vec<_> = (0..8).map(|_| mixer.client()).collect();
     clients.iter_mut().for_each(|client| say(client, HEALTH));
     let mut without_effect = Vec::new();
-    for configuration in 1..=life.configurations {
+    for reload in 1..=run.reloads {
         thread::sleep(Duration::from_millis(50));
         mixer.signal("-HUP");
-        if !told(&mixer, READ_AGAIN, configuration) {
-            without_effect.push(format!("SIGHUP {configuration}"));
+        if !logs_in_time(&mixer, RELOAD_LINE, reload) {
+            without_effect.push(format!("SIGHUP {reload}"));
             break;
         }
     }
-    mixer.signal(life.end);
-    if !told(&mixer, STOPS, 1) {
-        without_effect.push(life.end.into());
+    mixer.signal(run.end_signal);
+    if !logs_in_time(&mixer, STOP_LINE, 1) {
+        without_effect.push(run.end_signal.into());
     }
     without_effect
 }
 
 #[test]
-fn signals_take_effect_whatever_the_calls_that_wake_the_mixer_answer() {
-    let lives: Vec<Life> = lives();
-    let mut lost = Vec::new();
-    for (number, life) in lives.iter().enumerate() {
-        let without_effect = live(number, life);
+fn signals_take_effect_despite_failing_system_calls() {
+    let runs: Vec<Run> = runs();
+    let mut failures = Vec::new();
+    for (number, run) in runs.iter().enumerate() {
+        let without_effect = perform(number, run);
         if !without_effect.is_empty() {
-            let SystemFault { call, error, when } = life.fault;
-            lost.push(format!("life {number}, {call} {error} {when}: {}", without_effect.join(", ")));
+            let SystemFault { call, error, when } = run.fault;
+            failures.push(format!("run {number}, {call} {error} {when}: {}", without_effect.join(", ")));
         }
     }
-    assert!(lost.is_empty(), "{} of {} lives: {lost:#?}", lost.len(), lives.len());
+    assert!(failures.is_empty(), "{} of {} runs: {failures:#?}", failures.len(), runs.len());
 }
--- a/crates/mixer/tests/soak.rs
+++ b/crates/mixer/tests/soak.rs
@@ -1,6 +1,7 @@
-//! Short lives of a mixer, each by a seed: clients on open connections until the kill at its earliest, signals in
-//! series, a searcher that hangs through the stop, heads in two pieces, in some a crowd, and in every third system calls
-//! that fail. SOAK_SEEDS=A..B plays others.
+//! Soak test of shutdown: one short run of a mixer per seed. Clients send on open connections until the
+//! earliest moment of the kill, signals come in series, a searcher hangs throughout the shutdown and some
+//! request heads arrive in two pieces. In every third run many idle connections are open, and in another
+//! third system calls fail. `SOAK_SEEDS=A..B` selects other seeds.
 
 use fernglade_standins::child::{
     file, free_address, orders, start, start_with_system_faults, Mixer, SystemFault,
@@ -18,109 +19,110 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest deadline, and what a client gives each request.
+/// The longest deadline, and the timeout of each request.
 const DEADLINE: Duration = Duration::from_millis(600);
-/// An answer may come so much later and still be one; then it is lost.
+/// How long after the deadline an answer may still arrive; without one by then the request counts as lost.
 const GRACE: Duration = Duration::from_millis(500);
-/// How long the mixer serves before it is told to stop, and how soon after that it is killed at the earliest.
-const SERVES: Duration = Duration::from_millis(1_000);
-const KILL: Duration = Duration::from_millis(600 + 700);
+/// How long the mixer serves before SIGTERM, and the earliest SIGKILL after that.
+const SERVING_TIME: Duration = Duration::from_millis(1_000);
+const KILL_DELAY: Duration = Duration::from_millis(600 + 700);
 
-/// New connections go on coming for so long after the stop (the protocol page).
-const COMES: Duration = Duration::from_millis(400);
+/// How long new connections may still arrive after SIGTERM, by the protocol description.
+const LATE_CONNECTION_WINDOW: Duration = Duration::from_millis(400);
 
-/// Set while the first searcher hangs; seeds are played one after another.
-static HANGS: AtomicBool = AtomicBool::new(false);
+/// Set while the first searcher hangs. A global suffices because seeds run one after another.
+static SEARCHER_HANGS: AtomicBool = AtomicBool::new(false);
 
-fn hanging(letter: u8, rest: &str) -> Option<Vec<u8>> {
-    while HANGS.load(Ordering::Relaxed) {
+fn hanging_searcher(letter: u8, rest: &str) -> Option<Vec<u8>> {
+    while SEARCHER_HANGS.load(Ordering::Relaxed) {
         thread::sleep(Duration::from_millis(5));
     }
-    brief(letter, rest)
+    brief_searcher(letter, rest)
 }
 
-fn brief(letter: u8, rest: &str) -> Option<Vec<u8>> {
+fn brief_searcher(letter: u8, rest: &str) -> Option<Vec<u8>> {
     thread::sleep(Duration::from_millis(2));
     good(letter, rest)
 }
 
-/// How a request ended for its client.
+/// How a request ended, as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum End {
+enum Outcome {
     Served,
     Refused,
     Failed,
-    /// An answer after the client's time.
+    /// Answered after the client's timeout.
     Late,
-    /// Read, as far as can be told, and never answered.
+    /// Probably read, and never answered.
     Lost,
-    /// Its connection, which had served before, ended as it came, and nobody takes new ones any more.
-    NobodyThere,
+    /// The open connection closed as the request was sent, and new connections are no longer accepted.
+    ConnectionsRefused,
 }
 
-/// One client, until the mixer is killed.
+/// A client that sends requests until the mixer is killed.
 struct Caller {
     at: SocketAddr,
-    chance: Pcg32,
+    rng: Pcg32,
     number: usize,
-    until: Instant,
-    ends: Vec<(End, Duration)>,
-    began: Instant,
+    killed_at: Instant,
+    outcomes: Vec<(Outcome, Duration)>,
+    started: Instant,
 }
 
 impl Caller {
-    fn run(mut self) -> Vec<(End, Duration)> {
-        let mut open: Option<Client> = None;
+    fn run(mut self) -> Vec<(Outcome, Duration)> {
+        let mut connection: Option<Client> = None;
         for count in 0.. {
-            thread::sleep(Duration::from_millis(self.chance.random_range(0..40)));
-            if Instant::now() > self.until {
+            thread::sleep(Duration::from_millis(self.rng.random_range(0..40)));
+            if Instant::now() > self.killed_at {
                 break;
             }
             let request = self.request(count);
-            let asked = self.began.elapsed();
-            let end = self.ask(&mut open, &request);
-            let gone = end == End::NobodyThere;
-            self.ends.push((end, asked));
-            if gone {
+            let sent_at = self.started.elapsed();
+            let outcome = self.ask(&mut connection, &request);
+            let refused = outcome == Outcome::ConnectionsRefused;
+            self.outcomes.push((outcome, sent_at));
+            if refused {
                 break;
             }
         }
-        self.ends
+        self.outcomes
     }
 
     fn request(&mut self, count: usize) -> String {
-        let kind = if self.chance.random_bool(0.3) { "fix" } else { "look" };
+        let kind = if self.rng.random_bool(0.3) { "fix" } else { "look" };
         let name = format!("{kind}-{}-{count}", self.number);
-        let shards: Vec<u32> = (0..self.chance.random_range(1..4)).collect();
+        let shards: Vec<u32> = (0..self.rng.random_range(1..4)).collect();
         scan_of(kind, "x", &name, &shards).replace("X-Timeout: 4.0", "X-Timeout: 0.6")
     }
 
-    /// On the open connection first; where that ends as the request comes, once more on a new one.
-    fn ask(&mut self, open: &mut Option<Client>, request: &str) -> End {
+    /// Sends the request on the open connection; if that closes without an answer, once more on a new
+    /// connection.
+    fn ask(&mut self, connection: &mut Option<Client>, request: &str) -> Outcome {
         let sent = Instant::now();
-        if let Some(mut client) = open.take() {
-            if let Some(end) = self.answered(&mut client, request, sent) {
-                *open = Some(client);
-                return end;
+        if let Some(mut client) = connection.take() {
+            if let Some(outcome) = self.exchange(&mut client, request, sent) {
+                *connection = Some(client);
+                return outcome;
             }
         }
-        if self.began.elapsed() > SERVES + COMES {
-            return End::NobodyThere;
+        if self.started.elapsed() > SERVING_TIME + LATE_CONNECTION_WINDOW {
+            return Outcome::ConnectionsRefused;
         }
-        let Ok(stream) = TcpStream::connect(self.at) else { return End::NobodyThere };
-        let (mut client, connected) = (reader(stream), self.began.elapsed());
-        let end = self.answered(&mut client, request, sent).unwrap_or(End::Lost);
-        if end == End::Lost {
+        let Ok(stream) = TcpStream::connect(self.at) else { return Outcome::ConnectionsRefused };
+        let (mut client, connected) = (reader(stream), self.started.elapsed());
+        let outcome = self.exchange(&mut client, request, sent).unwrap_or(Outcome::Lost);
+        if outcome == Outcome::Lost {
             let id = request.lines().find(|line| line.starts_with("X-Request-ID")).unwrap_or_default();
-            println!("lost: {id}, connected at {connected:?}, ended at {:?}", self.began.elapsed());
+            println!("lost: {id}, connected at {connected:?}, ended at {:?}", self.started.elapsed());
         }
-        *open = Some(client);
-        end
+        *connection = Some(client);
+        outcome
     }
 
-    /// None where the connection ended with no answer.
-    fn answered(&mut self, client: &mut Client, request: &str, sent: Instant) -> Option<End> {
-        let pieces = if self.chance.random_bool(0.2) { request.split_at(50) } else { ("", request) };
+    /// Sends the request, and returns `None` if the connection closed without an answer.
+    fn exchange(&mut self, client: &mut Client, request: &str, sent: Instant) -> Option<Outcome> {
+        let pieces = if self.rng.random_bool(0.2) { request.split_at(50) } else { ("", request) };
         client.get_mut().write_all(pieces.0.as_bytes()).ok()?;
         if !pieces.0.is_empty() {
             thread::sleep(Duration::from_millis(5));
@@ -129,49 +131,49 @@
         client.get_mut().set_read_timeout(Some(DEADLINE + GRACE)).expect("a time");
         let status = match try_answer(client) {
             Ok((status, _, _)) => status,
-            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return Some(End::Lost),
+            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return Some(Outcome::Lost),
             Err(_) => return None,
         };
         Some(match status {
-            _ if sent.elapsed() > DEADLINE + Duration::from_millis(50) => End::Late,
-            200 => End::Served,
-            429 | 503 => End::Refused,
-            _ => End::Failed,
+            _ if sent.elapsed() > DEADLINE + Duration::from_millis(50) => Outcome::Late,
+            200 => Outcome::Served,
+            429 | 503 => Outcome::Refused,
+            _ => Outcome::Failed,
         })
     }
 }
 
-/// What became of all requests, and what else was seen.
+/// The outcomes of all requests of a run, and what else was observed.
 #[derive(Debug, Default)]
 struct Report {
-    ends: BTreeMap<End, usize>,
-    after_stop: usize,
-    edits_twice: usize,
+    outcomes: BTreeMap<Outcome, usize>,
+    sent_after_stop: usize,
+    edits_sent_twice: usize,
     killed: bool,
 }
 
 fn mixer(seed: u64, searchers: &[SocketAddr]) -> Mixer {
-    let (at, known) = (free_address(), list(searchers));
-    let text = orders(&at.to_string(), agent(known.clone()), &known);
-    let short = [("\"aim\":2000000", "\"aim\":500000"), ("\"give_up\":4000000", "\"give_up\":600000")];
-    let text = short.iter().fold(text, |text, (from, to)| text.replace(from, to));
+    let (address, known) = (free_address(), list(searchers));
+    let config = orders(&address.to_string(), agent(known.clone()), &known);
+    let short_limits = [("\"aim\":2000000", "\"aim\":500000"), ("\"give_up\":4000000", "\"give_up\":600000")];
+    let config = short_limits.iter().fold(config, |config, (from, to)| config.replace(from, to));
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    let orders = file(&format!("soak-{seed}.json"), &text);
+    let orders = file(&format!("soak-{seed}.json"), &config);
     match system_faults(seed) {
-        Some(faults) => start_with_system_faults(program, orders, at, &faults),
-        None => start(program, 1024, orders, None, at),
+        Some(faults) => start_with_system_faults(program, orders, address, &faults),
+        None => start(program, 1024, orders, None, address),
     }
 }
 
-/// In every third life calls on connections fail, and calls that make them.
+/// In every third run, system calls on connections fail, and calls that establish them.
 fn system_faults(seed: u64) -> Option<[SystemFault; 2]> {
-    const ON_CONNECTIONS: [(&str, &str, &str); 4] = [
+    const CONNECTION_FAULTS: [(&str, &str, &str); 4] = [
         ("sendto", "EINTR", "3+5"),
         ("recvfrom", "EINTR", "3+5"),
         ("sendto", "ENOBUFS", "3+40"),
         ("sendto", "EAGAIN", "3+5"),
     ];
-    const MAKING_THEM: [(&str, &str, &str); 6] = [
+    const CONNECT_FAULTS: [(&str, &str, &str); 6] = [
         ("accept4", "ECONNABORTED", "3+5"),
         ("accept4", "ENFILE", "3+5"),
         ("connect", "EADDRNOTAVAIL", "3+7"),
@@ -180,92 +182,98 @@
         ("epoll_ctl", "ENOMEM", "3+2"),
     ];
     let fault = |(call, error, when)| SystemFault { call, error, when };
-    let turn = (seed / 3) as usize;
-    (seed % 3 == 1).then(|| [fault(ON_CONNECTIONS[turn % 4]), fault(MAKING_THEM[turn % 6])])
+    let run_index = (seed / 3) as usize;
+    (seed % 3 == 1).then(|| [fault(CONNECTION_FAULTS[run_index % 4]), fault(CONNECT_FAULTS[run_index % 6])])
 }
 
-fn life(seed: u64) -> Report {
-    let mut chance = Pcg32::seed_from_u64(seed);
-    HANGS.store(false, Ordering::Relaxed);
-    let searchers = [searcher(hanging), searcher(brief), searcher(brief), searcher(brief)];
+fn run_seed(seed: u64) -> Report {
+    let mut rng = Pcg32::seed_from_u64(seed);
+    SEARCHER_HANGS.store(false, Ordering::Relaxed);
+    let searchers = [
+        searcher(hanging_searcher),
+        searcher(brief_searcher),
+        searcher(brief_searcher),
+        searcher(brief_searcher),
+    ];
     let addresses: Vec<SocketAddr> = searchers.iter().map(|(address, _)| *address).collect();
     let mut mixer = mixer(seed, &addresses);
-    let crowd: Vec<TcpStream> = (0..if seed.is_multiple_of(3) { 200 } else { 0 })
+    let idle_connections: Vec<TcpStream> = (0..if seed.is_multiple_of(3) { 200 } else { 0 })
         .filter_map(|_| TcpStream::connect(mixer.at).ok())
         .collect();
-    let began = Instant::now();
-    let until = began + SERVES + KILL;
-    let callers: Vec<_> = (0..chance.random_range(20..60))
+    let started = Instant::now();
+    let killed_at = started + SERVING_TIME + KILL_DELAY;
+    let callers: Vec<_> = (0..rng.random_range(20..60))
         .map(|number| {
-            let chance = Pcg32::seed_from_u64(seed << 16 | number as u64);
-            let caller = Caller { at: mixer.at, chance, number, until, ends: Vec::new(), began };
+            let rng = Pcg32::seed_from_u64(seed << 16 | number as u64);
+            let caller = Caller { at: mixer.at, rng, number, killed_at, outcomes: Vec::new(), started };
             thread::spawn(move || caller.run())
         })
         .collect();
-    let wait_until = |at: Duration| thread::sleep(at.saturating_sub(began.elapsed()));
-    wait_until(SERVES - Duration::from_millis(200));
-    HANGS.store(true, Ordering::Relaxed);
-    wait_until(SERVES);
+    let wait_until = |at: Duration| thread::sleep(at.saturating_sub(started.elapsed()));
+    wait_until(SERVING_TIME - Duration::from_millis(200));
+    SEARCHER_HANGS.store(true, Ordering::Relaxed);
+    wait_until(SERVING_TIME);
     mixer.signal("-TERM");
-    let mut further: Vec<u64> = (0..3).map(|_| chance.random_range(0..600)).collect();
-    further.sort_unstable();
-    for at in further {
-        wait_until(SERVES + Duration::from_millis(at));
-        let which = ["-TERM", "-HUP", "-INT"][chance.random_range(0..3)];
+    let mut signal_times: Vec<u64> = (0..3).map(|_| rng.random_range(0..600)).collect();
+    signal_times.sort_unstable();
+    for at in signal_times {
+        wait_until(SERVING_TIME + Duration::from_millis(at));
+        let signal = ["-TERM", "-HUP", "-INT"][rng.random_range(0..3)];
         if mixer.child.try_wait().is_ok_and(|ended| ended.is_none()) {
-            mixer.signal(which);
+            mixer.signal(signal);
         }
     }
-    wait_until(SERVES + KILL);
+    wait_until(SERVING_TIME + KILL_DELAY);
     let killed = mixer.child.try_wait().is_ok_and(|ended| ended.is_none());
     let _ = mixer.child.kill();
-    let ends: Vec<(End, Duration)> =
+    let outcomes: Vec<(Outcome, Duration)> =
         callers.into_iter().flat_map(|caller| caller.join().expect("a caller")).collect();
-    HANGS.store(false, Ordering::Relaxed);
-    drop(crowd);
+    SEARCHER_HANGS.store(false, Ordering::Relaxed);
+    drop(idle_connections);
     thread::sleep(Duration::from_millis(20));
-    report(&ends, &searchers, killed)
+    report(&outcomes, &searchers, killed)
 }
 
-type Told = std::sync::mpsc::Receiver<(u8, String)>;
+type Received = std::sync::mpsc::Receiver<(u8, String)>;
 
-fn report(ends: &[(End, Duration)], searchers: &[(SocketAddr, Told)], killed: bool) -> Report {
+fn report(outcomes: &[(Outcome, Duration)], searchers: &[(SocketAddr, Received)], killed: bool) -> Report {
     let mut report = Report { killed, ..Report::default() };
-    for (end, asked) in ends {
-        *report.ends.entry(*end).or_default() += 1;
-        report.after_stop += usize::from(*asked > SERVES && *end != End::NobodyThere);
+    for (outcome, sent_at) in outcomes {
+        *report.outcomes.entry(*outcome).or_default() += 1;
+        report.sent_after_stop +=
+            usize::from(*sent_at > SERVING_TIME && *outcome != Outcome::ConnectionsRefused);
     }
-    // Each part by its id: an edit's never goes out twice (`fix` is irreversible).
-    let mut parts: BTreeMap<String, usize> = BTreeMap::new();
-    for (_, told) in searchers {
-        for (letter, rest) in told.try_iter() {
+    // Counts each part of an edit by its id: none may be sent twice, as `fix` is irreversible.
+    let mut sent_counts: BTreeMap<String, usize> = BTreeMap::new();
+    for (_, received) in searchers {
+        for (letter, rest) in received.try_iter() {
             if letter == b'm' && rest.starts_with("fix-") {
-                *parts.entry(rest.split(' ').next().unwrap_or_default().into()).or_default() += 1;
+                *sent_counts.entry(rest.split(' ').next().unwrap_or_default().into()).or_default() += 1;
             }
         }
     }
-    report.edits_twice = parts.values().filter(|count| **count > 1).count();
+    report.edits_sent_twice = sent_counts.values().filter(|count| **count > 1).count();
     report
 }
 
 fn seeds() -> std::ops::Range<u64> {
-    let stated = std::env::var("SOAK_SEEDS").ok();
-    let ends = stated.as_deref().and_then(|text| text.split_once(".."));
-    let ends = ends.and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
-    ends.unwrap_or(0..20)
+    let range_text = std::env::var("SOAK_SEEDS").ok();
+    let bounds = range_text.as_deref().and_then(|text| text.split_once(".."));
+    let bounds = bounds.and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
+    bounds.unwrap_or(0..20)
 }
 
 #[test]
-fn no_request_is_lost_over_a_stop_with_signals_in_series() {
-    let mut wrong = Vec::new();
+fn no_request_is_lost_during_shutdown_with_repeated_signals() {
+    let mut failures = Vec::new();
     for seed in seeds() {
-        let report = life(seed);
+        let report = run_seed(seed);
         println!("seed {seed}: {report:?}");
-        let lost = report.ends.get(&End::Lost).copied().unwrap_or(0);
-        let late = report.ends.get(&End::Late).copied().unwrap_or(0);
-        if lost + late + report.edits_twice > 0 || report.killed || report.after_stop == 0 {
-            wrong.push((seed, report));
+        let lost = report.outcomes.get(&Outcome::Lost).copied().unwrap_or(0);
+        let late = report.outcomes.get(&Outcome::Late).copied().unwrap_or(0);
+        if lost + late + report.edits_sent_twice > 0 || report.killed || report.sent_after_stop == 0 {
+            failures.push((seed, report));
         }
     }
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    assert!(failures.is_empty(), "{failures:#?}");
 }
--- a/crates/mixer/tests/sockets.rs
+++ b/crates/mixer/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! The built program on loopback, against stand-ins for clients, searchers and discovery. Judged by what
-//! comes, and in which order; the time-outs only keep a failure from hanging.
+//! Tests of the built mixer on loopback, against simulated clients, searchers and discovery. They check which
+//! responses arrive and in which order; timeouts only keep a failing test from hanging.
 
 use fernglade_standins::child::{file, free_address, orders};
 use fernglade_standins::client::{answer, say, scan, scan_for, scan_of};
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-fn orders_file(name: &str, text: &str) -> PathBuf {
+fn config_file(name: &str, text: &str) -> PathBuf {
     file(&format!("{name}.json"), text)
 }
 
@@ -40,15 +40,15 @@
 
 fn mixer(name: &str, discovery: SocketAddr, known: &str) -> Mixer {
     let at = free_address();
-    start(at, orders_file(name, &orders(&at.to_string(), discovery, known)))
+    start(at, config_file(name, &orders(&at.to_string(), discovery, known)))
 }
 
-/// Starts a mixer and waits until it says that it can serve.
+/// Starts a mixer and waits until its health check succeeds.
 fn start(at: SocketAddr, path: PathBuf) -> Mixer {
-    served(Mixer { child: command(&path).stderr(Stdio::null()).spawn().unwrap(), at, path })
+    wait_until_ready(Mixer { child: command(&path).stderr(Stdio::null()).spawn().unwrap(), at, path })
 }
 
-fn served(mixer: Mixer) -> Mixer {
+fn wait_until_ready(mixer: Mixer) -> Mixer {
     for _ in 0..400 {
         if let Ok(mut client) = TcpStream::connect(mixer.at) {
             client.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").unwrap();
@@ -58,7 +58,7 @@
         }
         thread::sleep(Duration::from_millis(25));
     }
-    panic!("the mixer never served");
+    panic!("the mixer did not become ready");
 }
 
 fn client(mixer: &Mixer) -> BufReader<TcpStream> {
@@ -68,32 +68,32 @@
 }
 
 #[test]
-fn scans_in_any_pieces_and_close_on_each_other_are_answered_in_turn() {
-    let (address, told) = searcher(good);
+fn fragmented_and_pipelined_scans_are_answered_in_order() {
+    let (address, received) = searcher(good);
     let mixer = mixer("pieces", agent(list(&[address])), &list(&[]));
     let mut client = client(&mixer);
     scan("a", &[0, 1]).bytes().for_each(|byte| say(&mut client, [byte]));
     let (status, _, body) = answer(&mut client);
     let text = r#"{"total":true,"answers":[{"range":0,"blob":"of a.0"},{"range":1,"blob":"of a.1"}]}"#;
     assert_eq!((status, body.as_str()), (200, text));
-    let call = told.recv_timeout(PATIENCE).unwrap();
+    let call = received.recv_timeout(PATIENCE).unwrap();
     assert!(call.0 == b'm' && call.1.ends_with(" 3\ncé"), "{call:?}");
     say(&mut client, scan("b", &[2]) + &scan("c", &[3]));
     assert!(answer(&mut client).2.contains("of b.2"));
     assert!(answer(&mut client).2.contains("of c.3"));
     say(&mut client, scan_for(&"x".repeat(65_000), "long", &[0, 1, 2, 3]));
-    assert_eq!(answer(&mut client).0, 200, "a body near its bound goes through whole");
-    assert!(told.iter().any(|(_, rest)| rest.starts_with("long.") && rest.len() > 65_000));
+    assert_eq!(answer(&mut client).0, 200, "a body close to the size limit is forwarded intact");
+    assert!(received.iter().any(|(_, rest)| rest.starts_with("long.") && rest.len() > 65_000));
 }
 
 #[test]
-fn discovery_that_talks_nonsense_is_asked_again_until_it_makes_sense() {
-    let (address, _told) = searcher(good);
+fn malformed_discovery_responses_are_retried_until_a_valid_one_arrives() {
+    let (address, _received) = searcher(good);
     let http =
         |status, body: &str| format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let list = http(200, &list(&[address]));
     let answers = vec!["".into(), "what?\r\n\r\n".into(), http(500, ""), http(200, "{}"), list];
-    // It says that it can serve only once it knows of a searcher.
+    // The mixer reports ready only once it knows a searcher.
     let mixer = mixer("nonsense", agent_saying(answers), r#"{"generation":9,"reset":true,"instances":[]}"#);
     let mut client = client(&mixer);
     say(&mut client, scan("a", &[0]));
@@ -101,47 +101,52 @@
 }
 
 #[test]
-fn what_one_client_does_wrong_no_other_notices() {
-    let (address, _told) = searcher(good);
+fn invalid_requests_of_one_client_do_not_affect_others() {
+    let (address, _received) = searcher(good);
     let mixer = mixer("wrong", agent(list(&[address])), &list(&[address]));
-    let (mut other, mut wrong, mut long) = (client(&mixer), client(&mixer), client(&mixer));
-    let asked = scan("a", &[0]);
-    let (begun, rest) = asked.split_at(70);
-    say(&mut other, begun);
-    let told = [
+    let (mut valid_client, mut invalid_client, mut oversized_client) =
+        (client(&mixer), client(&mixer), client(&mixer));
+    let valid_request = scan("a", &[0]);
+    let (first_half, second_half) = valid_request.split_at(70);
+    say(&mut valid_client, first_half);
+    let invalid_requests = [
         (scan("x", &[9]), 400),
         (scan("x", &[0]).replace("/look", "/none"), 404),
         ("PUT /look HTTP/1.1\r\n\r\n".into(), 405),
         (format!("POST /look HTTP/1.1\r\nContent-Length: {}\r\n\r\n", 1 << 30), 413),
     ];
-    for (text, status) in told {
-        say(&mut wrong, text);
-        assert_eq!(answer(&mut wrong).0, status);
+    for (text, status) in invalid_requests {
+        say(&mut invalid_client, text);
+        assert_eq!(answer(&mut invalid_client).0, status);
     }
-    assert_eq!(wrong.read(&mut [0]).unwrap(), 0, "where framing is lost the connection ends");
-    say(&mut long, format!("GET /{} HTTP/1.1\r\n", "a".repeat(9000)));
-    assert_eq!(answer(&mut long).0, 431);
-    say(&mut other, rest);
-    assert_eq!(answer(&mut other).0, 200);
+    assert_eq!(
+        invalid_client.read(&mut [0]).unwrap(),
+        0,
+        "the connection closes once request framing is lost"
+    );
+    say(&mut oversized_client, format!("GET /{} HTTP/1.1\r\n", "a".repeat(9000)));
+    assert_eq!(answer(&mut oversized_client).0, 431);
+    say(&mut valid_client, second_half);
+    assert_eq!(answer(&mut valid_client).0, 200);
 }
 
 #[test]
-fn a_client_that_leaves_has_its_parts_given_up() {
-    let (address, told) = searcher(mute);
+fn parts_are_cancelled_when_their_client_disconnects() {
+    let (address, received) = searcher(mute);
     let mixer = mixer("leaves", agent(list(&[address])), &list(&[address]));
     let mut client = client(&mixer);
     say(&mut client, scan("a", &[0]));
-    assert_eq!(told.recv_timeout(PATIENCE).unwrap().0, b'm');
+    assert_eq!(received.recv_timeout(PATIENCE).unwrap().0, b'm');
     drop(client);
-    assert_eq!(told.recv_timeout(PATIENCE).unwrap(), (b'n', "a.0".into()));
+    assert_eq!(received.recv_timeout(PATIENCE).unwrap(), (b'n', "a.0".into()));
 }
 
-#[test_case(garbled; "that talks nonsense")]
-#[test_case(dying; "that ends the connection")]
-fn a_part_goes_on_from_a_searcher(habit: Habit) {
-    let ((bad, _), (sound, _), gone) = (searcher(habit), searcher(good), free_address());
-    let known = list(&[bad, sound, gone]);
-    let mixer = mixer(&format!("on-{}", bad.port()), agent(known.clone()), &known);
+#[test_case(garbled; "malformed frames")]
+#[test_case(dying; "closed connection")]
+fn a_part_is_relayed_elsewhere_after_a_searcher_fails(habit: Habit) {
+    let ((failing, _), (healthy, _), unreachable) = (searcher(habit), searcher(good), free_address());
+    let known = list(&[failing, healthy, unreachable]);
+    let mixer = mixer(&format!("on-{}", failing.port()), agent(known.clone()), &known);
     let mut client = client(&mixer);
     for name in ["a", "b", "c", "d"] {
         say(&mut client, scan(name, &[0]));
@@ -149,62 +154,65 @@
     }
 }
 
-/// `/proc` counts its descriptors, and its time on the processor in hundredths of a second.
-fn descriptors_and_time(mixer: &Mixer) -> (usize, u64) {
+/// Open descriptors and CPU time of the mixer from `/proc`; the CPU time is in hundredths of a second.
+fn descriptors_and_cpu_time(mixer: &Mixer) -> (usize, u64) {
     let path = format!("/proc/{}", mixer.child.id());
     let stat = std::fs::read_to_string(format!("{path}/stat")).unwrap();
-    let times: Vec<u64> = stat.split(' ').skip(13).take(2).map(|time| time.parse().unwrap()).collect();
-    (std::fs::read_dir(format!("{path}/fd")).unwrap().count(), times[0] + times[1])
+    let cpu_times: Vec<u64> = stat.split(' ').skip(13).take(2).map(|time| time.parse().unwrap()).collect();
+    (std::fs::read_dir(format!("{path}/fd")).unwrap().count(), cpu_times[0] + cpu_times[1])
 }
 
-/// The fewest descriptors that can be stated, and fewer than are stated.
-#[test_case("64", 64; "stated")]
-#[test_case("256", 32; "not stated")]
-fn short_of_descriptors_it_serves_on_and_does_not_spin(stated: &str, held: usize) {
-    let (address, _told) = searcher(good);
+/// The lowest limit that the configuration accepts, and a system limit below the configured one.
+#[test_case("64", 64; "lowest configurable limit")]
+#[test_case("256", 32; "system limit below the configured one")]
+fn descriptor_exhaustion_does_not_stop_service_or_cause_a_busy_loop(
+    configured_limit: &str,
+    system_limit: usize,
+) {
+    let (address, _received) = searcher(good);
     let at = free_address();
-    let text = orders(&at.to_string(), free_address(), &list(&[address])).replace("256", stated);
-    let path = orders_file(&format!("short-{held}"), &text);
-    let shell = format!("ulimit -n {held}; exec {}", env!("CARGO_BIN_EXE_fernglade-mixer"));
+    let text = orders(&at.to_string(), free_address(), &list(&[address])).replace("256", configured_limit);
+    let path = config_file(&format!("short-{system_limit}"), &text);
+    let shell = format!("ulimit -n {system_limit}; exec {}", env!("CARGO_BIN_EXE_fernglade-mixer"));
     let mut command = Command::new("sh");
     command.args(["-c", &shell]).env("ROUTER_CONFIG", &path).stdin(Stdio::null()).stderr(Stdio::null());
-    let mixer = served(Mixer { child: command.spawn().unwrap(), at, path });
-    let crowd: Vec<_> = (0..80).map(|_| client(&mixer)).collect();
+    let mixer = wait_until_ready(Mixer { child: command.spawn().unwrap(), at, path });
+    let connections: Vec<_> = (0..80).map(|_| client(&mixer)).collect();
     for name in ["a", "b"] {
-        // Where the crowd is too large for its places, one is told at once, and comes back.
-        let mut asked = (0..200).map(|_| {
+        // When there are more clients than connection slots, a rejected one hears so at once and retries.
+        let mut statuses = (0..200).map(|_| {
             let mut client = client(&mixer);
             say(&mut client, scan(name, &[0]));
             let status = answer(&mut client).0;
             thread::sleep(Duration::from_millis(if status == 503 { 20 } else { 0 }));
             status
         });
-        assert_eq!(asked.find(|status| *status != 503), Some(200));
+        assert_eq!(statuses.find(|status| *status != 503), Some(200));
     }
-    let (count, time) = descriptors_and_time(&mixer);
-    assert!(count <= held && time < 100, "{count} descriptors, {time}0 ms");
-    drop(crowd);
+    let (descriptors, cpu_time) = descriptors_and_cpu_time(&mixer);
+    assert!(descriptors <= system_limit && cpu_time < 100, "{descriptors} descriptors, {cpu_time}0 ms");
+    drop(connections);
 }
 
 #[test]
-fn told_to_stop_it_answers_what_it_took_and_ends_by_itself() {
-    let (address, told) = searcher(slow);
-    // Nobody is at the address of discovery: the list that it was started with stands.
+fn sigterm_completes_accepted_scans_before_exit() {
+    let (address, received) = searcher(slow);
+    // Nothing listens at the discovery address, so the list from the configuration stays in force.
     let mut mixer = mixer("stop", free_address(), &list(&[address]));
-    let (mut open, mut idle) = (client(&mixer), client(&mixer));
+    let (mut in_flight, mut idle) = (client(&mixer), client(&mixer));
     say(&mut idle, "GET /healthz HTTP/1.1\r\n\r\n");
     answer(&mut idle);
-    say(&mut open, scan("a", &[0]));
-    told.recv_timeout(PATIENCE).unwrap();
+    say(&mut in_flight, scan("a", &[0]));
+    received.recv_timeout(PATIENCE).unwrap();
     signal(&mixer, "-TERM");
-    assert_eq!(idle.read(&mut [0]).unwrap(), 0, "an idle connection ends");
-    let mut late = client(&mixer);
-    say(&mut late, scan("b", &[1]));
-    for from in [&mut open, &mut late] {
+    assert_eq!(idle.read(&mut [0]).unwrap(), 0, "the idle connection is closed");
+    let mut late_client = client(&mixer);
+    say(&mut late_client, scan("b", &[1]));
+    for from in [&mut in_flight, &mut late_client] {
         let (status, head, _) = answer(from);
         assert!(status == 200 && head.contains("Connection: close"), "{head}");
     }
-    drop((open, late));
+    drop((in_flight, late_client));
     assert!(mixer.child.wait().unwrap().success());
 }
 
@@ -214,32 +222,35 @@
 }
 
 #[test]
-fn told_to_read_its_orders_again_it_asks_the_new_discovery_even_amid_a_watch() {
-    let ((old, _), (new, told)) = (searcher(good), searcher(good));
-    let (at, first) = (free_address(), agent(list(&[old])));
-    let text = |discovery| orders(&at.to_string(), discovery, &list(&[]));
-    let path = orders_file("reload", &text(first));
-    let child =
-        command(&path).env("ROUTER_DISCOVERY", first.to_string()).stderr(Stdio::null()).spawn().unwrap();
-    let mut mixer = served(Mixer { child, at, path });
+fn sighup_during_a_watch_switches_to_the_new_discovery_address() {
+    let ((old, _), (new, received)) = (searcher(good), searcher(good));
+    let (at, old_discovery) = (free_address(), agent(list(&[old])));
+    let config_text = |discovery| orders(&at.to_string(), discovery, &list(&[]));
+    let path = config_file("reload", &config_text(old_discovery));
+    let child = command(&path)
+        .env("ROUTER_DISCOVERY", old_discovery.to_string())
+        .stderr(Stdio::null())
+        .spawn()
+        .unwrap();
+    let mut mixer = wait_until_ready(Mixer { child, at, path });
     let mut client = client(&mixer);
-    let mut asks = |name: &str| {
+    let mut send_scan = |name: &str| {
         say(&mut client, scan(name, &[0]));
         assert_eq!(answer(&mut client).0, 200);
     };
-    let moved = text(agent(list(&[new])));
-    for wrong in ["", &moved[..moved.len() / 2], "{}"] {
-        std::fs::write(&mixer.path, wrong).unwrap();
+    let new_config = config_text(agent(list(&[new])));
+    for invalid_config in ["", &new_config[..new_config.len() / 2], "{}"] {
+        std::fs::write(&mixer.path, invalid_config).unwrap();
         signal(&mixer, "-HUP");
-        asks("a");
+        send_scan("a");
     }
-    std::fs::write(&mixer.path, moved).unwrap();
+    std::fs::write(&mixer.path, new_config).unwrap();
     signal(&mixer, "-HUP");
     signal(&mixer, "-HUP");
-    let began = Instant::now();
-    while told.try_recv().is_err() {
-        asks("b");
-        assert!(began.elapsed() < PATIENCE, "the new list never came");
+    let started = Instant::now();
+    while received.try_recv().is_err() {
+        send_scan("b");
+        assert!(started.elapsed() < PATIENCE, "the new list did not arrive");
     }
     signal(&mixer, "-TERM");
     drop(client);
@@ -247,32 +258,32 @@
 }
 
 #[test]
-fn killed_it_starts_from_nothing_at_the_same_address() {
-    let (address, _told) = searcher(good);
+fn a_killed_mixer_restarts_at_the_same_address() {
+    let (address, _received) = searcher(good);
     let mut first = mixer("again", free_address(), &list(&[address]));
     let mut before = client(&first);
     say(&mut before, scan("a", &[0]));
     assert_eq!(answer(&mut before).0, 200);
     first.child.kill().unwrap();
     first.child.wait().unwrap();
-    let path = orders_file("again-2", &std::fs::read_to_string(&first.path).unwrap());
+    let path = config_file("again-2", &std::fs::read_to_string(&first.path).unwrap());
     let second = start(first.at, path);
     let mut after = client(&second);
     say(&mut after, scan("a", &[0]));
     assert_eq!(answer(&mut after).0, 200);
 }
 
-#[test_case("", "", "ROUTER_CONFIG is not set"; "no file named")]
+#[test_case("", "", "ROUTER_CONFIG is not set"; "no configuration file")]
 #[test_case("{", "", "more after the value at byte 6"; "not JSON")]
 #[test_case("\"pure\"", "\"none\"", "services.0.repeat: unknown word none"; "unknown word")]
 #[test_case("5000", "\"none\"", "settings: tick: not a number: none"; "not a number")]
-#[test_case("127.0.0.1:9\"", "none\"", "listen is no address and port: none"; "no address")]
-#[test_case("\"dial_timeout\":250000,", "", "settings: limits.dial_timeout: a number above 0 has to be stated"; "no time to dial")]
-#[test_case("\"aim\":2000000,", "", "settings: services.0.aim: a number above 0 has to be stated"; "no quoted time")]
+#[test_case("127.0.0.1:9\"", "none\"", "listen is no address and port: none"; "invalid listen address")]
+#[test_case("\"dial_timeout\":250000,", "", "settings: limits.dial_timeout: a number above 0 has to be stated"; "no dial timeout")]
+#[test_case("\"aim\":2000000,", "", "settings: services.0.aim: a number above 0 has to be stated"; "no target latency")]
 #[test_case("\"cells\":1,", "\"cells\":0,", "settings: family_info.cells: a number above 0 has to be stated"; "no cells")]
-fn what_cant_be_started_from_is_told_in_one_line(from: &str, to: &str, says: &str) {
+fn invalid_configuration_is_reported_in_one_line(from: &str, to: &str, expected: &str) {
     let text = orders("127.0.0.1:9", free_address(), &list(&[]));
-    let path = orders_file(&format!("bad-{}", says.len()), &text.replacen(from, to, 1));
+    let path = config_file(&format!("bad-{}", expected.len()), &text.replacen(from, to, 1));
     let mut command = command(&path);
     if from.is_empty() {
         command.env_remove("ROUTER_CONFIG");
@@ -280,37 +291,37 @@
     let output = command.output().unwrap();
     let _ = std::fs::remove_file(&path);
     let line = String::from_utf8(output.stderr).unwrap();
-    assert!(!output.status.success() && line.contains(says) && line.lines().count() == 1, "{line}");
+    assert!(!output.status.success() && line.contains(expected) && line.lines().count() == 1, "{line}");
 }
 
-/// Settings as the operators who joined have them: it serves, and an edit goes out once.
-#[test_case("\"may_probe\":true", "\"may_probe\":true,\"may_duplicate\":false"; "no second copies")]
+/// With the settings of other operators the mixer serves scans and sends each edit once.
+#[test_case("\"may_probe\":true", "\"may_probe\":true,\"may_duplicate\":false"; "no duplicate relays")]
 #[test_case("\"customers\":[{\"name\":\"acme\",\"quota_per_s\":1000}],", ""; "no customers")]
-#[test_case("\"per_call\":1", "\"per_call\":8,\"call_cost\":46000"; "calls of several parts that cost")]
-#[test_case("\"tick\":5000", "\"tick\":5000,\"weights\":\"none\",\"report\":{\"how\":\"probe\",\"columns\":[\"depth\"]}"; "no weights, load told to probes only")]
+#[test_case("\"per_call\":1", "\"per_call\":8,\"call_cost\":46000"; "batched calls with a cost per call")]
+#[test_case("\"tick\":5000", "\"tick\":5000,\"weights\":\"none\",\"report\":{\"how\":\"probe\",\"columns\":[\"depth\"]}"; "no weights, load reported to probes only")]
 #[test_case("\"multiplex\":32", "\"multiplex\":32,\"idle_close\":15000000"; "idle connections are closed")]
-fn it_serves_with_settings_of_another_operator(from: &str, to: &str) {
-    let (address, told) = searcher(good);
+fn serves_with_settings_of_another_operator(from: &str, to: &str) {
+    let (address, received) = searcher(good);
     let (at, known) = (free_address(), list(&[address]));
     let text = orders(&at.to_string(), free_address(), &known);
     assert!(text.contains(from));
     let name = format!("joined-{}", address.port());
-    let mixer = start(at, orders_file(&name, &text.replace(from, to)));
+    let mixer = start(at, config_file(&name, &text.replace(from, to)));
     let mut client = client(&mixer);
     say(&mut client, scan("a", &[0]));
     assert_eq!(answer(&mut client).0, 200);
     say(&mut client, scan_of("fix", "x", "e", &[0]));
     assert_eq!(answer(&mut client).0, 200);
-    assert_eq!(told.try_iter().filter(|(_, rest)| rest.starts_with("e.0 ")).count(), 1);
+    assert_eq!(received.try_iter().filter(|(_, rest)| rest.starts_with("e.0 ")).count(), 1);
 }
 
-/// The platform has no words for a second step on sockets.
+/// The wire protocol has no messages for a second phase (fetch).
 #[test]
-fn a_second_step_is_refused_at_the_start_by_a_line_that_names_its_traffic_type() {
+fn a_fetch_phase_is_rejected_at_startup_naming_its_traffic_type() {
     let at = free_address();
     let text = orders(&at.to_string(), at, &list(&[at]));
     let text = text.replace("\"per_call\":1", "\"per_call\":1,\"fetch_parts\":[3,0]");
-    let output = command(&orders_file("second-step", &text)).output().unwrap();
-    let says = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(!output.status.success() && says.contains("look: a second step is not spoken"), "{says}");
+    let output = command(&config_file("second-step", &text)).output().unwrap();
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(!output.status.success() && stderr.contains("look: a second step is not spoken"), "{stderr}");
 }
