--- a/crates/mixer/tests/starts.rs
+++ b/crates/mixer/tests/starts.rs
@@ -1,5 +1,5 @@
-//! The first moments of a new process: what discovery's agent has counts as told from then on, and the list of the
-//! configuration may be old.
+//! Tests of the first moments of a new mixer process. A change that the discovery agent has counts as
+//! announced from the start of the process, while the list in the configuration may be stale.
 
 use fernglade_standins::child::{
     file, free_address, orders, start, start_with_system_faults, Mixer, SystemFault,
@@ -14,12 +14,12 @@
 use test_case::test_case;
 
 fn mixer(name: &str, discovery: SocketAddr, known: &str, at: SocketAddr) -> Mixer {
-    let text = orders(&at.to_string(), discovery, known);
-    let text = text.replace("\"tick\"", "\"discovery\":\"pushed\",\"tick\"");
+    let config = orders(&at.to_string(), discovery, known);
+    let config = config.replace("\"tick\"", "\"discovery\":\"pushed\",\"tick\"");
     start(
         Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")),
         1024,
-        file(&format!("starts-{name}.json"), &text),
+        file(&format!("starts-{name}.json"), &config),
         None,
         at,
     )
@@ -32,48 +32,55 @@
     try_answer(&mut client).ok().map(|answer| answer.0)
 }
 
-/// A searcher drained before the mixer's start, and the agent takes longer than the drains' grace to say so.
+/// A searcher began to drain before the mixer started, and the agent takes longer than the grace period of a
+/// drain to report it.
 #[test]
-fn nothing_goes_by_an_old_list_while_the_agent_has_a_newer_one() {
-    let ((drains, told), (stays, _told)) = (searcher(good), searcher(good));
-    let (agent, both, at) = (Agent::default(), list(&[drains, stays]), free_address());
+fn no_part_is_sent_by_a_stale_list_while_the_agent_has_a_newer_one() {
+    let ((draining, received), (serving, _received)) = (searcher(good), searcher(good));
+    let (agent, full_list, at) = (Agent::default(), list(&[draining, serving]), free_address());
     let discovery = agent.at();
-    let now = both.replacen("SERVING", "DRAINING", 1).replace("\"generation\":1", "\"generation\":2");
-    let late = thread::spawn(move || {
+    let newer_list =
+        full_list.replacen("SERVING", "DRAINING", 1).replace("\"generation\":1", "\"generation\":2");
+    let agent_thread = thread::spawn(move || {
         let call = agent.call();
         thread::sleep(Duration::from_millis(150));
-        call.answer(&now)
+        call.answer(&newer_list)
     });
-    let early = thread::spawn(move || {
-        let began = Instant::now();
-        let asked = (0..)
+    let early_client = thread::spawn(move || {
+        let started = Instant::now();
+        let statuses = (0..)
             .map(|number| ask(at, &format!("early{number}")))
-            .take_while(|_| began.elapsed().as_millis() < 140);
-        asked.flatten().collect::<Vec<u16>>()
+            .take_while(|_| started.elapsed().as_millis() < 140);
+        statuses.flatten().collect::<Vec<u16>>()
     });
-    let mixer = mixer("old", discovery, &both, at);
+    let mixer = mixer("old", discovery, &full_list, at);
     for number in 0..12 {
         let mut client = mixer.client();
         say(&mut client, scan(&format!("r{number}"), &[0]));
         assert_eq!(answer(&mut client).0, 200);
     }
-    let early = early.join().expect("a client");
-    assert!(early.iter().all(|status| matches!(status, 200 | 503)), "{early:?}");
-    assert!(told.try_recv().is_err(), "nothing new goes where the agent says that it drains");
-    drop(late.join());
+    let early_statuses = early_client.join().expect("a client");
+    assert!(early_statuses.iter().all(|status| matches!(status, 200 | 503)), "{early_statuses:?}");
+    assert!(
+        received.try_recv().is_err(),
+        "no new part is sent to a searcher that the agent reports as draining"
+    );
+    drop(agent_thread.join());
 }
 
-/// Nobody is at its address: the list of the configuration is what there is, and the mixer serves by it in time.
+/// Nothing listens at the discovery address: the mixer becomes ready in time with the list from the
+/// configuration.
 #[test]
-fn where_discovery_is_away_it_serves_by_the_list_it_has() {
-    let (address, _told) = searcher(good);
-    let (began, at) = (Instant::now(), free_address());
+fn serves_by_the_configured_list_when_discovery_is_unreachable() {
+    let (address, _received) = searcher(good);
+    let (started, at) = (Instant::now(), free_address());
     let _mixer = mixer("away", free_address(), &list(&[address]), at);
-    assert!(began.elapsed() < Duration::from_secs(5), "ready in {:?}", began.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(5), "ready in {:?}", started.elapsed());
     assert_eq!(ask(at, "a"), Some(200));
 }
 
-/// The address is still held by the process before, or the system is short of something that the start needs.
+/// The previous process still holds the listen address, or the system is short of a resource that startup
+/// needs.
 #[test_case("epoll_create1", "EMFILE")]
 #[test_case("epoll_create1", "ENOMEM")]
 #[test_case("socketpair", "ENFILE")]
@@ -81,47 +88,49 @@
 #[test_case("socket", "ENOBUFS")]
 #[test_case("bind", "EADDRINUSE")]
 #[test_case("listen", "EADDRINUSE")]
-fn a_listener_that_can_not_be_had_at_once_is_tried_for_again(call: &'static str, error: &'static str) {
-    serves_though(SystemFault { call, error, when: "1..2" });
+fn opening_the_listener_is_retried(call: &'static str, error: &'static str) {
+    check_start_with_fault(SystemFault { call, error, when: "1..2" });
 }
 
-/// The disk does not give the configuration just then. (The library makes a second call to tell a call that fails from
-/// one that the system does not have.)
+/// Reading the configuration file fails for a moment. (After a failed `statx` the standard library makes a
+/// second call to find out whether the system supports it.)
 #[test_case("EIO")]
 #[test_case("ENOMEM")]
-fn a_configuration_that_can_not_be_had_at_once_is_tried_for_again(error: &'static str) {
-    serves_though(SystemFault { call: "statx", error, when: "1..1" });
+fn reading_the_configuration_is_retried_at_startup(error: &'static str) {
+    check_start_with_fault(SystemFault { call: "statx", error, when: "1..1" });
 }
 
-fn serves_though(fault: SystemFault) {
-    let ((address, _told), at) = (searcher(good), free_address());
-    let text = orders(&at.to_string(), free_address(), &list(&[address]));
-    let path = file(&format!("starts-{}-{}.json", fault.call, fault.error), &text);
+fn check_start_with_fault(fault: SystemFault) {
+    let ((address, _received), at) = (searcher(good), free_address());
+    let config = orders(&at.to_string(), free_address(), &list(&[address]));
+    let path = file(&format!("starts-{}-{}.json", fault.call, fault.error), &config);
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
     let _mixer = start_with_system_faults(program, path, at, &[fault]);
     assert_eq!(ask(at, "a"), Some(200));
 }
 
-/// SIGHUP comes while the file is being replaced: it is read once it is there, with no further signal.
+/// SIGHUP arrives while the configuration file is being replaced: the file is read once it is complete,
+/// without another signal.
 #[test_case(""; "missing")]
 #[test_case("{\"name\":\"n0\",\"listen"; "half written")]
-fn a_configuration_that_can_not_be_read_just_then_is_read_a_moment_later(begun: &str) {
-    let ((old, _), (new, told), at) = (searcher(good), searcher(good), free_address());
+fn an_unreadable_configuration_is_reread_after_sighup(partial_text: &str) {
+    let ((old, _), (new, received), at) = (searcher(good), searcher(good), free_address());
     let (first, second) = (Agent::default(), Agent::default());
     let text = |discovery: SocketAddr| orders(&at.to_string(), discovery, &list(&[old]));
-    let path = file(&format!("starts-again-{}.json", begun.len()), &text(first.at()));
+    let path = file(&format!("starts-again-{}.json", partial_text.len()), &text(first.at()));
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
     let mixer = start(program, 1024, path.clone(), None, at);
-    match begun {
-        "" => std::fs::remove_file(&path).expect("it is there"),
-        begun => std::fs::write(&path, begun).expect("it can be written"),
+    match partial_text {
+        "" => std::fs::remove_file(&path).expect("the file exists"),
+        partial_text => std::fs::write(&path, partial_text).expect("the file can be written"),
     }
     mixer.signal("-HUP");
     thread::sleep(Duration::from_millis(200));
-    std::fs::write(&path, text(second.at())).expect("it can be written");
-    let (tell, asked) = std::sync::mpsc::channel();
-    thread::spawn(move || tell.send(second.call().answer(&list(&[new]))));
-    let _watch = asked.recv_timeout(Duration::from_secs(4)).expect("the new address is asked");
+    std::fs::write(&path, text(second.at())).expect("the file can be written");
+    let (call_sender, call_received) = std::sync::mpsc::channel();
+    thread::spawn(move || call_sender.send(second.call().answer(&list(&[new]))));
+    let _watch =
+        call_received.recv_timeout(Duration::from_secs(4)).expect("the mixer contacts the new address");
     assert_eq!(ask(at, "a"), Some(200));
-    assert!(told.try_iter().any(|(letter, _)| letter == b'm'), "by the new list");
+    assert!(received.try_iter().any(|(letter, _)| letter == b'm'), "the new list is in use");
 }
--- a/crates/mixer/tests/system_errors.rs
+++ b/crates/mixer/tests/system_errors.rs
@@ -1,5 +1,5 @@
-//! System calls that fail as Linux documents, in the built program on loopback: whatever they answer, each request
-//! has its final answer, and nothing is held against a searcher that the fault says nothing of.
+//! Tests of the built mixer on loopback with system calls that fail as Linux documents. Whichever error a
+//! call returns, each request gets its final answer, and no searcher is blamed for a local fault.
 
 use fernglade_standins::child::{file, free_address, orders, start_with_system_faults, Mixer, SystemFault};
 use fernglade_standins::client::{answer, say, scan, try_answer, Client, HEALTH};
@@ -11,40 +11,45 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-/// A signal has its effect within this, and so has a request that no searcher holds up.
-const PROMPTLY: Duration = Duration::from_millis(300);
+/// The time limit for the effect of a signal, and for a request that no searcher delays.
+const EFFECT_LIMIT: Duration = Duration::from_millis(300);
 
 fn mixer(name: &str, known: &str, faults: &[SystemFault]) -> Mixer {
-    mixer_with(name, known, faults, |orders| orders)
+    mixer_with_config(name, known, faults, |orders| orders)
 }
 
-fn mixer_with(name: &str, known: &str, faults: &[SystemFault], change: impl Fn(String) -> String) -> Mixer {
+fn mixer_with_config(
+    name: &str,
+    known: &str,
+    faults: &[SystemFault],
+    change: impl Fn(String) -> String,
+) -> Mixer {
     let at = free_address();
     let text = change(orders(&at.to_string(), agent(known.to_string()), known));
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
     start_with_system_faults(program, file(&format!("{name}.json"), &text), at, faults)
 }
 
-/// How often each status came; 0 where a connection ended with no answer.
+/// How many responses had each status; 0 stands for a connection that closed without a response.
 fn statuses(answers: impl Iterator<Item = u16>) -> BTreeMap<u16, usize> {
-    let mut count = BTreeMap::new();
-    answers.for_each(|status| *count.entry(status).or_insert(0) += 1);
-    count
+    let mut counts = BTreeMap::new();
+    answers.for_each(|status| *counts.entry(status).or_insert(0) += 1);
+    counts
 }
 
 fn status(client: &mut Client) -> u16 {
     try_answer(client).map_or(0, |answer| answer.0)
 }
 
-fn log_lines(mixer: &Mixer) -> usize {
+fn log_line_count(mixer: &Mixer) -> usize {
     std::fs::read_to_string(&mixer.files[1]).expect("its log").lines().count()
 }
 
-fn parts(told: &Receiver<(u8, String)>) -> usize {
-    told.try_iter().filter(|(letter, _)| *letter == b'm').count()
+fn sent_parts(received: &Receiver<(u8, String)>) -> usize {
+    received.try_iter().filter(|(letter, _)| *letter == b'm').count()
 }
 
-/// A signal may interrupt any read or write: nothing of it was done, and it is done again.
+/// A signal may interrupt any read or write; the call has transferred nothing and has to be repeated.
 #[test_case("recvfrom"; "read")]
 #[test_case("sendto"; "write")]
 fn interrupted_calls_lose_no_request(call: &'static str) {
@@ -58,42 +63,43 @@
             return 0;
         }
         say(client, scan(&format!("r{number}"), &[0, 1]));
-        let came = status(client);
-        if came == 0 {
+        let status_code = status(client);
+        if status_code == 0 {
             *client = mixer.client();
         }
-        came
+        status_code
     });
     assert_eq!(statuses(answers), BTreeMap::from([(200, 200)]));
 }
 
-/// An accept that fails says nothing of those who are inside, and whoever stands outside is served a moment later.
+/// A failed accept does not affect established connections, and the waiting client is served a moment later.
 #[test_case("ENFILE")]
 #[test_case("ENOBUFS")]
 #[test_case("ECONNABORTED")]
 #[test_case("EHOSTUNREACH")]
 #[test_case("EINTR")]
-fn accepts_that_fail_for_a_moment_refuse_nobody(error: &'static str) {
-    let ((first, at_first), (second, at_second)) = (searcher(good), searcher(good));
+fn transient_accept_failures_reject_no_client(error: &'static str) {
+    let ((first_address, first_received), (second_address, second_received)) =
+        (searcher(good), searcher(good));
     let faults = [SystemFault { call: "accept4", error, when: "3+5" }];
-    let mixer = mixer(&format!("accept-{error}"), &list(&[first, second]), &faults);
-    let mut stays = mixer.client();
+    let mixer = mixer(&format!("accept-{error}"), &list(&[first_address, second_address]), &faults);
+    let mut established = mixer.client();
     let answers = (0..150).map(|number| {
         let mut client = mixer.client();
         say(&mut client, scan(&format!("r{number}"), &[0, 1]));
         status(&mut client)
     });
     assert_eq!(statuses(answers), BTreeMap::from([(200, 150)]));
-    say(&mut stays, HEALTH);
-    assert_eq!(status(&mut stays), 200, "who was inside stays there");
-    assert_eq!(parts(&at_first) + parts(&at_second), 300, "each part goes out once");
-    assert!(log_lines(&mixer) < 10, "{} lines of log", log_lines(&mixer));
+    say(&mut established, HEALTH);
+    assert_eq!(status(&mut established), 200, "an established connection is kept");
+    assert_eq!(sent_parts(&first_received) + sent_parts(&second_received), 300, "each part is sent once");
+    assert!(log_line_count(&mixer) < 10, "{} log lines", log_line_count(&mixer));
 }
 
-/// A connection that was taken in and then lost, as the call that makes it not block failed.
+/// An accepted connection used to be lost when the call that makes it non-blocking failed.
 #[test]
-fn a_connection_that_was_accepted_is_never_lost_to_a_further_call() {
-    let (address, _told) = searcher(good);
+fn an_accepted_connection_survives_a_failing_ioctl() {
+    let (address, _received) = searcher(good);
     let faults = [SystemFault { call: "ioctl", error: "ENOMEM", when: "5+2" }];
     let mixer = mixer("accepted", &list(&[address]), &faults);
     let answers = (0..40).map(|number| {
@@ -104,15 +110,16 @@
     assert_eq!(statuses(answers), BTreeMap::from([(200, 40)]));
 }
 
-/// A connection that this machine could not open says nothing of the searcher: the only one there is still used.
+/// A connection that could not be opened for a local reason is no fault of the searcher: the only one is
+/// still used.
 #[test_case("connect", "EADDRNOTAVAIL")]
 #[test_case("connect", "ENETUNREACH")]
 #[test_case("connect", "EINTR")]
 #[test_case("socket", "ENFILE")]
 #[test_case("socket", "ENOBUFS")]
-fn a_connection_that_can_not_be_opened_for_a_moment(call: &'static str, error: &'static str) {
-    let (address, told) = searcher(good);
-    // The first is discovery's, the second the searcher's.
+fn a_transient_local_connect_failure_is_not_blamed_on_the_searcher(call: &'static str, error: &'static str) {
+    let (address, received) = searcher(good);
+    // The first call is for the connection to discovery, the second for the one to the searcher.
     let faults = [SystemFault { call, error, when: "2+2" }];
     let mixer = mixer(&format!("{call}-{error}"), &list(&[address]), &faults);
     let mut client = mixer.client();
@@ -121,15 +128,15 @@
         status(&mut client)
     });
     assert_eq!(statuses(answers), BTreeMap::from([(200, 20)]));
-    assert_eq!(parts(&told), 20, "each part goes out once");
+    assert_eq!(sent_parts(&received), 20, "each part is sent once");
 }
 
-/// A connection that the way refuses is the design's connection failure: its searcher is out until a check passes, and
-/// each request meanwhile hears so at once.
+/// A connection that the network refuses is a connection failure of the searcher: it gets no parts until a
+/// health check succeeds, and requests are refused at once until then.
 #[test_case("ETIMEDOUT")]
 #[test_case("EHOSTUNREACH")]
-fn a_searcher_that_the_way_refuses_for_a_moment_costs_nobody_an_answer(error: &'static str) {
-    let (address, told) = searcher(good);
+fn a_transient_network_failure_leaves_no_request_unanswered(error: &'static str) {
+    let (address, received) = searcher(good);
     let faults = [SystemFault { call: "connect", error, when: "2+2" }];
     let mixer = mixer(&format!("way-{error}"), &list(&[address]), &faults);
     let mut client = mixer.client();
@@ -139,32 +146,32 @@
     });
     let answers = statuses(answers);
     assert!(answers.keys().all(|status| matches!(status, 200 | 503)), "{answers:?}");
-    assert_eq!(parts(&told), answers.get(&200).copied().unwrap_or(0));
+    assert_eq!(sent_parts(&received), answers.get(&200).copied().unwrap_or(0));
 }
 
-/// Those who are turned away hear so, whatever the system makes of the write.
+/// Rejected clients receive their rejection although reads or writes are interrupted.
 #[test_case("recvfrom")]
 #[test_case("sendto")]
-fn a_refusal_reaches_its_client_though_calls_are_interrupted(call: &'static str) {
-    let (address, _told) = searcher(good);
+fn a_rejection_reaches_its_client_despite_interrupted_calls(call: &'static str) {
+    let (address, _received) = searcher(good);
     let faults = [SystemFault { call, error: "EINTR", when: "2+3" }];
-    let few = |orders: String| orders.replace("\"sockets\":256", "\"sockets\":64");
-    let mixer = mixer_with(&format!("refusal-{call}"), &list(&[address]), &faults, few);
-    let mut crowd: Vec<Client> = (0..120).map(|_| mixer.client()).collect();
-    for (number, client) in crowd.iter_mut().enumerate() {
-        // Those who were turned away before they asked may have gone by now.
+    let fewer_sockets = |orders: String| orders.replace("\"sockets\":256", "\"sockets\":64");
+    let mixer = mixer_with_config(&format!("refusal-{call}"), &list(&[address]), &faults, fewer_sockets);
+    let mut clients: Vec<Client> = (0..120).map(|_| mixer.client()).collect();
+    for (number, client) in clients.iter_mut().enumerate() {
+        // Clients that were rejected before they sent a request may be disconnected by now.
         let _ = std::io::Write::write_all(client.get_mut(), scan(&format!("c{number}"), &[0]).as_bytes());
     }
-    let answers = statuses(crowd.iter_mut().map(status));
+    let answers = statuses(clients.iter_mut().map(status));
     assert_eq!(answers.get(&0), None, "{answers:?}");
 }
 
-/// Who stands in the listener's queue at the stop is let in, though the first accepts fail just then.
+/// Connections in the listener's backlog at shutdown are accepted although the first accepts fail.
 #[test_case("EMFILE")]
 #[test_case("ENFILE")]
 #[test_case("EINTR")]
-fn those_in_the_queue_at_the_stop_are_answered_though_accepts_fail(error: &'static str) {
-    let (address, _told) = searcher(good);
+fn the_backlog_at_shutdown_is_answered_despite_accept_failures(error: &'static str) {
+    let (address, _received) = searcher(good);
     let faults = [SystemFault { call: "accept4", error, when: "4+2" }];
     let mut mixer = mixer(&format!("stop-{error}"), &list(&[address]), &faults);
     let mut idle = mixer.client();
@@ -172,20 +179,24 @@
     answer(&mut idle);
     std::thread::sleep(Duration::from_millis(150));
     mixer.signal("-TERM");
-    assert_eq!(status(&mut idle), 0, "the stop has begun");
+    assert_eq!(status(&mut idle), 0, "shutdown has begun");
     mixer.signal("-STOP");
-    let mut queued: Vec<Client> = (0..6).map(|_| mixer.client()).collect();
-    queued.iter_mut().zip(0..).for_each(|(client, at)| say(client, scan(&format!("q{at}"), &[0])));
+    let mut queued_clients: Vec<Client> = (0..6).map(|_| mixer.client()).collect();
+    queued_clients
+        .iter_mut()
+        .zip(0..)
+        .for_each(|(client, number)| say(client, scan(&format!("q{number}"), &[0])));
     std::thread::sleep(Duration::from_millis(900));
     mixer.signal("-CONT");
-    let answers = statuses(queued.iter_mut().map(status));
+    let answers = statuses(queued_clients.iter_mut().map(status));
     assert_eq!(answers.get(&0), None, "{answers:?}");
     assert!(mixer.child.wait().expect("it runs").success());
 }
 
-/// A socket that the poller refuses for a moment, after which nobody was accepted any more.
+/// The poller fails to register a socket once in a while; such a failure used to end all accepting of
+/// connections.
 #[test]
-fn a_connection_that_the_poller_does_not_take_is_answered() {
+fn a_connection_that_fails_to_register_with_the_poller_is_answered() {
     let ((first, _), (second, _)) = (searcher(good), searcher(good));
     let faults = [SystemFault { call: "epoll_ctl", error: "ENOMEM", when: "40+7" }];
     let mixer = mixer("unregistered", &list(&[first, second]), &faults);
@@ -195,37 +206,37 @@
         say(&mut client, scan(&format!("r{number}"), &[0, 1]));
         status(&mut client)
     });
-    let count = statuses(answers);
-    let answered = count.get(&200).unwrap_or(&0) + count.get(&503).unwrap_or(&0);
-    assert_eq!(answered, 40, "{count:?}");
+    let counts = statuses(answers);
+    let answered = counts.get(&200).unwrap_or(&0) + counts.get(&503).unwrap_or(&0);
+    assert_eq!(answered, 40, "{counts:?}");
 }
 
-/// The same with every second call of the poller's failing, for clients that come anew and such that stay, and for the
-/// signal that ends the mixer.
+/// Every second `epoll_ctl` call fails, with new or kept client connections, and during the signal that stops
+/// the mixer.
 #[test_case("ENOMEM", true; "out of memory, kept connections")]
 #[test_case("ENOMEM", false; "out of memory, new connections")]
 #[test_case("ENOSPC", true; "out of watches, kept connections")]
 #[test_case("ENOSPC", false; "out of watches, new connections")]
-fn calls_of_the_poller_that_fail_delay_nobody(error: &'static str, kept: bool) {
+fn failing_poller_calls_delay_no_request(error: &'static str, keep_connections: bool) {
     let ((first, _), (second, _)) = (searcher(good), searcher(good));
     let faults = [SystemFault { call: "epoll_ctl", error, when: "3+2" }];
-    let mut mixer = mixer(&format!("poller-{error}-{kept}"), &list(&[first, second]), &faults);
+    let mut mixer = mixer(&format!("poller-{error}-{keep_connections}"), &list(&[first, second]), &faults);
     let mut clients: Vec<Client> = (0..4).map(|_| mixer.client()).collect();
     let answers = (0..60).map(|number| {
         let client = &mut clients[number % 4];
-        if !kept {
+        if !keep_connections {
             *client = mixer.client();
         }
-        client.get_mut().set_read_timeout(Some(PROMPTLY)).expect("a time");
+        client.get_mut().set_read_timeout(Some(EFFECT_LIMIT)).expect("a time");
         say(client, scan(&format!("r{number}"), &[0, 1]));
         status(client)
     });
     assert_eq!(statuses(answers), BTreeMap::from([(200, 60)]));
     drop(clients);
     mixer.signal("-TERM");
-    let began = Instant::now();
+    let started = Instant::now();
     while !std::fs::read_to_string(&mixer.files[1]).expect("its log").contains("told to stop") {
-        assert!(began.elapsed() < PROMPTLY, "SIGTERM has no effect");
+        assert!(started.elapsed() < EFFECT_LIMIT, "SIGTERM has no effect");
         std::thread::sleep(Duration::from_millis(5));
     }
     assert!(mixer.child.wait().expect("it runs").success());
