--- a/crates/mixer/src/main.rs
+++ b/crates/mixer/src/main.rs
@@ -6,7 +6,7 @@
 mod transport;
 
 use clap::Parser;
-use program::Orders;
+use program::Config;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -14,22 +14,22 @@
 /// names.
 #[derive(Parser)]
 #[command(version)]
-struct Call {
+struct Arguments {
     /// The operator's own file (JSON5), read again on SIGHUP; without it all that it could switch on is off.
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
 }
 
 fn main() -> ExitCode {
-    let call = Call::parse();
+    let arguments = Arguments::parse();
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
         .target(env_logger::Target::Pipe(Box::new(program::LogWriter::default())))
         .init();
-    let orders = Orders::read(call.operator.as_deref(), |name| std::env::var(name).ok());
-    match orders.and_then(program::run) {
+    let config = Config::read(arguments.operator.as_deref(), |name| std::env::var(name).ok());
+    match config.and_then(program::run) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("fernglade-mixer: {what}");
+        Err(error) => {
+            eprintln!("fernglade-mixer: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/mixer/src/program/accepting.rs
+++ b/crates/mixer/src/program/accepting.rs
@@ -3,10 +3,12 @@
 use super::clients::Clients;
 use super::clock::duration;
 use super::handle::Handle;
-use super::refusals::refuse_alone;
+use super::rejections::reject_alone;
 use crate::protocol::scans::bounce;
 use crate::routing::Event;
-use crate::transport::{accept, sleep, Accepted, Bell, Direction, Reserve, Socket, Wait};
+use crate::transport::{
+    accept, sleep, Accepted, Direction, Notify, RecheckBackoff, ReserveDescriptor, Socket,
+};
 use fernglade_admission::{AfterFailure, Shortage};
 use futures_lite::future;
 use std::cell::Cell;
@@ -16,43 +18,43 @@
 use std::time::{Duration, Instant};
 
 /// How many are accepted before others have a turn: some hundred microseconds' work.
-const BATCH: usize = 32;
+const BATCH_SIZE: usize = 32;
 /// How long the backlog of a listener that is to be shut is looked after where accepts fail.
-const LAST_ACCEPTS: Duration = Duration::from_millis(200);
+const BACKLOG_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 /// Where not even the reserve accepts: long enough not to spin, short against any client's time.
-const SHORT_PAUSE: Duration = Duration::from_millis(20);
+const SHORTAGE_PAUSE: Duration = Duration::from_millis(20);
 /// A shortage that lasts is told of once in so long.
-const TOLD_EVERY: Duration = Duration::from_secs(10);
+const WARNING_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Whether clients are accepted by one listener.
 #[derive(Default)]
-pub struct Door {
+pub struct AcceptGate {
     full: Cell<bool>,
-    shut: Cell<bool>,
-    moved: Bell,
+    stopped: Cell<bool>,
+    changed: Notify,
 }
 
-impl Door {
-    pub fn open(&self, open: bool) {
+impl AcceptGate {
+    pub fn set_open(&self, open: bool) {
         self.full.set(!open);
-        self.moved.ring();
+        self.changed.notify();
     }
 
-    pub fn shut(&self) {
-        self.shut.set(true);
-        self.moved.ring();
+    pub fn stop(&self) {
+        self.stopped.set(true);
+        self.changed.notify();
     }
 
     /// Waits until somebody may stand outside, or the door is opened or shut.
-    async fn somebody(&self, listener: &Socket<TcpListener>) {
+    async fn wait_for_connection(&self, listener: &Socket<TcpListener>) {
         if self.full.get() {
-            return self.moved.wait().await;
+            return self.changed.wait().await;
         }
-        future::or(self.moved.wait(), listener.wait(Direction::Read, &mut Wait::default())).await;
+        future::or(self.changed.wait(), listener.wait(Direction::Read, &mut RecheckBackoff::default())).await;
     }
 
-    fn takes_more(&self) -> bool {
-        !self.full.get() && !self.shut.get()
+    fn accepts(&self) -> bool {
+        !self.full.get() && !self.stopped.get()
     }
 }
 
@@ -61,95 +63,95 @@
     /// Nobody stands there who is to be let in now.
     Emptied,
     /// Somebody may.
-    Left,
+    MayHaveMore,
 }
 
 /// One listener, and what it meets.
-struct Accepting {
+struct Acceptor {
     clients: Rc<Clients>,
     handle: Handle,
     listener: Socket<TcpListener>,
     shortage: Shortage,
-    reserve: Reserve,
-    told: Option<Instant>,
+    reserve: ReserveDescriptor,
+    warned_at: Option<Instant>,
 }
 
 /// Accepts until the door is shut, then lets in who stands in the backlog, and closes the listener.
 pub async fn accept_all(clients: Rc<Clients>, handle: Handle, which: usize, listener: Socket<TcpListener>) {
-    let mut accepting = Accepting {
+    let mut acceptor = Acceptor {
         clients: clients.clone(),
         handle: handle.clone(),
         listener,
         shortage: Shortage::default(),
-        reserve: Reserve::default(),
-        told: None,
+        reserve: ReserveDescriptor::default(),
+        warned_at: None,
     };
-    let door = clients.door(which);
-    while !door.shut.get() {
-        match accepting.batch(door).await {
-            Backlog::Emptied => door.somebody(&accepting.listener).await,
-            Backlog::Left => future::yield_now().await,
+    let gate = clients.gate(which);
+    while !gate.stopped.get() {
+        match acceptor.batch(gate).await {
+            Backlog::Emptied => gate.wait_for_connection(&acceptor.listener).await,
+            Backlog::MayHaveMore => future::yield_now().await,
         }
     }
-    accepting.empty_backlog().await;
-    drop(accepting);
-    handle.feed(Event::DoorShut);
+    acceptor.drain_backlog().await;
+    drop(acceptor);
+    handle.dispatch(Event::DoorShut);
 }
 
-impl Accepting {
+impl Acceptor {
     /// Nobody is accepted where the door is not open.
-    async fn batch(&mut self, door: &Door) -> Backlog {
-        for _ in 0..BATCH {
-            if !door.takes_more() {
+    async fn batch(&mut self, gate: &AcceptGate) -> Backlog {
+        for _ in 0..BATCH_SIZE {
+            if !gate.accepts() {
                 return Backlog::Emptied;
             }
             match accept(self.listener.get_ref()) {
-                Ok(Some(accepted)) => self.knock(accepted),
+                Ok(Some(accepted)) => self.hand_over(accepted),
                 Ok(None) => return Backlog::Emptied,
                 Err(error) => {
-                    self.failed(&error).await;
-                    return Backlog::Left;
+                    self.accept_failed(&error).await;
+                    return Backlog::MayHaveMore;
                 }
             }
         }
-        Backlog::Left
+        Backlog::MayHaveMore
     }
 
     /// The system has taken in who stands outside: they are served, or told.
-    async fn empty_backlog(&mut self) {
+    async fn drain_backlog(&mut self) {
         let began = Instant::now();
         loop {
             match accept(self.listener.get_ref()) {
-                Ok(Some(accepted)) => self.knock(accepted),
+                Ok(Some(accepted)) => self.hand_over(accepted),
                 Ok(None) => return,
-                Err(_) if began.elapsed() > LAST_ACCEPTS => return,
-                Err(error) => self.failed(&error).await,
+                Err(_) if began.elapsed() > BACKLOG_DRAIN_TIMEOUT => return,
+                Err(error) => self.accept_failed(&error).await,
             }
         }
     }
 
-    fn knock(&mut self, accepted: Accepted) {
+    fn hand_over(&mut self, accepted: Accepted) {
         self.shortage.passed();
-        self.clients.knocked(&self.handle, accepted);
+        self.clients.accepted(&self.handle, accepted);
     }
 
-    async fn failed(&mut self, error: &io::Error) {
+    async fn accept_failed(&mut self, error: &io::Error) {
         match self.shortage.failed() {
             AfterFailure::TryAgain(pause) => sleep(duration(pause)).await,
-            AfterFailure::MakeRoom => self.make_room(error).await,
+            AfterFailure::MakeRoom => self.reject_for_shortage(error).await,
         }
     }
 
     /// Whoever is at the door hears that there is no room, rather than waiting for what may not come.
-    async fn make_room(&mut self, error: &io::Error) {
-        if self.told.is_none_or(|told| told.elapsed() > TOLD_EVERY) {
+    async fn reject_for_shortage(&mut self, error: &io::Error) {
+        if self.warned_at.is_none_or(|warned_at| warned_at.elapsed() > WARNING_INTERVAL) {
             log::warn!("no client can be let in: {error}");
-            self.told = Some(Instant::now());
+            self.warned_at = Some(Instant::now());
         }
-        self.handle.feed(Event::Short);
+        self.handle.dispatch(Event::Short);
         match self.reserve.accept(self.listener.get_ref()) {
-            Some(accepted) => refuse_alone(accepted.stream, &bounce(self.clients.come_back(), true)).await,
-            None => sleep(SHORT_PAUSE).await,
+            Some(accepted) => reject_alone(accepted.stream, &bounce(self.clients.retry_after(), true)).await,
+            None => sleep(SHORTAGE_PAUSE).await,
         }
         self.reserve.restore();
     }
--- a/crates/mixer/src/program/arrivals.rs
+++ b/crates/mixer/src/program/arrivals.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 /// Batches kept apart; past that the latest ones are taken for as old as the one before, which tells less time.
-const MOST_BATCHES: usize = 32;
+const MAX_BATCHES: usize = 32;
 
 struct Batch {
     bytes: usize,
@@ -21,21 +21,21 @@
 
 impl Arrivals {
     /// So many bytes stand unread now; what is more than before came at `at`.
-    pub fn note(&mut self, unread: usize, at: Instant) {
-        let came = unread.saturating_sub(self.unread);
+    pub fn record(&mut self, unread: usize, at: Instant) {
+        let received = unread.saturating_sub(self.unread);
         self.unread = self.unread.max(unread);
-        if came == 0 {
+        if received == 0 {
             return;
         }
-        let full = self.batches.len() == MOST_BATCHES;
+        let full = self.batches.len() == MAX_BATCHES;
         match self.batches.back_mut().filter(|_| full) {
-            Some(last) => last.bytes += came,
-            None => self.batches.push_back(Batch { bytes: came, at }),
+            Some(last) => last.bytes += received,
+            None => self.batches.push_back(Batch { bytes: received, at }),
         }
     }
 
     /// The oldest bytes were read.
-    pub fn used(&mut self, mut count: usize) {
+    pub fn consume(&mut self, mut count: usize) {
         self.unread = self.unread.saturating_sub(count);
         while let Some(first) = self.batches.front_mut().filter(|_| count > 0) {
             let taken = first.bytes.min(count);
--- a/crates/mixer/src/program/clients/tests.rs
+++ b/crates/mixer/src/program/clients/tests.rs
@@ -16,14 +16,14 @@
 }
 
 #[test]
-fn one_who_is_sent_off_before_its_task_has_run_goes() {
+fn a_client_drained_before_its_task_first_runs_is_closed() {
     let (executor, (clients, mut client)) = (Rc::new(LocalExecutor::new()), pending());
     let gone = Rc::new(Cell::new(false));
-    let tells = gone.clone();
-    let tell = move |event| tells.set(matches!(event, Event::ClientGone(ClientId(7))));
-    let handle = Handle::new(executor.clone(), tell);
-    clients.let_in(&handle, ClientId(7));
-    clients.dismiss(ClientId(7));
+    let gone_flag = gone.clone();
+    let on_event = move |event| gone_flag.set(matches!(event, Event::ClientGone(ClientId(7))));
+    let handle = Handle::new(executor.clone(), on_event);
+    clients.admit(&handle, ClientId(7));
+    clients.drain(ClientId(7));
     let over = async {
         while !gone.get() {
             future::yield_now().await;
@@ -35,25 +35,25 @@
 
 /// The program's end would reset a connection on which something came after its refusal, and the refusal with it.
 #[test]
-fn the_program_stays_until_refusals_are_fetched() {
+fn shutdown_waits_until_rejections_are_delivered() {
     let ((clients, mut client), over) = (pending(), Cell::new(false));
-    clients.turn_away(ClientId(7), Span::ZERO);
-    let ends = async {
-        clients.refusals().all_fetched().await;
+    clients.reject(ClientId(7), Span::ZERO);
+    let shutdown = async {
+        clients.rejections().all_delivered().await;
         over.set(true);
     };
-    let fetches = async {
+    let client_reads = async {
         client.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
         sleep(Duration::from_millis(15)).await;
         assert!(!over.get(), "nobody has fetched it");
-        let mut told = String::new();
-        client.read_to_string(&mut told).unwrap();
-        assert!(told.starts_with("HTTP/1.1 503 "), "{told}");
+        let mut response = String::new();
+        client.read_to_string(&mut response).unwrap();
+        assert!(response.starts_with("HTTP/1.1 503 "), "{response}");
         drop(client);
     };
     let both = async {
-        future::zip(ends, fetches).await;
+        future::zip(shutdown, client_reads).await;
     };
-    Reactor::new().unwrap().block_on(future::or(both, clients.refusals().look_after()));
+    Reactor::new().unwrap().block_on(future::or(both, clients.rejections().run()));
     assert!(over.get());
 }
--- a/crates/mixer/src/program/clock.rs
+++ b/crates/mixer/src/program/clock.rs
@@ -11,22 +11,22 @@
 
 #[derive(Clone, Copy)]
 pub struct Clock {
-    began: Instant,
-    began_at: u64,
+    started: Instant,
+    started_at_micros: u64,
 }
 
 impl Clock {
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { began: Instant::now(), began_at: unix.as_micros() as u64 }
+        Self { started: Instant::now(), started_at_micros: unix.as_micros() as u64 }
     }
 
     pub fn now(&self) -> Moment {
-        Moment::at_micros(self.began_at + self.began.elapsed().as_micros() as u64)
+        Moment::at_micros(self.started_at_micros + self.started.elapsed().as_micros() as u64)
     }
 
     pub fn instant(&self, at: Moment) -> Instant {
         // Rounded up: a timer that rings early has to be set again.
-        self.began + Duration::from_micros(at.micros().saturating_sub(self.began_at) + 1)
+        self.started + Duration::from_micros(at.micros().saturating_sub(self.started_at_micros) + 1)
     }
 }
--- a/crates/mixer/src/program/orders.rs
+++ b/crates/mixer/src/program/config.rs
@@ -1,6 +1,6 @@
 //! What the mixer is told at its start: the environment, and the file that it names.
 
-use super::startup::made_in_time;
+use super::startup::retry_transient;
 use crate::protocol::json::Json;
 use crate::protocol::lists::{news, News};
 use fernglade_admission::Descriptors;
@@ -12,9 +12,9 @@
 use std::path::{Path, PathBuf};
 
 /// More than any list of searchers needs; a wrong path may name anything.
-const MOST_ORDERS: u64 = 8 * 1024 * 1024;
+const MAX_FILE_BYTES: u64 = 8 * 1024 * 1024;
 
-pub struct Orders {
+pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -30,40 +30,41 @@
     pub readings: Readings,
 }
 
-impl Orders {
+impl Config {
     /// From `ROUTER_CONFIG` and, where they are set, the other variables, which are read one by one; and from the
     /// operator's file, if there is one. Whole or not at all.
     ///
     /// At the start: files that can't be had for a moment are tried for again.
     pub fn read(operator: Option<&Path>, variable: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
-        Self::read_by(&|path| made_in_time(|| contents(path)), operator, variable)
+        Self::read_with(&|path| retry_transient(|| read_file(path)), operator, variable)
     }
 
     /// The same, with files read by `contents`.
-    fn read_by(
-        contents: &dyn Fn(&Path) -> io::Result<Vec<u8>>,
+    fn read_with(
+        read_file: &dyn Fn(&Path) -> io::Result<Vec<u8>>,
         operator: Option<&Path>,
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, String> {
-        let contents = |path: &Path| contents(path).map_err(|error| error.to_string());
+        let read_file = |path: &Path| read_file(path).map_err(|error| error.to_string());
         let path = variable("ROUTER_CONFIG")
             .ok_or("ROUTER_CONFIG is not set: it names the JSON file to start from")?;
-        let within = |what: String| format!("{path}: {what}");
-        let json = Json::parse(&contents(Path::new(&path)).map_err(within)?).map_err(within)?;
-        let mut orders = Self::from_json(&json, variable).map_err(within)?;
+        let within = |error: String| format!("{path}: {error}");
+        let json = Json::parse(&read_file(Path::new(&path)).map_err(within)?).map_err(within)?;
+        let mut config = Self::from_json(&json, variable).map_err(within)?;
         if let Some(file) = operator {
-            let read =
-                contents(file).and_then(operators).map_err(|what| format!("{}: {what}", file.display()))?;
-            (orders.operator, orders.settings) = read;
-            orders.operator_file = Some(file.into());
+            let read = read_file(file)
+                .and_then(parse_operator_file)
+                .map_err(|error| format!("{}: {error}", file.display()))?;
+            (config.operator, config.settings) = read;
+            config.operator_file = Some(file.into());
         }
-        Ok(orders)
+        Ok(config)
     }
 
     /// The file once more, after it was replaced. Its word on discovery now stands above the environment's,
     /// which is as old as the program.
-    pub fn read_again(operator: Option<&Path>) -> Result<Self, String> {
-        Self::read_by(&contents, operator, |name| {
+    pub fn reload(operator: Option<&Path>) -> Result<Self, String> {
+        Self::read_with(&read_file, operator, |name| {
             std::env::var(name).ok().filter(|_| name != "ROUTER_DISCOVERY")
         })
     }
@@ -89,43 +90,44 @@
             listen: address("listen", "ROUTER_LISTEN")?,
             discovery: address("discovery", "ROUTER_DISCOVERY")?,
             seed: seed.ok_or("seed is not a text of hex digits")?,
-            descriptors: descriptors(sockets.unwrap_or(1024) as usize, allowed())?,
+            descriptors: plan_descriptors(sockets.unwrap_or(1024) as usize, descriptor_limit())?,
             operator: Operator::default(),
             settings: digest(None),
             operator_file: None,
-            known: known.map_err(|what| format!("known: {what}"))?,
+            known: known.map_err(|error| format!("known: {error}"))?,
             readings: Readings::of(pairs),
         })
     }
 }
 
-fn contents(path: &Path) -> io::Result<Vec<u8>> {
+fn read_file(path: &Path) -> io::Result<Vec<u8>> {
     let file = std::fs::metadata(path)?;
-    if !file.is_file() || file.len() > MOST_ORDERS {
-        return Err(io::Error::other(format!("no file of at most {MOST_ORDERS} bytes")));
+    if !file.is_file() || file.len() > MAX_FILE_BYTES {
+        return Err(io::Error::other(format!("no file of at most {MAX_FILE_BYTES} bytes")));
     }
     std::fs::read(path)
 }
 
-fn operators(file: Vec<u8>) -> Result<(Operator, String), String> {
+fn parse_operator_file(file: Vec<u8>) -> Result<(Operator, String), String> {
     let text = String::from_utf8(file).map_err(|_| "no UTF-8 text")?;
     let operator = Operator::read(&text).map_err(|wrong| wrong.to_string())?;
     Ok((operator, digest(Some(text.as_bytes()))))
 }
 
 /// How many descriptors the system lets this process have.
-fn allowed() -> Option<usize> {
+fn descriptor_limit() -> Option<usize> {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
     limit.current.and_then(|most| usize::try_from(most).ok())
 }
 
 /// What is stated too low is a mistake in the orders; what the system allows is taken as it is.
-fn descriptors(stated: usize, allowed: Option<usize>) -> Result<Descriptors, String> {
+fn plan_descriptors(stated: usize, descriptor_limit: Option<usize>) -> Result<Descriptors, String> {
     if stated < 64 {
         return Err(format!("limits.sockets: {stated} is too few, 64 are needed"));
     }
-    Descriptors::plan(stated, allowed)
-        .ok_or_else(|| format!("the system allows {} descriptors, too few to serve", allowed.unwrap_or(0)))
+    Descriptors::plan(stated, descriptor_limit).ok_or_else(|| {
+        format!("the system allows {} descriptors, too few to serve", descriptor_limit.unwrap_or(0))
+    })
 }
 
 /// Nested JSON as `path=value` lines have it: lists of plain values joined by commas, lists of objects with
--- a/crates/mixer/src/program/handle.rs
+++ b/crates/mixer/src/program/handle.rs
@@ -9,18 +9,18 @@
 #[derive(Clone)]
 pub struct Handle {
     executor: Rc<LocalExecutor<'static>>,
-    feed: Rc<dyn Fn(Event)>,
+    dispatch: Rc<dyn Fn(Event)>,
 }
 
 impl Handle {
-    pub fn new(executor: Rc<LocalExecutor<'static>>, feed: impl Fn(Event) + 'static) -> Self {
-        Self { executor, feed: Rc::new(feed) }
+    pub fn new(executor: Rc<LocalExecutor<'static>>, dispatch: impl Fn(Event) + 'static) -> Self {
+        Self { executor, dispatch: Rc::new(dispatch) }
     }
 
     /// Tells what has happened. What follows from it is done before this returns, unless it is told amid the
     /// doing of another event: then once that is through.
-    pub fn feed(&self, event: Event) {
-        (self.feed)(event);
+    pub fn dispatch(&self, event: Event) {
+        (self.dispatch)(event);
     }
 
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
--- a/crates/mixer/src/program/hub.rs
+++ b/crates/mixer/src/program/hub.rs
@@ -7,10 +7,10 @@
 use super::identity::Identity;
 use super::links::Links;
 use super::signals::{Signal, Signals};
-use super::startup::made_in_time;
-use super::{watch, Orders};
+use super::startup::retry_transient;
+use super::{watch, Config};
 use crate::routing::{reduce, Effect, Ending, Event, State};
-use crate::transport::{listen, sleep, sleep_until, Bell, Reactor};
+use crate::transport::{listen, sleep, sleep_until, Notify, Reactor};
 use async_executor::LocalExecutor;
 use fernglade::Moment;
 use futures_lite::future;
@@ -23,159 +23,165 @@
 struct Hub {
     state: RefCell<State>,
     events: RefCell<VecDeque<Event>>,
-    busy: Cell<bool>,
+    dispatching: Cell<bool>,
     clock: Clock,
     handle: Handle,
     clients: Rc<Clients>,
     links: Rc<Links>,
-    watch: Rc<watch::Wish>,
-    alarm: Cell<Option<Moment>>,
-    alarm_set: Bell,
-    leave: Bell,
+    watch: Rc<watch::RequestSlot>,
+    timer: Cell<Option<Moment>>,
+    timer_changed: Notify,
+    shutdown: Notify,
 }
 
 /// Serves until it is told to stop and all is done.
-pub fn run(orders: Orders) -> Result<(), String> {
+pub fn run(config: Config) -> Result<(), String> {
     let executor = Rc::new(LocalExecutor::new());
-    let reactor = made_in_time(Reactor::new).map_err(|error| format!("cannot wait for events: {error}"))?;
-    reactor.block_on(executor.clone().run(serve(orders, executor)))
+    let reactor =
+        retry_transient(Reactor::new).map_err(|error| format!("cannot wait for events: {error}"))?;
+    reactor.block_on(executor.clone().run(serve(config, executor)))
 }
 
-async fn serve(orders: Orders, executor: Rc<LocalExecutor<'static>>) -> Result<(), String> {
+async fn serve(config: Config, executor: Rc<LocalExecutor<'static>>) -> Result<(), String> {
     let clock = Clock::start();
-    let state = State::new(&orders.readings, orders.seed, orders.descriptors, &orders.operator, &orders.name);
-    let mut state = state.map_err(|what| what.to_string())?;
-    let first = state.begin(&orders.known, orders.discovery, clock.now());
-    let indices = orders.operator.dialect().indices.keys().cloned().collect();
-    let further = orders.operator.dialect().listen;
-    let at: Vec<_> = std::iter::once(orders.listen).chain(further).collect();
+    let state = State::new(&config.readings, config.seed, config.descriptors, &config.operator, &config.name);
+    let mut state = state.map_err(|error| error.to_string())?;
+    let initial_effects = state.begin(&config.known, config.discovery, clock.now());
+    let indices = config.operator.dialect().indices.keys().cloned().collect();
+    let dialect_listeners = config.operator.dialect().listen;
+    let at: Vec<_> = std::iter::once(config.listen).chain(dialect_listeners).collect();
     let mut listeners = Vec::new();
     for at in &at {
-        let listener = made_in_time(|| listen(*at));
+        let listener = retry_transient(|| listen(*at));
         listeners.push(listener.map_err(|error| format!("cannot listen on {at}: {error}"))?);
     }
-    let signals = made_in_time(Signals::new).map_err(|error| format!("cannot take signals: {error}"))?;
-    let who = Rc::new(Identity::new(&orders));
-    let known = who.clone();
+    let signals = retry_transient(Signals::new).map_err(|error| format!("cannot take signals: {error}"))?;
+    let identity = Rc::new(Identity::new(&config));
+    let identity_of_clients = identity.clone();
     let hub = Rc::new_cyclic(|hub: &std::rc::Weak<Hub>| {
         let hub = hub.clone();
-        let feed = move |event| {
+        let dispatch = move |event| {
             if let Some(hub) = hub.upgrade() {
-                hub.feed(event);
+                hub.dispatch(event);
             }
         };
         Hub {
             state: RefCell::new(state),
             events: RefCell::default(),
-            busy: Cell::new(false),
+            dispatching: Cell::new(false),
             clock,
-            handle: Handle::new(executor, feed),
-            clients: Rc::new(Clients::new(at.len(), orders.descriptors.told, indices, known)),
+            handle: Handle::new(executor, dispatch),
+            clients: Rc::new(Clients::new(at.len(), config.descriptors.told, indices, identity_of_clients)),
             links: Rc::default(),
             watch: Rc::default(),
-            alarm: Cell::new(None),
-            alarm_set: Bell::default(),
-            leave: Bell::default(),
+            timer: Cell::new(None),
+            timer_changed: Notify::default(),
+            shutdown: Notify::default(),
         }
     });
-    log::info!("{} listens on {}, {} searchers known", orders.name, orders.listen, orders.known.rows.len());
-    first.into_iter().for_each(|effect| hub.act(effect));
+    log::info!("{} listens on {}, {} searchers known", config.name, config.listen, config.known.rows.len());
+    initial_effects.into_iter().for_each(|effect| hub.execute(effect));
     let handle = &hub.handle;
-    for (which, listener) in listeners.into_iter().enumerate() {
-        handle.spawn(accept_all(hub.clients.clone(), handle.clone(), which, listener));
+    for (index, listener) in listeners.into_iter().enumerate() {
+        handle.spawn(accept_all(hub.clients.clone(), handle.clone(), index, listener));
     }
     let clients = hub.clients.clone();
-    handle.spawn(async move { clients.refusals().look_after().await });
-    handle.spawn(watch::keep(hub.watch.clone(), handle.clone()));
-    handle.spawn(ring(hub.clone()));
-    handle.spawn(heed(handle.clone(), signals, orders.operator_file, who));
-    hub.leave.wait().await;
-    hub.clients.refusals().all_fetched().await;
-    log::info!("{}: all is answered, the program ends", orders.name);
+    handle.spawn(async move { clients.rejections().run().await });
+    handle.spawn(watch::run(hub.watch.clone(), handle.clone()));
+    handle.spawn(run_timer(hub.clone()));
+    handle.spawn(handle_signals(handle.clone(), signals, config.operator_file, identity));
+    hub.shutdown.wait().await;
+    hub.clients.rejections().all_delivered().await;
+    log::info!("{}: all is answered, the program ends", config.name);
     Ok(())
 }
 
 /// Rings when the alarm that was asked for last is due.
-async fn ring(hub: Rc<Hub>) {
+async fn run_timer(hub: Rc<Hub>) {
     loop {
         let due = async {
-            match hub.alarm.get() {
+            match hub.timer.get() {
                 Some(at) => sleep_until(hub.clock.instant(at)).await,
                 None => future::pending().await,
             }
             true
         };
         let changed = async {
-            hub.alarm_set.wait().await;
+            hub.timer_changed.wait().await;
             false
         };
         if future::or(changed, due).await {
-            hub.alarm.set(None);
-            hub.feed(Event::TimeCame);
+            hub.timer.set(None);
+            hub.dispatch(Event::TimeCame);
         }
     }
 }
 
 /// When a configuration that could not be used is read again without a further signal: it may be in the midst of being
 /// replaced, and an old discovery goes 1.5 s after the signal.
-const READ_AGAIN_AFTER_MS: [u64; 4] = [100, 200, 400, 700];
+const RELOAD_RETRY_DELAYS_MS: [u64; 4] = [100, 200, 400, 700];
 
 /// What there is to do next of signals.
-enum Heard {
+enum SignalAction {
     Signal(Signal),
     /// The configuration could not be used, and is to be read again.
     Retry,
 }
 
-async fn heed(handle: Handle, mut signals: Signals, operator: Option<PathBuf>, who: Rc<Identity>) {
+async fn handle_signals(
+    handle: Handle,
+    mut signals: Signals,
+    operator: Option<PathBuf>,
+    identity: Rc<Identity>,
+) {
     let mut retries = [].iter();
     loop {
-        match next_heard(&mut signals, &mut retries).await {
-            Heard::Signal(Signal::HangUp) => {
-                let used = read_again(&handle, operator.as_deref(), &who);
-                retries = if used { [].iter() } else { READ_AGAIN_AFTER_MS.iter() };
+        match next_action(&mut signals, &mut retries).await {
+            SignalAction::Signal(Signal::HangUp) => {
+                let reloaded = reload(&handle, operator.as_deref(), &identity);
+                retries = if reloaded { [].iter() } else { RELOAD_RETRY_DELAYS_MS.iter() };
             }
-            Heard::Retry => {
-                if read_again(&handle, operator.as_deref(), &who) {
+            SignalAction::Retry => {
+                if reload(&handle, operator.as_deref(), &identity) {
                     retries = [].iter();
                 }
             }
-            Heard::Signal(signal) => {
+            SignalAction::Signal(signal) => {
                 log::info!("told to stop by {signal:?}");
-                handle.feed(Event::StopAsked);
+                handle.dispatch(Event::StopAsked);
             }
         }
     }
 }
 
 /// The next signal, or the next retry where it is due sooner.
-async fn next_heard(signals: &mut Signals, retries: &mut std::slice::Iter<'_, u64>) -> Heard {
+async fn next_action(signals: &mut Signals, retries: &mut std::slice::Iter<'_, u64>) -> SignalAction {
     let retry = async {
         match retries.next() {
             Some(millis) => sleep(Duration::from_millis(*millis)).await,
             None => future::pending().await,
         }
-        Heard::Retry
+        SignalAction::Retry
     };
-    let signal = async { Heard::Signal(signals.next().await) };
+    let signal = async { SignalAction::Signal(signals.next().await) };
     future::or(signal, retry).await
 }
 
 /// A file that can't be used leaves all as it is; false for that.
-fn read_again(handle: &Handle, operator: Option<&Path>, who: &Identity) -> bool {
-    match Orders::read_again(operator) {
-        Ok(orders) => {
-            log::info!("orders read again, discovery is at {}", orders.discovery);
-            handle.feed(Event::Moved(orders.discovery));
-            if !who.read_again(&orders) {
+fn reload(handle: &Handle, operator: Option<&Path>, identity: &Identity) -> bool {
+    match Config::reload(operator) {
+        Ok(config) => {
+            log::info!("orders read again, discovery is at {}", config.discovery);
+            handle.dispatch(Event::Moved(config.discovery));
+            if !identity.reloaded(&config) {
                 log::warn!("the operator's file has changes that are taken up at the start only");
             }
-            handle.feed(Event::Ruled(orders.operator.house()));
+            handle.dispatch(Event::Ruled(config.operator.house()));
             true
         }
-        Err(what) => {
-            who.refused();
-            log::warn!("the old orders stand: {what}");
+        Err(error) => {
+            identity.reload_failed();
+            log::warn!("the old orders stand: {error}");
             false
         }
     }
@@ -183,33 +189,33 @@
 
 impl Hub {
     /// Takes an event in. One that an effect brings about waits until that effect's event is through.
-    fn feed(&self, event: Event) {
+    fn dispatch(&self, event: Event) {
         self.events.borrow_mut().push_back(event);
-        if self.busy.replace(true) {
+        if self.dispatching.replace(true) {
             return;
         }
         loop {
             let next = self.events.borrow_mut().pop_front();
             let Some(event) = next else { break };
             let effects = reduce(&mut self.state.borrow_mut(), event, self.clock.now());
-            effects.into_iter().for_each(|effect| self.act(effect));
+            effects.into_iter().for_each(|effect| self.execute(effect));
         }
-        self.busy.set(false);
+        self.dispatching.set(false);
     }
 
-    fn act(&self, effect: Effect) {
+    fn execute(&self, effect: Effect) {
         let (handle, clients, links) = (&self.handle, &self.clients, &self.links);
         match effect {
             Effect::Reply { client, reply, last } => clients.reply(handle, client, &reply, last),
-            Effect::LetIn(client) => clients.let_in(handle, client),
-            Effect::TurnAway(client, pause) => clients.turn_away(client, pause),
-            Effect::Dismiss(client) => clients.dismiss(client),
-            Effect::Door(open) => clients.open_door(open),
-            Effect::ShutDoor => clients.shut_door(),
+            Effect::LetIn(client) => clients.admit(handle, client),
+            Effect::TurnAway(client, pause) => clients.reject(client, pause),
+            Effect::Dismiss(client) => clients.drain(client),
+            Effect::Door(open) => clients.set_accepting(open),
+            Effect::ShutDoor => clients.stop_listening(),
             Effect::Dial { link, to, within, tongue } => {
                 links.dial(handle, link, to, tongue, duration(within));
             }
-            Effect::DialBeside(link) => links.dial_beside(link),
+            Effect::DialBeside(link) => links.dial_extra(link),
             Effect::Call { link, call, errands } => links.call(handle, link, call, &errands),
             Effect::Withdraw(link, call) => links.withdraw(handle, link, call),
             Effect::GiveUp { link, id } => links.give_up(handle, link, &id),
@@ -218,18 +224,18 @@
             Effect::Spoke { to, version } => {
                 log::info!("node {to} speaks the query dialect, version {version}")
             }
-            Effect::HangUp(link) => links.hang_up(link),
-            Effect::Cut(link) => links.cut(link),
-            Effect::Watch { at, after, waits } => self.watch.wish(at, after, waits),
+            Effect::HangUp(link) => links.close(link),
+            Effect::Cut(link) => links.abort(link),
+            Effect::Watch { at, after, waits } => self.watch.request(at, after, waits),
             Effect::Alarm(at) => {
-                self.alarm.set(Some(at));
-                self.alarm_set.ring();
+                self.timer.set(Some(at));
+                self.timer_changed.notify();
             }
             Effect::Note { to, ending } => match ending {
                 Ending::ClosedIdle | Ending::HungUp => log::debug!("link to {to}: {ending:?}"),
                 _ => log::info!("link to {to}: {ending:?}"),
             },
-            Effect::Leave => self.leave.ring(),
+            Effect::Leave => self.shutdown.notify(),
         }
     }
 }
--- a/crates/mixer/src/program/identity.rs
+++ b/crates/mixer/src/program/identity.rs
@@ -1,6 +1,6 @@
 //! Who this mixer is, for those who may read its figures: its program, the settings in force, this life of it.
 
-use super::Orders;
+use super::Config;
 use crate::protocol::figures::{bounds, OfType, Tells};
 use crate::routing::{Figures, Line};
 use fernglade_orders::{digest, Operator};
@@ -14,44 +14,44 @@
     program: String,
     incarnation: String,
     settings: RefCell<String>,
-    refused: Cell<bool>,
+    settings_refused: Cell<bool>,
 }
 
 impl Identity {
     /// Nothing is read where nobody may ask.
-    pub fn new(orders: &Orders) -> Self {
-        let tells = orders.operator.tells_figures();
+    pub fn new(config: &Config) -> Self {
+        let enabled = config.operator.tells_figures();
         // The file that this process began from, whatever stands at its path by now.
-        let program = tells.then(|| std::fs::read("/proc/self/exe").ok()).flatten();
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
+        let program = enabled.then(|| std::fs::read("/proc/self/exe").ok()).flatten();
+        let started_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
         Self {
-            operator: orders.operator.clone(),
+            operator: config.operator.clone(),
             program: digest(program.as_deref()),
-            incarnation: format!("{since}-{}", std::process::id()),
-            settings: RefCell::new(orders.settings.clone()),
-            refused: Cell::new(false),
+            incarnation: format!("{started_ms}-{}", std::process::id()),
+            settings: RefCell::new(config.settings.clone()),
+            settings_refused: Cell::new(false),
         }
     }
 
-    pub fn tells_to(&self, from: IpAddr) -> bool {
+    pub fn may_read_metrics(&self, from: IpAddr) -> bool {
         self.operator.tells_figures_to(from)
     }
 
     /// The operator's file was read again: its digest is told once all of it is in force, and not before.
-    pub fn read_again(&self, orders: &Orders) -> bool {
-        let in_force = orders.operator.differs_by_house_rules_only(&self.operator);
-        self.refused.set(!in_force);
+    pub fn reloaded(&self, config: &Config) -> bool {
+        let in_force = config.operator.differs_by_house_rules_only(&self.operator);
+        self.settings_refused.set(!in_force);
         if in_force {
-            self.settings.replace(orders.settings.clone());
+            self.settings.replace(config.settings.clone());
         }
         in_force
     }
 
-    pub fn refused(&self) {
-        self.refused.set(true);
+    pub fn reload_failed(&self) {
+        self.settings_refused.set(true);
     }
 
-    pub fn tells(&self, figures: &Figures) -> Tells {
+    pub fn metrics(&self, figures: &Figures) -> Tells {
         let of_type = |(name, line): &(String, Line)| OfType {
             name: name.clone(),
             taken: line.taken,
@@ -69,8 +69,8 @@
             incarnation: self.incarnation.clone(),
             process: std::process::id(),
             ready: figures.ready,
-            refused_settings: self.refused.get(),
-            memory: resident(),
+            refused_settings: self.settings_refused.get(),
+            memory: resident_bytes(),
             listed: figures.listed,
             relays: figures.relays,
             types: figures.types.iter().map(of_type).collect(),
@@ -79,7 +79,7 @@
 }
 
 /// Pages resident stand second in the file; nothing where it can't be read.
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     let read = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: u64 = read.split(' ').nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0);
     pages * rustix::param::page_size() as u64
--- a/crates/mixer/src/program/links.rs
+++ b/crates/mixer/src/program/links.rs
@@ -7,7 +7,8 @@
 use crate::protocol::{nodes, MOST_BODY};
 use crate::routing::{CallId, Ending, Event, LinkId, Tongue};
 use crate::transport::{
-    dial, is_local_fault, is_short, pump, sleep, Bell, Inbox, Line, Stop, Stream, Written,
+    dial, is_local_error, is_resource_shortage, run_connection, sleep, CloseReason, ConnectionControl,
+    Notify, ReadBuffer, Stream, WriteProgress,
 };
 use fernglade_admission::{AfterFailure, Shortage};
 use futures_lite::future;
@@ -24,25 +25,25 @@
 
 /// What may wait to be written to one searcher: the longest calls of one part, on a link full of them. Usual
 /// calls take a hundred bytes; all links together hold no more of them than parts are open.
-const MOST_WAITING: usize = 2 * 1024 * 1024;
+const MAX_QUEUED_BYTES: usize = 2 * 1024 * 1024;
 /// A client that is sent off frees its place within this.
-const ROOM_PAUSE: Duration = Duration::from_millis(5);
+const ROOM_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// The tag of frames whose writing nobody waits for.
-const UNTOLD: u64 = 0;
+const UNTRACKED: u64 = 0;
 
 /// The near ends of all links to searchers.
 #[derive(Default)]
-pub struct Links(RefCell<BTreeMap<LinkId, Rc<Near>>>);
+pub struct Links(RefCell<BTreeMap<LinkId, Rc<LinkHandle>>>);
 
 /// The near end of one.
-struct Near {
-    line: Line,
-    tongue: Tongue,
+struct LinkHandle {
+    control: ConnectionControl,
+    protocol: Tongue,
     to: SocketAddr,
     /// Rung for a further attempt while it is dialled.
-    beside: Bell,
+    extra_attempt: Notify,
     /// What a node of the query dialect was asked and has not answered, in order.
-    asked: RefCell<VecDeque<Question>>,
+    unanswered: RefCell<VecDeque<Question>>,
 }
 
 enum Question {
@@ -57,33 +58,39 @@
         handle: &Handle,
         link: LinkId,
         to: SocketAddr,
-        tongue: Tongue,
+        protocol: Tongue,
         within: Duration,
     ) {
-        let line = Line::new(MOST_WAITING);
-        let near = Rc::new(Near { line, tongue, to, beside: Bell::default(), asked: RefCell::default() });
-        self.0.borrow_mut().insert(link, near.clone());
-        handle.spawn(serve(self.clone(), handle.clone(), link, near, within));
+        let control = ConnectionControl::new(MAX_QUEUED_BYTES);
+        let link_handle = Rc::new(LinkHandle {
+            control,
+            protocol,
+            to,
+            extra_attempt: Notify::default(),
+            unanswered: RefCell::default(),
+        });
+        self.0.borrow_mut().insert(link, link_handle.clone());
+        handle.spawn(serve(self.clone(), handle.clone(), link, link_handle, within));
     }
 
-    pub fn dial_beside(&self, link: LinkId) {
-        self.near(link).iter().for_each(|near| near.beside.ring());
+    pub fn dial_extra(&self, link: LinkId) {
+        self.link_handle(link).iter().for_each(|link_handle| link_handle.extra_attempt.notify());
     }
 
     pub fn call(&self, handle: &Handle, link: LinkId, call: CallId, errands: &[Errand]) {
-        let Some(near) = self.near(link) else { return };
-        match (near.tongue, errands) {
+        let Some(link_handle) = self.link_handle(link) else { return };
+        match (link_handle.protocol, errands) {
             (Tongue::Frames, errands) => {
-                let (errands, size, handed_over) =
+                let (errands, size, queued_at) =
                     (errands.to_vec(), frames::call_size(errands), Instant::now());
-                let word = move || frames::call(&errands, handed_over.elapsed().as_millis() as u64);
-                if !near.line.outbox.push_worded(call.0, size, word) {
+                let encode = move || frames::call(&errands, queued_at.elapsed().as_millis() as u64);
+                if !link_handle.control.write_queue.push_deferred(call.0, size, encode) {
                     self.end(handle, link, Ending::Stuck);
                 }
             }
             (Tongue::Dialect, [errand]) => {
-                if let Some(question) = nodes::question(errand, &near.to.to_string()) {
-                    near.asked.borrow_mut().push_back(Question::Part(errand.id.clone()));
+                if let Some(question) = nodes::question(errand, &link_handle.to.to_string()) {
+                    link_handle.unanswered.borrow_mut().push_back(Question::Part(errand.id.clone()));
                     self.write(handle, link, call.0, question);
                 }
             }
@@ -93,108 +100,125 @@
     }
 
     pub fn give_up(&self, handle: &Handle, link: LinkId, id: &str) {
-        self.write(handle, link, UNTOLD, frames::give_up(id));
+        self.write(handle, link, UNTRACKED, frames::give_up(id));
     }
 
     pub fn check(&self, handle: &Handle, link: LinkId) {
-        let Some(near) = self.near(link) else { return };
-        match near.tongue {
-            Tongue::Frames => self.write(handle, link, UNTOLD, frames::check()),
+        let Some(link_handle) = self.link_handle(link) else { return };
+        match link_handle.protocol {
+            Tongue::Frames => self.write(handle, link, UNTRACKED, frames::check()),
             Tongue::Dialect => {
-                near.asked.borrow_mut().push_back(Question::Check);
-                self.write(handle, link, UNTOLD, get("/_cluster/health", &near.to.to_string()));
+                link_handle.unanswered.borrow_mut().push_back(Question::Check);
+                self.write(handle, link, UNTRACKED, get("/_cluster/health", &link_handle.to.to_string()));
             }
         }
     }
 
     /// At a node's first contact, ahead of its first part.
     pub fn ask_version(&self, handle: &Handle, link: LinkId) {
-        let Some(near) = self.near(link) else { return };
-        near.asked.borrow_mut().push_back(Question::Version);
-        self.write(handle, link, UNTOLD, get("/", &near.to.to_string()));
+        let Some(link_handle) = self.link_handle(link) else { return };
+        link_handle.unanswered.borrow_mut().push_back(Question::Version);
+        self.write(handle, link, UNTRACKED, get("/", &link_handle.to.to_string()));
     }
 
     /// Where the searcher takes nothing and the bound is reached, the link is over.
     fn write(&self, handle: &Handle, link: LinkId, tag: u64, frame: Vec<u8>) {
-        if self.near(link).is_some_and(|near| !near.line.outbox.push(tag, frame)) {
+        if self.link_handle(link).is_some_and(|link_handle| !link_handle.control.write_queue.push(tag, frame))
+        {
             self.end(handle, link, Ending::Stuck);
         }
     }
 
     pub fn withdraw(&self, handle: &Handle, link: LinkId, call: CallId) {
-        let Some(near) = self.near(link) else { return };
-        if near.line.outbox.withdraw(call.0) {
+        let Some(link_handle) = self.link_handle(link) else { return };
+        if link_handle.control.write_queue.withdraw(call.0) {
             // It was the one part asked there; a check may stand beside it.
-            near.asked.borrow_mut().retain(|question| !matches!(question, Question::Part(_)));
-            handle.feed(Event::Withdrawn(link, call));
+            link_handle.unanswered.borrow_mut().retain(|question| !matches!(question, Question::Part(_)));
+            handle.dispatch(Event::Withdrawn(link, call));
         }
     }
 
-    pub fn hang_up(&self, link: LinkId) {
-        self.near(link).iter().for_each(|near| near.line.close());
+    pub fn close(&self, link: LinkId) {
+        self.link_handle(link).iter().for_each(|link_handle| link_handle.control.close());
     }
 
-    pub fn cut(&self, link: LinkId) {
-        self.near(link).iter().for_each(|near| near.line.cut());
+    pub fn abort(&self, link: LinkId) {
+        self.link_handle(link).iter().for_each(|link_handle| link_handle.control.abort());
     }
 
-    fn near(&self, link: LinkId) -> Option<Rc<Near>> {
+    fn link_handle(&self, link: LinkId) -> Option<Rc<LinkHandle>> {
         self.0.borrow().get(&link).cloned()
     }
 
     /// Tells of a link's end, once, and lets go of its near end.
     fn end(&self, handle: &Handle, link: LinkId, ending: Ending) {
-        let near = self.0.borrow_mut().remove(&link);
-        if let Some(near) = near {
-            near.line.cut();
-            handle.feed(Event::LinkEnded(link, ending));
+        let link_handle = self.0.borrow_mut().remove(&link);
+        if let Some(link_handle) = link_handle {
+            link_handle.control.abort();
+            handle.dispatch(Event::LinkEnded(link, ending));
         }
     }
 }
 
-async fn serve(links: Rc<Links>, handle: Handle, link: LinkId, near: Rc<Near>, within: Duration) {
-    let ending = match dial_racing(&handle, &near, within).await {
-        Err(error) => not_up(&error),
+async fn serve(
+    links: Rc<Links>,
+    handle: Handle,
+    link: LinkId,
+    link_handle: Rc<LinkHandle>,
+    within: Duration,
+) {
+    let ending = match race_dials(&handle, &link_handle, within).await {
+        Err(error) => dial_failure(&error),
         Ok(stream) => {
-            handle.feed(Event::LinkUp(link));
-            let (mut amid, mut reader) = (false, Reader::of_answers(MOST_BODY));
-            let read = |inbox: &mut Inbox| {
-                let (flow, is_amid) = match near.tongue {
+            handle.dispatch(Event::LinkUp(link));
+            let (mut mid_response, mut reader) = (false, Reader::of_answers(MOST_BODY));
+            let read_frames = |buffer: &mut ReadBuffer| {
+                let (flow, now_mid_response) = match link_handle.protocol {
                     Tongue::Frames => {
-                        let flow = read(&handle, link, inbox);
-                        (flow, !inbox.unread().is_empty())
+                        let flow = read_frames(&handle, link, buffer);
+                        (flow, !buffer.unread().is_empty())
                     }
                     Tongue::Dialect => {
-                        let flow = hear(&handle, link, &near, &mut reader, inbox);
-                        (flow, reader.is_amid(inbox.unread()))
+                        let flow = read_responses(&handle, link, &link_handle, &mut reader, buffer);
+                        (flow, reader.is_amid(buffer.unread()))
                     }
                 };
-                if amid != is_amid {
-                    amid = is_amid;
-                    handle.feed(Event::Amid(link, amid));
+                if mid_response != now_mid_response {
+                    mid_response = now_mid_response;
+                    handle.dispatch(Event::Amid(link, mid_response));
                 }
                 flow
             };
-            let mut half = false;
+            let mut partially_written = false;
             let written = |written| {
-                let was_half = std::mem::replace(&mut half, written == Written::Part);
-                if half != was_half {
-                    handle.feed(Event::HalfWritten(link, half));
+                let was_partial =
+                    std::mem::replace(&mut partially_written, written == WriteProgress::Partial);
+                if partially_written != was_partial {
+                    handle.dispatch(Event::HalfWritten(link, partially_written));
                 }
                 match written {
-                    Written::Part | Written::Whole(UNTOLD) => {}
-                    Written::Whole(tag) => handle.feed(Event::CallOut(link, CallId(tag))),
+                    WriteProgress::Partial | WriteProgress::Complete(UNTRACKED) => {}
+                    WriteProgress::Complete(tag) => handle.dispatch(Event::CallOut(link, CallId(tag))),
                 }
             };
-            match pump(&stream, &near.line, Inbox::new(4 + MOST_FRAME), read, written).await {
-                Stop::Ended => {
+            match run_connection(
+                &stream,
+                &link_handle.control,
+                ReadBuffer::new(4 + MOST_FRAME),
+                read_frames,
+                written,
+            )
+            .await
+            {
+                CloseReason::PeerClosed => {
                     // An answer of no length is whole now.
-                    let flow = reader.ended().map(|message| heard(&handle, link, &near, &message));
+                    let flow =
+                        reader.ended().map(|message| handle_response(&handle, link, &link_handle, &message));
                     flow.and_then(ControlFlow::break_value).unwrap_or(Ending::Ended)
                 }
-                Stop::Broke => Ending::Broke,
-                Stop::Closed => Ending::HungUp,
-                Stop::Halted(ending) => ending,
+                CloseReason::Failed => Ending::Broke,
+                CloseReason::ClosedLocally => Ending::HungUp,
+                CloseReason::Stopped(ending) => ending,
             }
         }
     };
@@ -205,17 +229,17 @@
 
 /// The first connection that is up, of one attempt and those that are asked for beside it. Where nobody listens they
 /// are over together; any other failure is of one attempt alone.
-async fn dial_racing(handle: &Handle, near: &Near, within: Duration) -> io::Result<Stream> {
-    let began = Instant::now();
-    let mut attempts: Vec<Attempt> = vec![Box::pin(dial_with_room(handle, near.to, within))];
+async fn race_dials(handle: &Handle, link_handle: &LinkHandle, within: Duration) -> io::Result<Stream> {
+    let started = Instant::now();
+    let mut attempts: Vec<Attempt> = vec![Box::pin(dial_with_retries(handle, link_handle.to, within))];
     loop {
-        let beside = async {
-            near.beside.wait().await;
+        let extra_attempt = async {
+            link_handle.extra_attempt.wait().await;
             None
         };
-        let over = async { Some(first_over(&mut attempts).await) };
-        match future::or(over, beside).await {
-            None => attempts.push(Box::pin(dial(near.to, within.saturating_sub(began.elapsed())))),
+        let over = async { Some(first_finished(&mut attempts).await) };
+        match future::or(over, extra_attempt).await {
+            None => attempts.push(Box::pin(dial(link_handle.to, within.saturating_sub(started.elapsed())))),
             Some(Ok(stream)) => return Ok(stream),
             Some(Err(error)) => {
                 if attempts.is_empty() || error.kind() == io::ErrorKind::ConnectionRefused {
@@ -227,7 +251,7 @@
 }
 
 /// Takes out the first attempt that is over.
-async fn first_over(attempts: &mut Vec<Attempt<'_>>) -> io::Result<Stream> {
+async fn first_finished(attempts: &mut Vec<Attempt<'_>>) -> io::Result<Stream> {
     poll_fn(|context| {
         for at in 0..attempts.len() {
             if let Poll::Ready(done) = attempts[at].as_mut().poll(context) {
@@ -241,29 +265,29 @@
 }
 
 /// How often a connection is tried again where this machine has no route: that may be so for good.
-const ROUTE_TRIES: u32 = 4;
+const MAX_ROUTE_TRIES: u32 = 4;
 
 /// What this machine could not even try is tried again within the time. Where descriptors run short lastingly an
 /// idle client goes, and its place is waited for.
-async fn dial_with_room(handle: &Handle, to: SocketAddr, within: Duration) -> io::Result<Stream> {
-    let (began, mut shortage, mut tries) = (Instant::now(), Shortage::default(), 0);
+async fn dial_with_retries(handle: &Handle, to: SocketAddr, within: Duration) -> io::Result<Stream> {
+    let (started, mut shortage, mut tries) = (Instant::now(), Shortage::default(), 0);
     loop {
-        let left = within.saturating_sub(began.elapsed());
+        let left = within.saturating_sub(started.elapsed());
         let error = match dial(to, left).await {
-            Err(error) if is_local_fault(&error) && left > ROOM_PAUSE => error,
+            Err(error) if is_local_error(&error) && left > ROOM_RETRY_DELAY => error,
             dialled => return dialled,
         };
         tries += 1;
-        if is_unroutable(&error) && tries > ROUTE_TRIES {
+        if is_unroutable(&error) && tries > MAX_ROUTE_TRIES {
             return Err(error);
         }
         match shortage.failed() {
             AfterFailure::TryAgain(pause) => sleep(duration(pause)).await,
             AfterFailure::MakeRoom => {
-                if is_short(&error) {
-                    handle.feed(Event::Short);
+                if is_resource_shortage(&error) {
+                    handle.dispatch(Event::Short);
                 }
-                sleep(ROOM_PAUSE).await;
+                sleep(ROOM_RETRY_DELAY).await;
             }
         }
     }
@@ -273,21 +297,21 @@
     matches!(error.kind(), io::ErrorKind::NetworkUnreachable | io::ErrorKind::NetworkDown)
 }
 
-fn not_up(error: &io::Error) -> Ending {
+fn dial_failure(error: &io::Error) -> Ending {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => Ending::Refused,
         io::ErrorKind::TimedOut => Ending::NeverUp,
         _ if is_unroutable(error) => Ending::NoWay,
-        _ if is_local_fault(error) => Ending::Short,
+        _ if is_local_error(error) => Ending::Short,
         _ => Ending::NoWay,
     }
 }
 
-fn read(handle: &Handle, link: LinkId, inbox: &mut Inbox) -> ControlFlow<Ending> {
+fn read_frames(handle: &Handle, link: LinkId, buffer: &mut ReadBuffer) -> ControlFlow<Ending> {
     loop {
-        let frame = match frames::next(inbox.unread()) {
+        let frame = match frames::next(buffer.unread()) {
             Ok(Some((frame, count))) => {
-                inbox.used(count);
+                buffer.consume(count);
                 frame
             }
             Ok(None) => return ControlFlow::Continue(()),
@@ -297,8 +321,8 @@
             }
         };
         match frame {
-            Frame::Part { id, end, value } => handle.feed(Event::PartBack { link, id, end, value }),
-            Frame::Check(there) => handle.feed(Event::CheckBack(link, there)),
+            Frame::Part { id, end, value } => handle.dispatch(Event::PartBack { link, id, end, value }),
+            Frame::Check(there) => handle.dispatch(Event::CheckBack(link, there)),
             Frame::Report => {}
             Frame::Objection(words) => {
                 log::warn!("a searcher could not use a frame of ours: {words:?}");
@@ -309,17 +333,17 @@
 }
 
 /// Answers of a node of the query dialect, each to the question that was asked longest ago.
-fn hear(
+fn read_responses(
     handle: &Handle,
     link: LinkId,
-    near: &Near,
+    link_handle: &LinkHandle,
     reader: &mut Reader,
-    inbox: &mut Inbox,
+    buffer: &mut ReadBuffer,
 ) -> ControlFlow<Ending> {
     loop {
-        let message = match reader.read(inbox.unread()) {
+        let message = match reader.read(buffer.unread()) {
             Ok((used, message)) => {
-                inbox.used(used);
+                buffer.consume(used);
                 message
             }
             Err(fault) => {
@@ -328,19 +352,24 @@
             }
         };
         let Some(message) = message else { return ControlFlow::Continue(()) };
-        heard(handle, link, near, &message)?;
+        handle_response(handle, link, link_handle, &message)?;
     }
 }
 
-fn heard(handle: &Handle, link: LinkId, near: &Near, message: &Message) -> ControlFlow<Ending> {
-    let question = near.asked.borrow_mut().pop_front();
+fn handle_response(
+    handle: &Handle,
+    link: LinkId,
+    link_handle: &LinkHandle,
+    message: &Message,
+) -> ControlFlow<Ending> {
+    let question = link_handle.unanswered.borrow_mut().pop_front();
     match question {
         Some(Question::Part(id)) => {
             let (end, value) = nodes::end(message);
-            handle.feed(Event::PartBack { link, id, end, value });
+            handle.dispatch(Event::PartBack { link, id, end, value });
         }
-        Some(Question::Check) => handle.feed(Event::CheckBack(link, message.start[1] == "200")),
-        Some(Question::Version) => handle.feed(Event::Speaks(link, nodes::version(message))),
+        Some(Question::Check) => handle.dispatch(Event::CheckBack(link, message.start[1] == "200")),
+        Some(Question::Version) => handle.dispatch(Event::Speaks(link, nodes::version(message))),
         None => return ControlFlow::Break(Ending::Garbled),
     }
     if message.keeps() {
--- a/crates/mixer/src/program/log_writer.rs
+++ b/crates/mixer/src/program/log_writer.rs
@@ -4,13 +4,13 @@
 //! Guards against a reader of the log that hangs: standard error is a pipe then that fills up, and a write to it would
 //! hold up all that the mixer does. Hurts whoever wants each line of a log that comes faster than it is read.
 
-use crate::transport::uninterrupted;
+use crate::transport::retry_interrupted;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{self, Write};
 
 /// A pipe that can be written to takes so many bytes at once (`PIPE_BUF`); a longer line is cut.
-const LONGEST_LINE: usize = 4096;
-const AT_ONCE: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
+const MAX_LINE_BYTES: usize = 4096;
+const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
 
 /// Takes one line a call, and never waits.
 #[derive(Default)]
@@ -22,10 +22,12 @@
 impl LogWriter {
     fn write_line(&mut self, line: &[u8]) -> io::Result<()> {
         if self.dropped > 0 {
-            write_at_once(format!("{} lines of the log could not be written\n", self.dropped).as_bytes())?;
+            write_without_blocking(
+                format!("{} lines of the log could not be written\n", self.dropped).as_bytes(),
+            )?;
             self.dropped = 0;
         }
-        write_at_once(line)
+        write_without_blocking(line)
     }
 }
 
@@ -43,12 +45,12 @@
 }
 
 /// Writes a line, or nothing where that would have to be waited for.
-fn write_at_once(line: &[u8]) -> io::Result<()> {
+fn write_without_blocking(line: &[u8]) -> io::Result<()> {
     let mut stderr = io::stderr();
     let mut ready = [PollFd::new(&stderr, PollFlags::OUT)];
-    if poll(&mut ready, Some(&AT_ONCE))? == 0 || !ready[0].revents().contains(PollFlags::OUT) {
+    if poll(&mut ready, Some(&NO_WAIT))? == 0 || !ready[0].revents().contains(PollFlags::OUT) {
         return Err(io::ErrorKind::WouldBlock.into());
     }
-    let fits = &line[..line.len().min(LONGEST_LINE)];
-    uninterrupted(|| stderr.write(fits)).map(drop)
+    let truncated = &line[..line.len().min(MAX_LINE_BYTES)];
+    retry_interrupted(|| stderr.write(truncated)).map(drop)
 }
--- a/crates/mixer/src/program/refusals.rs
+++ b/crates/mixer/src/program/rejections.rs
@@ -1,7 +1,7 @@
 //! Those who are turned away with no place: their refusal is written, and their connection kept until they have
 //! fetched it. Closing upon unread bytes would reset the connection, and what was written might be lost with it.
 
-use crate::transport::{sleep, uninterrupted, Bell};
+use crate::transport::{retry_interrupted, sleep, Notify};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read, Write};
@@ -9,36 +9,36 @@
 use std::time::{Duration, Instant};
 
 /// How long one may take to fetch its refusal, while there is room for more of them.
-const FETCHING: Duration = Duration::from_millis(500);
+const DELIVERY_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often they are looked at.
-const TURN: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// How much of what one still sends is thrown away in a turn.
-const DISCARDED: usize = 16 * 1024;
+const MAX_DISCARD_BYTES: usize = 16 * 1024;
 /// How long one is looked after for whom the last descriptor was given up: nobody else is accepted meanwhile.
-const FETCHING_ALONE: Duration = Duration::from_millis(50);
+const RESERVE_DELIVERY_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// One connection that hears a refusal.
-struct Refused {
+struct PendingRejection {
     stream: TcpStream,
     since: Instant,
     /// What has not been written of the refusal.
     unwritten: Vec<u8>,
 }
 
-impl Refused {
-    fn new(stream: TcpStream, refusal: &[u8]) -> Self {
-        Self { stream, since: Instant::now(), unwritten: refusal.to_vec() }
+impl PendingRejection {
+    fn new(stream: TcpStream, response: &[u8]) -> Self {
+        Self { stream, since: Instant::now(), unwritten: response.to_vec() }
     }
 
     /// Goes on writing and discarding, as far as that goes at once; false when the client is through with it.
     fn advance(&mut self) -> bool {
         // What has come is thrown away before the refusal is written.
-        let stays = self.discard();
-        stays && self.write()
+        let open = self.discard();
+        open && self.write()
     }
 
     fn discard(&mut self) -> bool {
-        match uninterrupted(|| (&self.stream).read(&mut [0; DISCARDED])) {
+        match retry_interrupted(|| (&self.stream).read(&mut [0; MAX_DISCARD_BYTES])) {
             Ok(count) => count > 0,
             Err(error) => error.kind() == ErrorKind::WouldBlock,
         }
@@ -46,7 +46,7 @@
 
     fn write(&mut self) -> bool {
         while !self.unwritten.is_empty() {
-            match uninterrupted(|| (&self.stream).write(&self.unwritten)) {
+            match retry_interrupted(|| (&self.stream).write(&self.unwritten)) {
                 Ok(0) => return false,
                 Ok(count) => drop(self.unwritten.drain(..count)),
                 Err(error) => return error.kind() == ErrorKind::WouldBlock,
@@ -60,53 +60,54 @@
 }
 
 /// So many at most, past which the one told longest goes. One task looks after all of them.
-pub struct Refusals {
-    told: RefCell<VecDeque<Refused>>,
-    most: usize,
-    bell: Bell,
+pub struct Rejections {
+    pending: RefCell<VecDeque<PendingRejection>>,
+    capacity: usize,
+    added: Notify,
 }
 
-impl Refusals {
-    pub fn new(most: usize) -> Self {
-        Self { told: RefCell::default(), most: most.max(1), bell: Bell::default() }
+impl Rejections {
+    pub fn new(capacity: usize) -> Self {
+        Self { pending: RefCell::default(), capacity: capacity.max(1), added: Notify::default() }
     }
 
-    pub fn tell(&self, stream: TcpStream, refusal: &[u8]) {
-        let mut refused = Refused::new(stream, refusal);
-        if refused.advance() {
-            let mut told = self.told.borrow_mut();
-            if told.len() == self.most {
-                told.pop_front();
+    pub fn add(&self, stream: TcpStream, response: &[u8]) {
+        let mut rejection = PendingRejection::new(stream, response);
+        if rejection.advance() {
+            let mut pending = self.pending.borrow_mut();
+            if pending.len() == self.capacity {
+                pending.pop_front();
             }
-            told.push_back(refused);
-            self.bell.ring();
+            pending.push_back(rejection);
+            self.added.notify();
         }
     }
 
     /// Returns once all refusals are fetched, or have had their time: the program's end would cut them off.
-    pub async fn all_fetched(&self) {
-        while !self.told.borrow().is_empty() {
-            sleep(TURN).await;
+    pub async fn all_delivered(&self) {
+        while !self.pending.borrow().is_empty() {
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Lets go of those who have fetched their refusal, and of who takes too long.
-    pub async fn look_after(&self) {
+    pub async fn run(&self) {
         loop {
-            if self.told.borrow().is_empty() {
-                self.bell.wait().await;
+            if self.pending.borrow().is_empty() {
+                self.added.wait().await;
             }
-            sleep(TURN).await;
-            let mut told = self.told.borrow_mut();
-            told.retain_mut(|refused| refused.since.elapsed() < FETCHING && refused.advance());
+            sleep(POLL_INTERVAL).await;
+            let mut pending = self.pending.borrow_mut();
+            pending
+                .retain_mut(|rejection| rejection.since.elapsed() < DELIVERY_TIMEOUT && rejection.advance());
         }
     }
 }
 
 /// Tells one who holds the last descriptor, and returns when it has fetched its refusal or had its time.
-pub async fn refuse_alone(stream: TcpStream, refusal: &[u8]) {
-    let mut refused = Refused::new(stream, refusal);
-    while refused.advance() && refused.since.elapsed() < FETCHING_ALONE {
-        sleep(TURN).await;
+pub async fn reject_alone(stream: TcpStream, response: &[u8]) {
+    let mut rejection = PendingRejection::new(stream, response);
+    while rejection.advance() && rejection.since.elapsed() < RESERVE_DELIVERY_TIMEOUT {
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/mixer/src/program/listening.rs
+++ b/crates/mixer/src/program/requests.rs
@@ -6,7 +6,9 @@
 use crate::protocol::http::{Fault, Message, Reader, MOST_UNREAD};
 use crate::protocol::scans::{question, Blame, Question};
 use crate::routing::{ClientId, Event};
-use crate::transport::{linger, pump, take_rest, uninterrupted, Inbox, Stop, Stream};
+use crate::transport::{
+    drain_socket, linger, retry_interrupted, run_connection, CloseReason, ReadBuffer, Stream,
+};
 use fernglade::Span;
 use std::ops::ControlFlow;
 use std::rc::Rc;
@@ -14,10 +16,10 @@
 
 /// How long, and for how many bytes, a client that is still sending is read from so that its error reaches it:
 /// closing upon unread bytes resets the connection, and what was written may be lost with it.
-const LINGER: (Duration, usize) = (Duration::from_millis(500), 512 * 1024);
+const LINGER_LIMITS: (Duration, usize) = (Duration::from_millis(500), 512 * 1024);
 
 /// A whole request that stood for less is as good as just come.
-const STOOD_LONG: Duration = Duration::from_millis(1);
+const MIN_REPORTED_AGE: Duration = Duration::from_millis(1);
 
 /// Reads and writes until the connection is over.
 pub async fn serve(
@@ -29,62 +31,65 @@
     waited: Duration,
 ) {
     let _ = stream.get_ref().set_nodelay(true);
-    let mut listening = Listening {
+    let mut requests = RequestReader {
         clients: clients.clone(),
         reader: Reader::default(),
         arrivals: Arrivals::default(),
-        stood: Some(waited).filter(|_| has_more(&stream)),
-        begun: None,
-        stirred: false,
-        lost: false,
+        unread_since_accept: Some(waited).filter(|_| has_unread_bytes(&stream)),
+        request_start: None,
+        start_reported: false,
+        unparsable: false,
         stream: &stream,
     };
-    let read = |inbox: &mut Inbox| listening.read(&handle, client, &connection, inbox);
-    let written = |_| connection.line.look_again(connection.unread.get());
-    let stop = pump(&stream, &connection.line, Inbox::new(MOST_UNREAD), read, written).await;
+    let read = |buffer: &mut ReadBuffer| requests.read(&handle, client, &connection, buffer);
+    let written = |_| connection.control.recheck_if(connection.unread.get());
+    let reason =
+        run_connection(&stream, &connection.control, ReadBuffer::new(MOST_UNREAD), read, written).await;
     // What else has come was not read, and is its client's to send again: it stays unread.
-    if matches!(stop, Stop::Closed) && (listening.lost || connection.line.is_flooded()) {
-        linger(&stream, LINGER.0, LINGER.1).await;
+    if matches!(reason, CloseReason::ClosedLocally)
+        && (requests.unparsable || connection.control.has_overflowed())
+    {
+        linger(&stream, LINGER_LIMITS.0, LINGER_LIMITS.1).await;
     }
     // Before it is told: the last to leave may end the program.
     drop(stream);
-    clients.left(&handle, client);
+    clients.closed(&handle, client);
 }
 
-struct Listening<'a> {
+struct RequestReader<'a> {
     clients: Rc<Clients>,
     stream: &'a Stream,
     reader: Reader,
     arrivals: Arrivals,
     /// How long the first request may have stood there, where it had begun before its client was let in.
-    stood: Option<Duration>,
+    unread_since_accept: Option<Duration>,
     /// When the first byte came of the request that is being read.
-    begun: Option<Instant>,
+    request_start: Option<Instant>,
     /// A request has begun and was told of.
-    stirred: bool,
+    start_reported: bool,
     /// What comes can't be told apart any more.
-    lost: bool,
+    unparsable: bool,
 }
 
-impl Listening<'_> {
+impl RequestReader<'_> {
     fn read(
         &mut self,
         handle: &Handle,
         client: ClientId,
         connection: &Connection,
-        inbox: &mut Inbox,
+        buffer: &mut ReadBuffer,
     ) -> ControlFlow<()> {
-        self.note_arrivals(inbox);
+        self.record_arrivals(buffer);
         // One at a time: the next is looked at when this one's answer has been written.
         while connection.takes_request() {
-            let begun = self.begun.or(self.arrivals.oldest());
-            let event = match self.reader.read(inbox.unread()) {
+            let request_start = self.request_start.or(self.arrivals.oldest());
+            let event = match self.reader.read(buffer.unread()) {
                 Ok((used, message)) => {
-                    inbox.used(used);
-                    self.arrivals.used(used);
+                    buffer.consume(used);
+                    self.arrivals.consume(used);
                     let Some(message) = message else {
-                        self.begun = begun.filter(|_| self.reader.is_amid(inbox.unread()));
-                        self.tell_begun(handle, client);
+                        self.request_start = request_start.filter(|_| self.reader.is_amid(buffer.unread()));
+                        self.report_start(handle, client);
                         break;
                     };
                     if !message.keeps() {
@@ -93,33 +98,34 @@
                     self.event(client, &message)
                 }
                 Err(fault) => {
-                    self.lost = true;
+                    self.unparsable = true;
                     connection.is_last.set(true);
-                    Event::Misasked(client, blame(fault), true)
+                    Event::Misasked(client, parse_error(fault), true)
                 }
             };
             // It left while this waited to be read: nobody is there to be served, and its end comes next.
-            if take_rest(self.stream, &connection.line, inbox) {
+            if drain_socket(self.stream, &connection.control, buffer) {
                 break;
             }
-            self.note_arrivals(inbox);
-            self.begun = begun.filter(|at| at.elapsed() >= STOOD_LONG);
-            self.tell_begun(handle, client);
-            (self.begun, self.stirred) = (None, false);
+            self.record_arrivals(buffer);
+            self.request_start = request_start.filter(|at| at.elapsed() >= MIN_REPORTED_AGE);
+            self.report_start(handle, client);
+            (self.request_start, self.start_reported) = (None, false);
             connection.answering.set(true);
-            connection.unread.set(!inbox.unread().is_empty());
-            handle.feed(event);
+            connection.unread.set(!buffer.unread().is_empty());
+            handle.dispatch(event);
         }
-        let unread = !inbox.unread().is_empty();
+        let unread = !buffer.unread().is_empty();
         connection.unread.set(unread);
         // What was read is looked at once the answer before it is written: a request on its way when its client was
         // sent off has its answer first.
-        if connection.sent_off.get() && unread {
-            connection.line.seal();
+        if connection.draining.get() && unread {
+            connection.control.stop_reading();
         }
-        let looked_at = !connection.answering.get() && (!unread || connection.line.outbox.is_empty());
-        if connection.sent_off.get() && looked_at {
-            connection.line.dismiss();
+        let all_examined =
+            !connection.answering.get() && (!unread || connection.control.write_queue.is_empty());
+        if connection.draining.get() && all_examined {
+            connection.control.close_promptly();
         }
         ControlFlow::Continue(())
     }
@@ -129,40 +135,40 @@
             Ok(Question::Query(request)) => Event::Queried(client, request),
             Ok(Question::Scan(ask)) => Event::Asked(client, ask),
             Ok(Question::Health) => Event::HealthAsked(client),
-            Ok(Question::Figures) if self.may_read_figures() => Event::FiguresAsked(client),
+            Ok(Question::Figures) if self.may_read_metrics() => Event::FiguresAsked(client),
             // As if there were nothing of that name.
             Ok(Question::Figures) => Event::Misasked(client, Blame::Method, false),
-            Err(blame) => Event::Misasked(client, blame, false),
+            Err(parse_error) => Event::Misasked(client, parse_error, false),
         }
     }
 
     /// Notes when the bytes came that were not there before.
-    fn note_arrivals(&mut self, inbox: &Inbox) {
-        let unread = inbox.unread().len();
-        let stood = if unread > 0 { self.stood.take() } else { None };
+    fn record_arrivals(&mut self, buffer: &ReadBuffer) {
+        let unread = buffer.unread().len();
+        let unread_since_accept = if unread > 0 { self.unread_since_accept.take() } else { None };
         let now = Instant::now();
-        self.arrivals.note(unread, now.checked_sub(stood.unwrap_or_default()).unwrap_or(now));
+        self.arrivals.record(unread, now.checked_sub(unread_since_accept.unwrap_or_default()).unwrap_or(now));
     }
 
     /// Tells once of the request that has begun, and since when it has stood there.
-    fn tell_begun(&mut self, handle: &Handle, client: ClientId) {
-        let Some(begun) = self.begun.filter(|_| !self.stirred) else { return };
-        self.stirred = true;
-        handle.feed(Event::Stirred(client, Span::of_micros(begun.elapsed().as_micros() as u64)));
+    fn report_start(&mut self, handle: &Handle, client: ClientId) {
+        let Some(request_start) = self.request_start.filter(|_| !self.start_reported) else { return };
+        self.start_reported = true;
+        handle.dispatch(Event::Stirred(client, Span::of_micros(request_start.elapsed().as_micros() as u64)));
     }
 
-    fn may_read_figures(&self) -> bool {
+    fn may_read_metrics(&self) -> bool {
         let from = self.stream.get_ref().peer_addr();
-        from.is_ok_and(|from| self.clients.may_read_figures(from.ip()))
+        from.is_ok_and(|from| self.clients.may_read_metrics(from.ip()))
     }
 }
 
 /// Whether bytes have come that were not taken from the system.
-fn has_more(stream: &Stream) -> bool {
-    matches!(uninterrupted(|| stream.get_ref().peek(&mut [0])), Ok(1..))
+fn has_unread_bytes(stream: &Stream) -> bool {
+    matches!(retry_interrupted(|| stream.get_ref().peek(&mut [0])), Ok(1..))
 }
 
-fn blame(fault: Fault) -> Blame {
+fn parse_error(fault: Fault) -> Blame {
     match fault {
         Fault::Malformed(what) => Blame::Request(what.into()),
         Fault::HeadTooLong => Blame::HeadTooLong,
--- a/crates/mixer/src/program/signals.rs
+++ b/crates/mixer/src/program/signals.rs
@@ -5,7 +5,7 @@
 //! the flags are looked at, and that is bounded by [`CHECK_EVERY`]. Guards against writes in a handler that fail, which
 //! nobody is told of: a signal that went as bytes was lost with them. Hurts an idle mixer by ten looks a second.
 
-use crate::transport::{sleep, uninterrupted, Direction, Socket};
+use crate::transport::{retry_interrupted, sleep, Direction, Socket};
 use futures_lite::future;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::{flag, low_level::pipe};
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// How long a signal whose wake was lost waits at the most.
-const CHECK_EVERY: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The signals that are taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,27 +41,27 @@
 /// Signals that have come and were not taken yet.
 pub struct Signals {
     pending: Vec<(Signal, Arc<AtomicBool>)>,
-    wakes: Socket<UnixStream>,
+    wake_receiver: Socket<UnixStream>,
     /// An error of the wakes was logged; further ones are not.
-    failed: bool,
+    error_logged: bool,
 }
 
 impl Signals {
     /// From now on the signals do not end the process.
     pub fn new() -> io::Result<Self> {
-        let (wakes, wake) = UnixStream::pair()?;
-        uninterrupted(|| wakes.set_nonblocking(true))?;
+        let (wake_receiver, wake) = UnixStream::pair()?;
+        retry_interrupted(|| wake_receiver.set_nonblocking(true))?;
         // All that may fail for a moment comes before the first handler.
         let senders: Vec<_> = Signal::ALL.iter().map(|_| wake.try_clone()).collect::<io::Result<_>>()?;
         let mut pending = Vec::new();
         for (signal, sender) in Signal::ALL.into_iter().zip(senders) {
-            let came = Arc::new(AtomicBool::new(false));
+            let raised = Arc::new(AtomicBool::new(false));
             // Handlers run in this order: the flag is set before the wake.
-            flag::register(signal.number(), came.clone())?;
+            flag::register(signal.number(), raised.clone())?;
             pipe::register(signal.number(), sender)?;
-            pending.push((signal, came));
+            pending.push((signal, raised));
         }
-        Ok(Self { pending, wakes: Socket::new(wakes), failed: false })
+        Ok(Self { pending, wake_receiver: Socket::new(wake_receiver), error_logged: false })
     }
 
     /// The next signal. One that came several times before it was taken is taken once.
@@ -70,36 +70,36 @@
             if let Some(signal) = self.take() {
                 return signal;
             }
-            if let Err(error) = self.woken().await {
-                self.note(&error);
+            if let Err(error) = self.wait_for_wake().await {
+                self.log_error_once(&error);
                 // The wakes may stay readable: waiting for them at once would not wait.
-                sleep(CHECK_EVERY).await;
+                sleep(CHECK_INTERVAL).await;
             }
         }
     }
 
     /// Waits for a wake, and no longer than until the flags are to be looked at anyhow.
-    async fn woken(&self) -> io::Result<()> {
+    async fn wait_for_wake(&self) -> io::Result<()> {
         let wake = async {
-            let read = |mut socket: &UnixStream| uninterrupted(|| socket.read(&mut [0; 64]));
-            self.wakes.when_ready(Direction::Read, read).await.map(drop)
+            let read = |mut socket: &UnixStream| retry_interrupted(|| socket.read(&mut [0; 64]));
+            self.wake_receiver.when_ready(Direction::Read, read).await.map(drop)
         };
         let check = async {
-            sleep(CHECK_EVERY).await;
+            sleep(CHECK_INTERVAL).await;
             Ok(())
         };
         future::or(wake, check).await
     }
 
     fn take(&self) -> Option<Signal> {
-        let came = self.pending.iter().find(|(_, came)| came.swap(false, Ordering::SeqCst));
-        came.map(|(signal, _)| *signal)
+        let raised = self.pending.iter().find(|(_, raised)| raised.swap(false, Ordering::SeqCst));
+        raised.map(|(signal, _)| *signal)
     }
 
-    fn note(&mut self, error: &io::Error) {
-        let odd = error.kind() != io::ErrorKind::WouldBlock;
-        if odd && !std::mem::replace(&mut self.failed, true) {
-            log::warn!("wakes of signals fail, which are looked for {CHECK_EVERY:?} apart now: {error}");
+    fn log_error_once(&mut self, error: &io::Error) {
+        let unexpected = error.kind() != io::ErrorKind::WouldBlock;
+        if unexpected && !std::mem::replace(&mut self.error_logged, true) {
+            log::warn!("signal wake-ups fail, signals are now polled every {CHECK_INTERVAL:?}: {error}");
         }
     }
 }
--- a/crates/mixer/src/transport/mod.rs
+++ b/crates/mixer/src/transport/mod.rs
@@ -1,20 +1,22 @@
 //! Byte streams over TCP: accept and dial, one buffer a connection for what comes, one bounded queue for what
 //! goes. Nothing here knows what the bytes mean.
 
-mod bell;
-mod inbox;
+mod connection;
 mod net;
-mod outbox;
-mod pump;
+mod notify;
 mod reactor;
+mod read_buffer;
 mod socket;
 mod system;
+mod write_queue;
 
-pub use bell::Bell;
-pub use inbox::Inbox;
-pub use net::{accept, dial, in_time, is_local_fault, is_short, listen, Accepted, Reserve, Stream};
-pub use outbox::{Outbox, Written};
-pub use pump::{linger, pump, take_rest, Line, Stop};
+pub use connection::{drain_socket, linger, run_connection, CloseReason, ConnectionControl};
+pub use net::{
+    accept, dial, is_local_error, is_resource_shortage, listen, timeout, Accepted, ReserveDescriptor, Stream,
+};
+pub use notify::Notify;
 pub use reactor::{sleep, sleep_until, Direction, Reactor};
-pub use socket::{Socket, Wait};
-pub use system::{read, uninterrupted, write_all};
+pub use read_buffer::ReadBuffer;
+pub use socket::{RecheckBackoff, Socket};
+pub use system::{read, retry_interrupted, write_all};
+pub use write_queue::{WriteProgress, WriteQueue};
--- a/crates/mixer/src/transport/net.rs
+++ b/crates/mixer/src/transport/net.rs
@@ -1,8 +1,8 @@
 //! Sockets: listening, dialling, and which failures are a shortage of our own.
 
 use super::reactor::{sleep, Direction};
-use super::socket::{Socket, Wait};
-use super::uninterrupted;
+use super::retry_interrupted;
+use super::socket::{RecheckBackoff, Socket};
 use futures_lite::future;
 use rustix::io::Errno;
 use rustix::net::{AddressFamily, SocketFlags, SocketType};
@@ -16,12 +16,12 @@
 
 /// How many may stand outside; the system's own bound is below it. With the library's 128, a crowd that comes
 /// at once would have its connections, and those of others, dropped and tried again a second later.
-const OUTSIDE: i32 = 4096;
+const LISTEN_BACKLOG: i32 = 4096;
 
-pub fn listen(at: SocketAddr) -> io::Result<Socket<TcpListener>> {
-    let listener = TcpListener::bind(at)?;
-    uninterrupted(|| listener.set_nonblocking(true))?;
-    rustix::net::listen(&listener, OUTSIDE)?;
+pub fn listen(address: SocketAddr) -> io::Result<Socket<TcpListener>> {
+    let listener = TcpListener::bind(address)?;
+    retry_interrupted(|| listener.set_nonblocking(true))?;
+    rustix::net::listen(&listener, LISTEN_BACKLOG)?;
     Ok(Socket::new(listener))
 }
 
@@ -32,16 +32,16 @@
 }
 
 /// How many connections in a row may have ended before they were accepted; past that others have a turn.
-const MOST_PASSED_OVER: usize = 64;
+const MAX_ABORTED_ACCEPTS: usize = 64;
 
 /// The next that stands outside, if one does. What ended before it was accepted is passed over: Linux hands on the
 /// errors of a connection that it had taken in.
 pub fn accept(listener: &TcpListener) -> io::Result<Option<Accepted>> {
-    for _ in 0..MOST_PASSED_OVER {
-        match uninterrupted(|| accept_once(listener)) {
+    for _ in 0..MAX_ABORTED_ACCEPTS {
+        match retry_interrupted(|| accept_once(listener)) {
             Ok(accepted) => return Ok(Some(accepted)),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(None),
-            Err(error) if is_short(&error) => return Err(error),
+            Err(error) if is_resource_shortage(&error) => return Err(error),
             Err(error) => log::debug!("a connection ended before it was accepted: {error}"),
         }
     }
@@ -58,15 +58,15 @@
 }
 
 /// One descriptor held back for when there is none left: given up, it accepts one who would wait in vain.
-pub struct Reserve(Option<File>);
+pub struct ReserveDescriptor(Option<File>);
 
-impl Default for Reserve {
+impl Default for ReserveDescriptor {
     fn default() -> Self {
         Self(File::open("/dev/null").ok())
     }
 }
 
-impl Reserve {
+impl ReserveDescriptor {
     pub fn accept(&mut self, listener: &TcpListener) -> Option<Accepted> {
         drop(self.0.take()?);
         let accepted = accept(listener).ok().flatten();
@@ -83,20 +83,20 @@
 }
 
 /// What comes of it, if it does so within the time.
-pub async fn in_time<T>(within: Duration, what: impl Future<Output = T>) -> Option<T> {
-    let late = async {
-        sleep(within).await;
+pub async fn timeout<T>(limit: Duration, operation: impl Future<Output = T>) -> Option<T> {
+    let expired = async {
+        sleep(limit).await;
         None
     };
-    future::or(async { Some(what.await) }, late).await
+    future::or(async { Some(operation.await) }, expired).await
 }
 
 /// A connection that is up within the time, or `TimedOut`.
-pub async fn dial(to: SocketAddr, within: Duration) -> io::Result<Stream> {
-    let dialled = in_time(within, connect(to)).await;
-    let stream = dialled.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))?;
+pub async fn dial(to: SocketAddr, limit: Duration) -> io::Result<Stream> {
+    let connected = timeout(limit, connect(to)).await;
+    let stream = connected.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))?;
     // Without it small frames wait for each other, no more.
-    let _ = uninterrupted(|| stream.get_ref().set_nodelay(true));
+    let _ = retry_interrupted(|| stream.get_ref().set_nodelay(true));
     Ok(stream)
 }
 
@@ -108,21 +108,21 @@
         Ok(()) | Err(Errno::INPROGRESS) => {}
         Err(error) => return Err(error.into()),
     }
-    let (stream, mut wait) = (Socket::new(TcpStream::from(socket)), Wait::default());
+    let (stream, mut backoff) = (Socket::new(TcpStream::from(socket)), RecheckBackoff::default());
     loop {
-        stream.wait(Direction::Write, &mut wait).await;
-        if is_up(stream.get_ref())? {
+        stream.wait(Direction::Write, &mut backoff).await;
+        if is_connected(stream.get_ref())? {
             return Ok(stream);
         }
     }
 }
 
 /// An error where the connection attempt has failed.
-fn is_up(stream: &TcpStream) -> io::Result<bool> {
-    if let Some(error) = uninterrupted(|| stream.take_error())? {
+fn is_connected(stream: &TcpStream) -> io::Result<bool> {
+    if let Some(error) = retry_interrupted(|| stream.take_error())? {
         return Err(error);
     }
-    match uninterrupted(|| stream.peer_addr()) {
+    match retry_interrupted(|| stream.peer_addr()) {
         Ok(_) => Ok(true),
         Err(error) if error.kind() == io::ErrorKind::NotConnected => Ok(false),
         Err(error) => Err(error),
@@ -130,14 +130,14 @@
 }
 
 /// This machine is out of descriptors or buffers: it says nothing of the other side.
-pub fn is_short(error: &io::Error) -> bool {
+pub fn is_resource_shortage(error: &io::Error) -> bool {
     let errno = Errno::from_io_error(error);
     matches!(errno, Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
 }
 
 /// This machine could not even try to connect: no port or no route of its own, or a signal came in between.
-pub fn is_local_fault(error: &io::Error) -> bool {
+pub fn is_local_error(error: &io::Error) -> bool {
     let errno = Errno::from_io_error(error);
-    is_short(error)
+    is_resource_shortage(error)
         || matches!(errno, Some(Errno::ADDRNOTAVAIL | Errno::NETUNREACH | Errno::NETDOWN | Errno::INTR))
 }
--- a/crates/mixer/src/transport/bell.rs
+++ b/crates/mixer/src/transport/notify.rs
@@ -5,15 +5,15 @@
 use std::task::{Poll, Waker};
 
 #[derive(Default)]
-pub struct Bell {
-    rung: Cell<bool>,
-    waiting: RefCell<Option<Waker>>,
+pub struct Notify {
+    notified: Cell<bool>,
+    waiter: RefCell<Option<Waker>>,
 }
 
-impl Bell {
-    pub fn ring(&self) {
-        self.rung.set(true);
-        if let Some(waker) = self.waiting.take() {
+impl Notify {
+    pub fn notify(&self) {
+        self.notified.set(true);
+        if let Some(waker) = self.waiter.take() {
             waker.wake();
         }
     }
@@ -21,10 +21,10 @@
     /// Returns at once where it was rung since the last wait.
     pub async fn wait(&self) {
         poll_fn(|context| {
-            if self.rung.replace(false) {
+            if self.notified.replace(false) {
                 return Poll::Ready(());
             }
-            self.waiting.replace(Some(context.waker().clone()));
+            self.waiter.replace(Some(context.waker().clone()));
             Poll::Pending
         })
         .await;
--- a/crates/mixer/src/transport/reactor.rs
+++ b/crates/mixer/src/transport/reactor.rs
@@ -23,11 +23,11 @@
 use std::time::{Duration, Instant};
 
 /// Events taken from the system in one call.
-const EVENTS: usize = 256;
+const MAX_EVENTS_PER_WAIT: usize = 256;
 /// The longest single wait for events; nothing depends on it.
 const LONGEST_WAIT: Duration = Duration::from_secs(60);
 /// How long is slept where the wait for events itself fails: sockets are then looked at by time alone.
-const FAILED_WAIT: Duration = Duration::from_millis(5);
+const FAILED_WAIT_PAUSE: Duration = Duration::from_millis(5);
 
 thread_local! {
     static CURRENT: RefCell<Option<Rc<Reactor>>> = const { RefCell::new(None) };
@@ -128,7 +128,7 @@
     poller: OwnedFd,
     sources: RefCell<Slab<Rc<Source>>>,
     timers: RefCell<BTreeMap<TimerKey, Waker>>,
-    timers_made: Cell<u64>,
+    timers_created: Cell<u64>,
     events: RefCell<Vec<epoll::Event>>,
 }
 
@@ -138,8 +138,8 @@
             poller: epoll::create(epoll::CreateFlags::CLOEXEC)?,
             sources: RefCell::default(),
             timers: RefCell::default(),
-            timers_made: Cell::new(0),
-            events: RefCell::new(Vec::with_capacity(EVENTS)),
+            timers_created: Cell::new(0),
+            events: RefCell::new(Vec::with_capacity(MAX_EVENTS_PER_WAIT)),
         })
     }
 
@@ -185,7 +185,7 @@
         match epoll::wait(&self.poller, spare_capacity(&mut events), Some(&longest)) {
             Ok(_) => self.dispatch(&events),
             Err(rustix::io::Errno::INTR) => {}
-            Err(_) => thread::sleep(FAILED_WAIT),
+            Err(_) => thread::sleep(FAILED_WAIT_PAUSE),
         }
     }
 
@@ -209,8 +209,8 @@
     }
 
     fn insert_timer(&self, due: Instant, waker: Waker) -> TimerKey {
-        let number = self.timers_made.get() + 1;
-        self.timers_made.set(number);
+        let number = self.timers_created.get() + 1;
+        self.timers_created.set(number);
         self.timers.borrow_mut().insert((due, number), waker);
         (due, number)
     }
--- a/crates/mixer/src/transport/socket.rs
+++ b/crates/mixer/src/transport/socket.rs
@@ -41,22 +41,22 @@
         direction: Direction,
         mut call: impl FnMut(&T) -> io::Result<R>,
     ) -> io::Result<R> {
-        let mut wait = Wait::default();
+        let mut backoff = RecheckBackoff::default();
         loop {
             match call(&self.inner) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 done => return done,
             }
-            self.wait(direction, &mut wait).await;
+            self.wait(direction, &mut backoff).await;
         }
     }
 
     /// Returns when the call that would have blocked is to be made again.
-    pub async fn wait(&self, direction: Direction, wait: &mut Wait) {
+    pub async fn wait(&self, direction: Direction, backoff: &mut RecheckBackoff) {
         let Some(registration) = self.registration() else {
-            return sleep(wait.next(FIRST_UNREGISTERED_RECHECK, LONGEST_UNREGISTERED_RECHECK)).await;
+            return sleep(backoff.next(FIRST_UNREGISTERED_RECHECK, LONGEST_UNREGISTERED_RECHECK)).await;
         };
-        let recheck = wait.next(FIRST_RECHECK, LONGEST_RECHECK);
+        let recheck = backoff.next(FIRST_RECHECK, LONGEST_RECHECK);
         future::or(registration.ready(direction), sleep(recheck)).await;
     }
 
@@ -79,13 +79,13 @@
 
 /// How often one call has been waited for.
 #[derive(Default)]
-pub struct Wait(u32);
+pub struct RecheckBackoff(u32);
 
-impl Wait {
+impl RecheckBackoff {
     fn next(&mut self, first: Duration, longest: Duration) -> Duration {
-        let span = first.saturating_mul(1 << self.0.min(16));
+        let delay = first.saturating_mul(1 << self.0.min(16));
         self.0 = self.0.saturating_add(1);
-        span.min(longest)
+        delay.min(longest)
     }
 }
 
--- a/crates/mixer/src/transport/socket/tests.rs
+++ b/crates/mixer/src/transport/socket/tests.rs
@@ -21,7 +21,7 @@
 
 /// A socket that the poller never takes, as where it is out of memory: epoll refuses plain files.
 #[test]
-fn what_the_poller_refuses_is_looked_at_by_time() {
+fn a_socket_the_poller_refuses_is_rechecked_by_timer() {
     let socket = Socket::new(File::open("/proc/self/stat").unwrap());
     let (began, calls) = (Instant::now(), Cell::new(0));
     let call = blocks_until(began, Duration::from_millis(150), &calls);
@@ -36,7 +36,7 @@
 
 /// An event that is lost on the way.
 #[test]
-fn a_call_is_made_again_though_no_event_comes() {
+fn a_call_is_retried_when_its_event_is_lost() {
     let (here, _there) = UnixStream::pair().unwrap();
     let socket = Socket::new(here);
     let (began, calls) = (Instant::now(), Cell::new(0));
--- a/crates/mixer/src/transport/system.rs
+++ b/crates/mixer/src/transport/system.rs
@@ -2,19 +2,19 @@
 //! buffers. Neither says that anything was taken or given, so the call is simply made again.
 
 use super::reactor::{sleep, Direction};
-use super::{is_short, Stream};
+use super::{is_resource_shortage, Stream};
 use std::io::{self, Read, Write};
 use std::time::Duration;
 
 /// How often in a row a call is made again at once; past that others have a turn first.
-const INTERRUPTIONS: usize = 16;
+const MAX_INTERRUPTED_RETRIES: usize = 16;
 /// How long a shortage of buffers is waited out.
-const SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
+const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// Makes a call again as often as a signal interrupts it. One that is interrupted all the time is taken for one that
 /// would block.
-pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 0..INTERRUPTIONS {
+pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    for _ in 0..MAX_INTERRUPTED_RETRIES {
         match call() {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             done => return done,
@@ -26,8 +26,8 @@
 /// Bytes that have come, or none where the other side has ended its direction.
 pub async fn read(stream: &Stream, into: &mut [u8]) -> io::Result<usize> {
     loop {
-        match stream.when_ready(Direction::Read, |mut socket| uninterrupted(|| socket.read(into))).await {
-            Err(error) if is_short(&error) => sleep(SHORTAGE_PAUSE).await,
+        match stream.when_ready(Direction::Read, |mut socket| retry_interrupted(|| socket.read(into))).await {
+            Err(error) if is_resource_shortage(&error) => sleep(SHORTAGE_RETRY_DELAY).await,
             done => return done,
         }
     }
@@ -40,10 +40,10 @@
 ) -> io::Result<usize> {
     loop {
         match stream
-            .when_ready(Direction::Write, |mut socket| uninterrupted(|| write_once(&mut socket)))
+            .when_ready(Direction::Write, |mut socket| retry_interrupted(|| write_once(&mut socket)))
             .await
         {
-            Err(error) if is_short(&error) => sleep(SHORTAGE_PAUSE).await,
+            Err(error) if is_resource_shortage(&error) => sleep(SHORTAGE_RETRY_DELAY).await,
             done => return done,
         }
     }
