--- a/crates/mixer/src/main.rs
+++ b/crates/mixer/src/main.rs
@@ -1,4 +1,4 @@
-//! A fernglade mixer on sockets; every decision is in `fernglade::choice`.
+//! Runs a fernglade mixer on real sockets. All routing decisions are made in `fernglade::choice`.
 
 mod program;
 mod protocol;
@@ -10,12 +10,11 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// One mixer of a sharded search service, on sockets. The platform's orders come from the file that ROUTER_CONFIG
-/// names.
+/// One mixer of a sharded search service. Its configuration comes from the file that ROUTER_CONFIG names.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// The operator's own file (JSON5), read again on SIGHUP; without it all that it could switch on is off.
+    /// Operator's file (JSON5), reloaded on SIGHUP. Without it every optional feature is off.
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
 }
--- a/crates/mixer/src/program/accepting.rs
+++ b/crates/mixer/src/program/accepting.rs
@@ -1,4 +1,4 @@
-//! The listeners: whoever stands outside is accepted in batches, as long as the door is open.
+//! The listeners: pending connections are accepted in batches while the gate is open.
 
 use super::clients::Clients;
 use super::clock::duration;
@@ -17,56 +17,59 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How many are accepted before others have a turn: some hundred microseconds' work.
+/// Connections accepted before other tasks run: some hundred microseconds of work.
 const BATCH_SIZE: usize = 32;
-/// How long the backlog of a listener that is to be shut is looked after where accepts fail.
+/// How long a stopped listener's backlog is still drained while accepts fail.
 const BACKLOG_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
-/// Where not even the reserve accepts: long enough not to spin, short against any client's time.
+/// Pause when not even the reserve descriptor makes an accept succeed: long enough not to spin, short
+/// compared with any client's timeout.
 const SHORTAGE_PAUSE: Duration = Duration::from_millis(20);
-/// A shortage that lasts is told of once in so long.
+/// Minimum interval between warnings about a lasting shortage.
 const WARNING_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Whether clients are accepted by one listener.
+/// Controls whether one listener accepts clients.
 #[derive(Default)]
 pub struct AcceptGate {
-    full: Cell<bool>,
+    paused: Cell<bool>,
     stopped: Cell<bool>,
     changed: Notify,
 }
 
 impl AcceptGate {
+    /// Resumes or pauses accepting.
     pub fn set_open(&self, open: bool) {
-        self.full.set(!open);
+        self.paused.set(!open);
         self.changed.notify();
     }
 
+    /// Stops accepting for good; the backlog is drained after that.
     pub fn stop(&self) {
         self.stopped.set(true);
         self.changed.notify();
     }
 
-    /// Waits until somebody may stand outside, or the door is opened or shut.
+    /// Waits until a connection may be pending, or the state of the gate changes.
     async fn wait_for_connection(&self, listener: &Socket<TcpListener>) {
-        if self.full.get() {
+        if self.paused.get() {
             return self.changed.wait().await;
         }
         future::or(self.changed.wait(), listener.wait(Direction::Read, &mut RecheckBackoff::default())).await;
     }
 
     fn accepts(&self) -> bool {
-        !self.full.get() && !self.stopped.get()
+        !self.paused.get() && !self.stopped.get()
     }
 }
 
-/// What a batch of accepts leaves of the backlog.
+/// The state of the backlog after a batch of accepts.
 enum Backlog {
-    /// Nobody stands there who is to be let in now.
+    /// No connection is left that should be accepted now.
     Emptied,
-    /// Somebody may.
+    /// Further connections may be pending.
     MayHaveMore,
 }
 
-/// One listener, and what it meets.
+/// One listener with the state of its accept failures.
 struct Acceptor {
     clients: Rc<Clients>,
     handle: Handle,
@@ -76,8 +79,8 @@
     warned_at: Option<Instant>,
 }
 
-/// Accepts until the door is shut, then lets in who stands in the backlog, and closes the listener.
-pub async fn accept_all(clients: Rc<Clients>, handle: Handle, which: usize, listener: Socket<TcpListener>) {
+/// Accepts until the gate is stopped, then drains the backlog and closes the listener.
+pub async fn accept_all(clients: Rc<Clients>, handle: Handle, index: usize, listener: Socket<TcpListener>) {
     let mut acceptor = Acceptor {
         clients: clients.clone(),
         handle: handle.clone(),
@@ -86,7 +89,7 @@
         reserve: ReserveDescriptor::default(),
         warned_at: None,
     };
-    let gate = clients.gate(which);
+    let gate = clients.gate(index);
     while !gate.stopped.get() {
         match acceptor.batch(gate).await {
             Backlog::Emptied => gate.wait_for_connection(&acceptor.listener).await,
@@ -99,7 +102,7 @@
 }
 
 impl Acceptor {
-    /// Nobody is accepted where the door is not open.
+    /// Accepts up to [`BATCH_SIZE`] connections, none while the gate is not open.
     async fn batch(&mut self, gate: &AcceptGate) -> Backlog {
         for _ in 0..BATCH_SIZE {
             if !gate.accepts() {
@@ -117,7 +120,7 @@
         Backlog::MayHaveMore
     }
 
-    /// The system has taken in who stands outside: they are served, or told.
+    /// Accepts the connections that the kernel has already established, so that each is served or rejected.
     async fn drain_backlog(&mut self) {
         let began = Instant::now();
         loop {
@@ -142,10 +145,11 @@
         }
     }
 
-    /// Whoever is at the door hears that there is no room, rather than waiting for what may not come.
+    /// Rejects the next pending client at once, as it would otherwise wait for a descriptor that may never be
+    /// free.
     async fn reject_for_shortage(&mut self, error: &io::Error) {
         if self.warned_at.is_none_or(|warned_at| warned_at.elapsed() > WARNING_INTERVAL) {
-            log::warn!("no client can be let in: {error}");
+            log::warn!("cannot accept clients: {error}");
             self.warned_at = Some(Instant::now());
         }
         self.handle.dispatch(Event::Short);
--- a/crates/mixer/src/program/arrivals.rs
+++ b/crates/mixer/src/program/arrivals.rs
@@ -1,10 +1,11 @@
-//! When the bytes came that a client has sent and nobody has read: its time counts from then, however long they stood
-//! behind an earlier request of its own.
+//! Arrival times of a client's bytes that have not been parsed yet. A request's time counts from their
+//! arrival, however long they waited behind an earlier request on the same connection.
 
 use std::collections::VecDeque;
 use std::time::Instant;
 
-/// Batches kept apart; past that the latest ones are taken for as old as the one before, which tells less time.
+/// Batches with a time of their own; after that new bytes get the time of the latest batch, which overstates
+/// their age.
 const MAX_BATCHES: usize = 32;
 
 struct Batch {
@@ -12,7 +13,7 @@
     at: Instant,
 }
 
-/// Of one connection.
+/// Arrival times of one connection's unread bytes, oldest first.
 #[derive(Default)]
 pub struct Arrivals {
     batches: VecDeque<Batch>,
@@ -20,7 +21,7 @@
 }
 
 impl Arrivals {
-    /// So many bytes stand unread now; what is more than before came at `at`.
+    /// Records that `unread` bytes are now waiting; those beyond the previous count arrived at `at`.
     pub fn record(&mut self, unread: usize, at: Instant) {
         let received = unread.saturating_sub(self.unread);
         self.unread = self.unread.max(unread);
@@ -34,7 +35,7 @@
         }
     }
 
-    /// The oldest bytes were read.
+    /// Removes the oldest `count` bytes, which have been read.
     pub fn consume(&mut self, mut count: usize) {
         self.unread = self.unread.saturating_sub(count);
         while let Some(first) = self.batches.front_mut().filter(|_| count > 0) {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// When the oldest of what stands unread came.
+    /// When the oldest unread byte arrived.
     pub fn oldest(&self) -> Option<Instant> {
         self.batches.front().map(|batch| batch.at)
     }
--- a/crates/mixer/src/program/arrivals/tests.rs
+++ b/crates/mixer/src/program/arrivals/tests.rs
@@ -9,9 +9,9 @@
     arrivals.record(150, at(10));
     assert_eq!(arrivals.oldest(), Some(at(0)));
     arrivals.consume(100);
-    assert_eq!(arrivals.oldest(), Some(at(10)), "the second request stood no longer");
+    assert_eq!(arrivals.oldest(), Some(at(10)), "the second request arrived later");
     arrivals.record(50, at(20));
-    assert_eq!(arrivals.oldest(), Some(at(10)), "nothing new has come");
+    assert_eq!(arrivals.oldest(), Some(at(10)), "no new bytes have arrived");
     arrivals.consume(50);
     assert_eq!(arrivals.oldest(), None);
 }
--- a/crates/mixer/src/program/clients.rs
+++ b/crates/mixer/src/program/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: let in, read, and answered, one request at a time on each connection.
+//! Client connections: admission, reading and answering, one request at a time per connection.
 
 use super::accepting::AcceptGate;
 use super::handle::Handle;
@@ -16,29 +16,30 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// One answer.
+/// Enough for one answer.
 const MAX_QUEUED_BYTES: usize = MOST_BODY + 1024;
-/// Who asks for what makes no sense is heard again after this: at full speed it would take the time of others.
+/// Pause after an invalid request before the next is read: at full speed a client sending only such requests
+/// would take the time of others.
 const INVALID_REQUEST_DELAY: Duration = Duration::from_millis(100);
 
-/// All clients' connections: those that were accepted and have no place yet, those inside, and those that hear a
-/// refusal.
+/// All client connections: accepted ones awaiting admission, admitted ones, and those whose rejection is
+/// being delivered.
 pub struct Clients {
-    /// One for each address that is listened on.
+    /// One for each listening address.
     gates: Vec<AcceptGate>,
-    count: Cell<u64>,
+    last_id: Cell<u64>,
     pending: RefCell<BTreeMap<ClientId, (TcpStream, Instant)>>,
     admitted: RefCell<BTreeMap<ClientId, Rc<Connection>>>,
     rejections: Rejections,
-    /// When those refused last were to come back; for those refused where no descriptor is left.
+    /// The latest retry delay sent with a rejection; reused for clients rejected when no descriptor is left.
     retry_after: Cell<Span>,
-    /// Indices of the query dialect; it is not spoken where there are none.
+    /// Indices of the query dialect; the dialect is off if there are none.
     indices: BTreeSet<String>,
     identity: Rc<Identity>,
 }
 
 impl Clients {
-    /// So many may stand half closed until they have fetched their refusal.
+    /// `max_rejections` bounds the half-closed connections whose rejection has not been read yet.
     pub fn new(
         listeners: usize,
         max_rejections: usize,
@@ -49,7 +50,7 @@
             indices,
             identity,
             gates: (0..listeners).map(|_| AcceptGate::default()).collect(),
-            count: Cell::new(0),
+            last_id: Cell::new(0),
             pending: RefCell::default(),
             admitted: RefCell::default(),
             rejections: Rejections::new(max_rejections),
@@ -57,59 +58,67 @@
         }
     }
 
+    /// The gate of one listener, by its index.
     pub fn gate(&self, listener: usize) -> &AcceptGate {
         &self.gates[listener]
     }
 
+    /// The rejections under way.
     pub fn rejections(&self) -> &Rejections {
         &self.rejections
     }
 
+    /// The latest retry delay sent with a rejection.
     pub fn retry_after(&self) -> Span {
         self.retry_after.get()
     }
 
+    /// The indices of the query dialect.
     pub fn indices(&self) -> &BTreeSet<String> {
         &self.indices
     }
 
+    /// Whether metrics may be sent to this address.
     pub fn may_read_metrics(&self, from: std::net::IpAddr) -> bool {
         self.identity.may_read_metrics(from)
     }
 
-    /// A connection was accepted: it waits until the house has a place for it, or none.
+    /// Registers an accepted connection, which waits for the decision whether to admit it.
     pub fn accepted(&self, handle: &Handle, accepted: Accepted) {
-        self.count.set(self.count.get() + 1);
-        let client = ClientId(self.count.get());
+        self.last_id.set(self.last_id.get() + 1);
+        let client = ClientId(self.last_id.get());
         self.pending.borrow_mut().insert(client, (accepted.stream, Instant::now()));
         handle.dispatch(Event::Knocked(client, accepted.from));
     }
 
-    /// A connection is over, its descriptor free.
+    /// Removes a connection that has ended and whose descriptor is closed.
     pub fn closed(&self, handle: &Handle, client: ClientId) {
         self.admitted.borrow_mut().remove(&client);
         handle.dispatch(Event::ClientGone(client));
     }
 
+    /// Resumes or pauses accepting on all listeners.
     pub fn set_accepting(&self, open: bool) {
         self.gates.iter().for_each(|gate| gate.set_open(open));
     }
 
+    /// Stops all listeners.
     pub fn stop_listening(&self) {
         self.gates.iter().for_each(AcceptGate::stop);
     }
 
-    /// Lets in one that waits on the porch.
+    /// Admits a pending connection.
     pub fn admit(self: &Rc<Self>, handle: &Handle, client: ClientId) {
         let waited = self.pending.borrow_mut().remove(&client);
         let Some((stream, since)) = waited else { return handle.dispatch(Event::ClientGone(client)) };
-        // Inside from now on: it may be sent off before its task has run once.
+        // Registered before its task first runs, since it may be drained before that.
         let connection = Rc::new(Connection::new());
         self.admitted.borrow_mut().insert(client, connection.clone());
         let stream = Socket::new(stream);
         handle.spawn(serve(self.clone(), handle.clone(), client, stream, connection, since.elapsed()));
     }
 
+    /// Rejects a pending connection and asks its client to retry after `pause`.
     pub fn reject(&self, client: ClientId, pause: Span) {
         self.retry_after.set(pause);
         if let Some((stream, _)) = self.pending.borrow_mut().remove(&client) {
@@ -117,10 +126,12 @@
         }
     }
 
+    /// Closes a connection once the requests already received on it are answered.
     pub fn drain(&self, client: ClientId) {
         self.with(client, |connection| connection.drain());
     }
 
+    /// Encodes and queues the reply to the current request.
     pub fn reply(&self, handle: &Handle, client: ClientId, reply: &Reply, last: bool) {
         self.with(client, |connection| {
             let last = connection.is_final_answer(last);
@@ -150,16 +161,18 @@
     }
 }
 
-/// One client's connection, as others see it.
+/// The state of one client's connection that is shared between its task and the hub.
 pub struct Connection {
+    /// Writes to the connection and closes it.
     pub control: ConnectionControl,
     /// A request is being answered.
     pub answering: Cell<bool>,
-    /// The client wants no more than this answer.
+    /// The connection ends with the answer to the current request, as the client asked or because its input
+    /// cannot be parsed.
     pub is_last: Cell<bool>,
-    /// It is to go, once what has come from it is answered.
+    /// The connection is to be closed once the requests already received are answered.
     pub draining: Cell<bool>,
-    /// More was read than the request that is being answered.
+    /// More input was read than the request that is being answered.
     pub unread: Cell<bool>,
 }
 
@@ -175,7 +188,7 @@
         }
     }
 
-    /// Whether the next request may be looked at: the one before it is answered, and its answer written.
+    /// Whether the next request may be parsed: the one before it is answered, and that answer written.
     pub fn takes_request(&self) -> bool {
         let control = &self.control;
         !control.is_closing()
@@ -184,7 +197,7 @@
             && control.write_queue.is_empty()
     }
 
-    /// Whether the connection ends with the answer that is given now. One that is sent off stays until all that was
+    /// Whether the connection ends with the current answer. A draining connection stays open until everything
     /// read from it is answered.
     fn is_final_answer(&self, draining: bool) -> bool {
         if self.is_last.get() || self.control.has_overflowed() {
@@ -212,7 +225,7 @@
         self.control.recheck.notify();
     }
 
-    /// The same for one who asked for what makes no sense, and may ask on.
+    /// Answers an invalid request, and delays the next one if the client may send more.
     async fn answer_invalid(self: Rc<Self>, bytes: Vec<u8>) {
         if !self.control.write_queue.push(0, bytes) {
             self.control.close();
--- a/crates/mixer/src/program/clients/tests.rs
+++ b/crates/mixer/src/program/clients/tests.rs
@@ -5,7 +5,7 @@
 use std::io::{Read, Write};
 use std::net::TcpListener;
 
-/// A client, and its connection on the pending.
+/// A client, and its accepted connection awaiting admission.
 fn pending() -> (Rc<Clients>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -24,28 +24,29 @@
     let handle = Handle::new(executor.clone(), on_event);
     clients.admit(&handle, ClientId(7));
     clients.drain(ClientId(7));
-    let over = async {
+    let finished = async {
         while !gone.get() {
             future::yield_now().await;
         }
     };
-    Reactor::new().unwrap().block_on(executor.run(over));
+    Reactor::new().unwrap().block_on(executor.run(finished));
     assert_eq!(client.read(&mut [0]).unwrap(), 0);
 }
 
-/// The program's end would reset a connection on which something came after its refusal, and the refusal with it.
+/// The end of the process would reset a connection that received input after its rejection, and destroy the
+/// rejection.
 #[test]
 fn shutdown_waits_until_rejections_are_delivered() {
-    let ((clients, mut client), over) = (pending(), Cell::new(false));
+    let ((clients, mut client), finished) = (pending(), Cell::new(false));
     clients.reject(ClientId(7), Span::ZERO);
     let shutdown = async {
         clients.rejections().all_delivered().await;
-        over.set(true);
+        finished.set(true);
     };
     let client_reads = async {
         client.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
         sleep(Duration::from_millis(15)).await;
-        assert!(!over.get(), "nobody has fetched it");
+        assert!(!finished.get(), "the rejection has not been read");
         let mut response = String::new();
         client.read_to_string(&mut response).unwrap();
         assert!(response.starts_with("HTTP/1.1 503 "), "{response}");
@@ -55,5 +56,5 @@
         future::zip(shutdown, client_reads).await;
     };
     Reactor::new().unwrap().block_on(future::or(both, clients.rejections().run()));
-    assert!(over.get());
+    assert!(finished.get());
 }
--- a/crates/mixer/src/program/config.rs
+++ b/crates/mixer/src/program/config.rs
@@ -1,4 +1,4 @@
-//! What the mixer is told at its start: the environment, and the file that it names.
+//! The mixer's configuration, from environment variables and the files that they and the command line name.
 
 use super::startup::retry_transient;
 use crate::protocol::json::Json;
@@ -11,58 +11,66 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// More than any list of searchers needs; a wrong path may name anything.
+/// More than any list of searchers needs; guards against a path that names some other large file.
 const MAX_FILE_BYTES: u64 = 8 * 1024 * 1024;
 
+/// The configuration that a mixer starts from.
 pub struct Config {
+    /// This mixer's name.
     pub name: String,
+    /// The address on which clients are served.
     pub listen: SocketAddr,
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
+    /// The seed of every random choice.
     pub seed: u64,
+    /// How the file descriptors are shared out.
     pub descriptors: Descriptors,
-    /// What the operator's own file says; nothing where none is named.
+    /// The operator's file; empty if none is named.
     pub operator: Operator,
-    /// The digest of the text that it was read from.
+    /// The digest of the text of the operator's file.
     pub settings: String,
-    /// Where that file is.
+    /// The path of the operator's file.
     pub operator_file: Option<PathBuf>,
+    /// The list of searchers known at start.
     pub known: News,
+    /// The routing settings as flattened pairs of path and value.
     pub readings: Readings,
 }
 
 impl Config {
-    /// From `ROUTER_CONFIG` and, where they are set, the other variables, which are read one by one; and from the
-    /// operator's file, if there is one. Whole or not at all.
+    /// Reads the file that `ROUTER_CONFIG` names, the other variables, which override it one by one, and the
+    /// operator's file, if there is one. Any error rejects the whole configuration.
     ///
-    /// At the start: files that can't be had for a moment are tried for again.
+    /// For use at start: files that are unavailable for a moment are retried.
     pub fn read(operator: Option<&Path>, variable: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
         Self::read_with(&|path| retry_transient(|| read_file(path)), operator, variable)
     }
 
-    /// The same, with files read by `contents`.
+    /// The same, with files read by `read_bytes`.
     fn read_with(
-        read_file: &dyn Fn(&Path) -> io::Result<Vec<u8>>,
+        read_bytes: &dyn Fn(&Path) -> io::Result<Vec<u8>>,
         operator: Option<&Path>,
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, String> {
-        let read_file = |path: &Path| read_file(path).map_err(|error| error.to_string());
+        let read_file = |path: &Path| read_bytes(path).map_err(|error| error.to_string());
         let path = variable("ROUTER_CONFIG")
-            .ok_or("ROUTER_CONFIG is not set: it names the JSON file to start from")?;
+            .ok_or("ROUTER_CONFIG is not set; it must name the JSON configuration file")?;
         let within = |error: String| format!("{path}: {error}");
         let json = Json::parse(&read_file(Path::new(&path)).map_err(within)?).map_err(within)?;
         let mut config = Self::from_json(&json, variable).map_err(within)?;
         if let Some(file) = operator {
-            let read = read_file(file)
+            let parsed = read_file(file)
                 .and_then(parse_operator_file)
                 .map_err(|error| format!("{}: {error}", file.display()))?;
-            (config.operator, config.settings) = read;
+            (config.operator, config.settings) = parsed;
             config.operator_file = Some(file.into());
         }
         Ok(config)
     }
 
-    /// The file once more, after it was replaced. Its word on discovery now stands above the environment's,
-    /// which is as old as the program.
+    /// Reads the files again after they were replaced. The file's discovery address now takes precedence over
+    /// the environment's, which is as old as the process.
     pub fn reload(operator: Option<&Path>) -> Result<Self, String> {
         Self::read_with(&read_file, operator, |name| {
             std::env::var(name).ok().filter(|_| name != "ROUTER_DISCOVERY")
@@ -73,23 +81,23 @@
         let text = |name: &str, variable_name: &str| {
             let given =
                 variable(variable_name).or_else(|| json.get(name).and_then(Json::text).map(String::from));
-            given.ok_or_else(|| format!("no {name}, and {variable_name} is not set"))
+            given.ok_or_else(|| format!("{name} is missing and {variable_name} is not set"))
         };
         let address = |name: &str, variable_name: &str| {
             let given = text(name, variable_name)?;
-            given.parse::<SocketAddr>().map_err(|_| format!("{name} is no address and port: {given:.60}"))
+            given.parse::<SocketAddr>().map_err(|_| format!("{name} is not an address and port: {given:.60}"))
         };
         let seed = json.get("seed").and_then(Json::text).and_then(|seed| u64::from_str_radix(seed, 16).ok());
         let sockets = json.get("limits").and_then(|limits| limits.get("sockets")).and_then(Json::whole);
         let known = json.get("known").map_or(Ok(News::default()), news);
         let settings = json.get("settings").filter(|settings| matches!(settings, Json::Object(_)));
         let mut pairs = BTreeMap::new();
-        flatten(settings.ok_or("no settings")?, String::new(), &mut pairs);
+        flatten(settings.ok_or("settings is missing or not an object")?, String::new(), &mut pairs);
         Ok(Self {
             name: text("name", "ROUTER_NAME")?,
             listen: address("listen", "ROUTER_LISTEN")?,
             discovery: address("discovery", "ROUTER_DISCOVERY")?,
-            seed: seed.ok_or("seed is not a text of hex digits")?,
+            seed: seed.ok_or("seed is not a string of hex digits")?,
             descriptors: plan_descriptors(sockets.unwrap_or(1024) as usize, descriptor_limit())?,
             operator: Operator::default(),
             settings: digest(None),
@@ -103,35 +111,35 @@
 fn read_file(path: &Path) -> io::Result<Vec<u8>> {
     let file = std::fs::metadata(path)?;
     if !file.is_file() || file.len() > MAX_FILE_BYTES {
-        return Err(io::Error::other(format!("no file of at most {MAX_FILE_BYTES} bytes")));
+        return Err(io::Error::other(format!("not a file of at most {MAX_FILE_BYTES} bytes")));
     }
     std::fs::read(path)
 }
 
 fn parse_operator_file(file: Vec<u8>) -> Result<(Operator, String), String> {
-    let text = String::from_utf8(file).map_err(|_| "no UTF-8 text")?;
-    let operator = Operator::read(&text).map_err(|wrong| wrong.to_string())?;
+    let text = String::from_utf8(file).map_err(|_| "not UTF-8 text")?;
+    let operator = Operator::read(&text).map_err(|error| error.to_string())?;
     Ok((operator, digest(Some(text.as_bytes()))))
 }
 
-/// How many descriptors the system lets this process have.
+/// The number of descriptors that the system allows this process.
 fn descriptor_limit() -> Option<usize> {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile);
     limit.current.and_then(|most| usize::try_from(most).ok())
 }
 
-/// What is stated too low is a mistake in the orders; what the system allows is taken as it is.
-fn plan_descriptors(stated: usize, descriptor_limit: Option<usize>) -> Result<Descriptors, String> {
+/// A stated limit that is too low is a configuration error; the system's limit is taken as it is.
+fn plan_descriptors(stated: usize, limit: Option<usize>) -> Result<Descriptors, String> {
     if stated < 64 {
-        return Err(format!("limits.sockets: {stated} is too few, 64 are needed"));
+        return Err(format!("limits.sockets: {stated} is too low, at least 64 are needed"));
     }
-    Descriptors::plan(stated, descriptor_limit).ok_or_else(|| {
-        format!("the system allows {} descriptors, too few to serve", descriptor_limit.unwrap_or(0))
+    Descriptors::plan(stated, limit).ok_or_else(|| {
+        format!("the system allows only {} descriptors, too few to serve requests", limit.unwrap_or(0))
     })
 }
 
-/// Nested JSON as `path=value` lines have it: lists of plain values joined by commas, lists of objects with
-/// their length under `.count`.
+/// Flattens nested JSON to `path=value` pairs: lists of plain values are joined by commas, and lists of
+/// objects have their length under `.count`.
 fn flatten(json: &Json, path: String, into: &mut BTreeMap<String, String>) {
     let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
     match json {
--- a/crates/mixer/src/program/config/tests.rs
+++ b/crates/mixer/src/program/config/tests.rs
@@ -20,12 +20,12 @@
     assert!(config.descriptors.sum() <= 1024);
 }
 
-#[test_case("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":7", "seed is not a text of hex digits")]
-#[test_case("127.0.0.4:8443", "here", "listen is no address and port: here")]
-#[test_case("\"name\":\"n3\",", "", "no name, and ROUTER_NAME is not set")]
-#[test_case("\"sockets\":1024", "\"sockets\":3", "limits.sockets: 3 is too few, 64 are needed")]
+#[test_case("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":7", "seed is not a string of hex digits")]
+#[test_case("127.0.0.4:8443", "here", "listen is not an address and port: here")]
+#[test_case("\"name\":\"n3\",", "", "name is missing and ROUTER_NAME is not set")]
+#[test_case("\"sockets\":1024", "\"sockets\":3", "limits.sockets: 3 is too low, at least 64 are needed")]
 #[test_case("\"generation\":41,", "", "known: no generation")]
-#[test_case("settings\":{", "other\":{", "no settings")]
+#[test_case("settings\":{", "other\":{", "settings is missing or not an object")]
 fn errors_name_the_invalid_field(from: &str, to: &str, message: &str) {
     assert_eq!(read(&CONFIG.replace(from, to)).err(), Some(message.into()));
 }
--- a/crates/mixer/src/program/handle.rs
+++ b/crates/mixer/src/program/handle.rs
@@ -1,11 +1,12 @@
-//! What a task is given of the program: a way to tell what has happened, and to start a further task. Tasks know
-//! nothing of each other, nor of the hub, which alone maps effects to them.
+//! The interface of the program to its tasks: dispatching an event and spawning a further task. Tasks know
+//! nothing of each other or of the hub, which alone maps effects to them.
 
 use crate::routing::Event;
 use async_executor::LocalExecutor;
 use std::future::Future;
 use std::rc::Rc;
 
+/// Given to each task to dispatch events and spawn tasks.
 #[derive(Clone)]
 pub struct Handle {
     executor: Rc<LocalExecutor<'static>>,
@@ -13,16 +14,18 @@
 }
 
 impl Handle {
+    /// A handle that passes each event to `dispatch`.
     pub fn new(executor: Rc<LocalExecutor<'static>>, dispatch: impl Fn(Event) + 'static) -> Self {
         Self { executor, dispatch: Rc::new(dispatch) }
     }
 
-    /// Tells what has happened. What follows from it is done before this returns, unless it is told amid the
-    /// doing of another event: then once that is through.
+    /// Dispatches an event. Its effects are carried out before this returns, except when called while another
+    /// event is being processed: then they follow that event's.
     pub fn dispatch(&self, event: Event) {
         (self.dispatch)(event);
     }
 
+    /// Spawns a detached task.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
--- a/crates/mixer/src/program/hub.rs
+++ b/crates/mixer/src/program/hub.rs
@@ -1,4 +1,5 @@
-//! The wiring: events of all tasks go to the state machine one after another, and its effects to the tasks.
+//! Connects the tasks to the routing state machine: events are processed one after another, and the resulting
+//! effects are carried out by the tasks.
 
 use super::accepting::accept_all;
 use super::clients::Clients;
@@ -34,7 +35,7 @@
     shutdown: Notify,
 }
 
-/// Serves until it is told to stop and all is done.
+/// Serves until asked to stop and every request is answered.
 pub fn run(config: Config) -> Result<(), String> {
     let executor = Rc::new(LocalExecutor::new());
     let reactor =
@@ -55,9 +56,10 @@
         let listener = retry_transient(|| listen(*at));
         listeners.push(listener.map_err(|error| format!("cannot listen on {at}: {error}"))?);
     }
-    let signals = retry_transient(Signals::new).map_err(|error| format!("cannot take signals: {error}"))?;
+    let signals =
+        retry_transient(Signals::new).map_err(|error| format!("cannot set up signal handling: {error}"))?;
     let identity = Rc::new(Identity::new(&config));
-    let identity_of_clients = identity.clone();
+    let clients_identity = identity.clone();
     let hub = Rc::new_cyclic(|hub: &std::rc::Weak<Hub>| {
         let hub = hub.clone();
         let dispatch = move |event| {
@@ -71,7 +73,7 @@
             dispatching: Cell::new(false),
             clock,
             handle: Handle::new(executor, dispatch),
-            clients: Rc::new(Clients::new(at.len(), config.descriptors.told, indices, identity_of_clients)),
+            clients: Rc::new(Clients::new(at.len(), config.descriptors.told, indices, clients_identity)),
             links: Rc::default(),
             watch: Rc::default(),
             timer: Cell::new(None),
@@ -79,7 +81,12 @@
             shutdown: Notify::default(),
         }
     });
-    log::info!("{} listens on {}, {} searchers known", config.name, config.listen, config.known.rows.len());
+    log::info!(
+        "{} listening on {}, {} searchers in its initial list",
+        config.name,
+        config.listen,
+        config.known.rows.len()
+    );
     initial_effects.into_iter().for_each(|effect| hub.execute(effect));
     let handle = &hub.handle;
     for (index, listener) in listeners.into_iter().enumerate() {
@@ -92,11 +99,11 @@
     handle.spawn(handle_signals(handle.clone(), signals, config.operator_file, identity));
     hub.shutdown.wait().await;
     hub.clients.rejections().all_delivered().await;
-    log::info!("{}: all is answered, the program ends", config.name);
+    log::info!("{}: all requests answered, exiting", config.name);
     Ok(())
 }
 
-/// Rings when the alarm that was asked for last is due.
+/// Dispatches `TimeCame` when the most recently requested timer is due.
 async fn run_timer(hub: Rc<Hub>) {
     loop {
         let due = async {
@@ -117,14 +124,14 @@
     }
 }
 
-/// When a configuration that could not be used is read again without a further signal: it may be in the midst of being
-/// replaced, and an old discovery goes 1.5 s after the signal.
+/// Delays before a configuration that could not be used is read again without a further signal: it may be in
+/// the middle of being replaced, and an old discovery address goes away 1.5 s after the signal.
 const RELOAD_RETRY_DELAYS_MS: [u64; 4] = [100, 200, 400, 700];
 
-/// What there is to do next of signals.
+/// What the signal handling task does next.
 enum SignalAction {
     Signal(Signal),
-    /// The configuration could not be used, and is to be read again.
+    /// Retry a configuration that could not be used.
     Retry,
 }
 
@@ -147,14 +154,14 @@
                 }
             }
             SignalAction::Signal(signal) => {
-                log::info!("told to stop by {signal:?}");
+                log::info!("stopping on signal {signal:?}");
                 handle.dispatch(Event::StopAsked);
             }
         }
     }
 }
 
-/// The next signal, or the next retry where it is due sooner.
+/// The next signal, or the next retry if it is due sooner.
 async fn next_action(signals: &mut Signals, retries: &mut std::slice::Iter<'_, u64>) -> SignalAction {
     let retry = async {
         match retries.next() {
@@ -167,28 +174,28 @@
     future::or(signal, retry).await
 }
 
-/// A file that can't be used leaves all as it is; false for that.
+/// Reloads the configuration. Returns false if it cannot be used, in which case nothing changes.
 fn reload(handle: &Handle, operator: Option<&Path>, identity: &Identity) -> bool {
     match Config::reload(operator) {
         Ok(config) => {
-            log::info!("orders read again, discovery is at {}", config.discovery);
+            log::info!("configuration reloaded, discovery at {}", config.discovery);
             handle.dispatch(Event::Moved(config.discovery));
             if !identity.reloaded(&config) {
-                log::warn!("the operator's file has changes that are taken up at the start only");
+                log::warn!("the operator's file has changes that take effect only at a restart");
             }
             handle.dispatch(Event::Ruled(config.operator.house()));
             true
         }
         Err(error) => {
             identity.reload_failed();
-            log::warn!("the old orders stand: {error}");
+            log::warn!("configuration reload failed, the previous configuration stays in force: {error}");
             false
         }
     }
 }
 
 impl Hub {
-    /// Takes an event in. One that an effect brings about waits until that effect's event is through.
+    /// Processes an event. An event that an effect brings about is queued until the current one is finished.
     fn dispatch(&self, event: Event) {
         self.events.borrow_mut().push_back(event);
         if self.dispatching.replace(true) {
@@ -222,7 +229,7 @@
             Effect::Check(link) => links.check(handle, link),
             Effect::AskVersion(link) => links.ask_version(handle, link),
             Effect::Spoke { to, version } => {
-                log::info!("node {to} speaks the query dialect, version {version}")
+                log::info!("node {to} supports the query dialect, version {version}")
             }
             Effect::HangUp(link) => links.close(link),
             Effect::Cut(link) => links.abort(link),
--- a/crates/mixer/src/program/identity.rs
+++ b/crates/mixer/src/program/identity.rs
@@ -1,4 +1,5 @@
-//! Who this mixer is, for those who may read its figures: its program, the settings in force, this life of it.
+//! What this mixer reports of itself in its metrics: its program, the settings in force, and this incarnation
+//! of the process.
 
 use super::Config;
 use crate::protocol::figures::{bounds, OfType, Tells};
@@ -8,6 +9,7 @@
 use std::net::IpAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
+/// What identifies this process in its metrics.
 #[derive(Default)]
 pub struct Identity {
     operator: Operator,
@@ -18,10 +20,10 @@
 }
 
 impl Identity {
-    /// Nothing is read where nobody may ask.
+    /// Reads the program's file only if metrics are enabled for anyone.
     pub fn new(config: &Config) -> Self {
         let enabled = config.operator.tells_figures();
-        // The file that this process began from, whatever stands at its path by now.
+        // The executable of this process, even if its path has been replaced since.
         let program = enabled.then(|| std::fs::read("/proc/self/exe").ok()).flatten();
         let started_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
         Self {
@@ -33,11 +35,13 @@
         }
     }
 
+    /// Whether metrics may be sent to this address.
     pub fn may_read_metrics(&self, from: IpAddr) -> bool {
         self.operator.tells_figures_to(from)
     }
 
-    /// The operator's file was read again: its digest is told once all of it is in force, and not before.
+    /// Takes up a reloaded operator's file and returns whether all of it is in force. Its digest is reported
+    /// only then.
     pub fn reloaded(&self, config: &Config) -> bool {
         let in_force = config.operator.differs_by_house_rules_only(&self.operator);
         self.settings_refused.set(!in_force);
@@ -47,10 +51,12 @@
         in_force
     }
 
+    /// Records that a reloaded configuration was refused.
     pub fn reload_failed(&self) {
         self.settings_refused.set(true);
     }
 
+    /// The metrics to be reported, from the figures of the routing state.
     pub fn metrics(&self, figures: &Figures) -> Tells {
         let of_type = |(name, line): &(String, Line)| OfType {
             name: name.clone(),
@@ -78,7 +84,7 @@
     }
 }
 
-/// Pages resident stand second in the file; nothing where it can't be read.
+/// Resident memory from the second field of statm, in pages; 0 if it cannot be read.
 fn resident_bytes() -> u64 {
     let read = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: u64 = read.split(' ').nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0);
--- a/crates/mixer/src/program/links.rs
+++ b/crates/mixer/src/program/links.rs
@@ -1,4 +1,4 @@
-//! One link to a searcher: dialled, then run until it ends.
+//! Links to searchers: each is dialed, then served by one task until it ends.
 
 use super::clock::duration;
 use super::handle::Handle;
@@ -23,26 +23,26 @@
 use std::task::Poll;
 use std::time::{Duration, Instant};
 
-/// What may wait to be written to one searcher: the longest calls of one part, on a link full of them. Usual
-/// calls take a hundred bytes; all links together hold no more of them than parts are open.
+/// Bound on the bytes queued for one searcher: the longest calls of one part, on a full link. Usual calls
+/// take a hundred bytes; all links together hold no more of them than there are open parts.
 const MAX_QUEUED_BYTES: usize = 2 * 1024 * 1024;
-/// A client that is sent off frees its place within this.
+/// A drained client frees its descriptor within this time.
 const ROOM_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// The tag of frames whose writing nobody waits for.
+/// The tag of frames whose completion is not reported.
 const UNTRACKED: u64 = 0;
 
-/// The near ends of all links to searchers.
+/// The local ends of all links to searchers.
 #[derive(Default)]
 pub struct Links(RefCell<BTreeMap<LinkId, Rc<LinkHandle>>>);
 
-/// The near end of one.
+/// The local end of one link.
 struct LinkHandle {
     control: ConnectionControl,
     protocol: Tongue,
     to: SocketAddr,
-    /// Rung for a further attempt while it is dialled.
+    /// Notified to start a further attempt while the link is being dialed.
     extra_attempt: Notify,
-    /// What a node of the query dialect was asked and has not answered, in order.
+    /// Requests to a node of the query dialect that are not answered yet, in order.
     unanswered: RefCell<VecDeque<Question>>,
 }
 
@@ -53,6 +53,7 @@
 }
 
 impl Links {
+    /// Starts dialing a searcher; the link is served once it is connected.
     pub fn dial(
         self: &Rc<Self>,
         handle: &Handle,
@@ -73,10 +74,12 @@
         handle.spawn(serve(self.clone(), handle.clone(), link, link_handle, within));
     }
 
+    /// Starts a further connection attempt beside those of a link being dialed.
     pub fn dial_extra(&self, link: LinkId) {
         self.link_handle(link).iter().for_each(|link_handle| link_handle.extra_attempt.notify());
     }
 
+    /// Queues a call with one or more parts.
     pub fn call(&self, handle: &Handle, link: LinkId, call: CallId, errands: &[Errand]) {
         let Some(link_handle) = self.link_handle(link) else { return };
         match (link_handle.protocol, errands) {
@@ -94,15 +97,17 @@
                     self.write(handle, link, call.0, question);
                 }
             }
-            // All of its parts were given up before it was handed over.
+            // Every part of the call was given up before it was handed over.
             (Tongue::Dialect, _) => {}
         }
     }
 
+    /// Tells the searcher that the answer to a part is no longer wanted.
     pub fn give_up(&self, handle: &Handle, link: LinkId, id: &str) {
         self.write(handle, link, UNTRACKED, frames::give_up(id));
     }
 
+    /// Sends a health check.
     pub fn check(&self, handle: &Handle, link: LinkId) {
         let Some(link_handle) = self.link_handle(link) else { return };
         match link_handle.protocol {
@@ -114,14 +119,14 @@
         }
     }
 
-    /// At a node's first contact, ahead of its first part.
+    /// Asks for a node's version at the first contact, ahead of its first part.
     pub fn ask_version(&self, handle: &Handle, link: LinkId) {
         let Some(link_handle) = self.link_handle(link) else { return };
         link_handle.unanswered.borrow_mut().push_back(Question::Version);
         self.write(handle, link, UNTRACKED, get("/", &link_handle.to.to_string()));
     }
 
-    /// Where the searcher takes nothing and the bound is reached, the link is over.
+    /// Queues a frame. A full queue means that the searcher does not read, and ends the link.
     fn write(&self, handle: &Handle, link: LinkId, tag: u64, frame: Vec<u8>) {
         if self.link_handle(link).is_some_and(|link_handle| !link_handle.control.write_queue.push(tag, frame))
         {
@@ -129,19 +134,22 @@
         }
     }
 
+    /// Withdraws a call if none of its bytes has been written.
     pub fn withdraw(&self, handle: &Handle, link: LinkId, call: CallId) {
         let Some(link_handle) = self.link_handle(link) else { return };
         if link_handle.control.write_queue.withdraw(call.0) {
-            // It was the one part asked there; a check may stand beside it.
+            // It was the only part requested on this link; a health check may be outstanding beside it.
             link_handle.unanswered.borrow_mut().retain(|question| !matches!(question, Question::Part(_)));
             handle.dispatch(Event::Withdrawn(link, call));
         }
     }
 
+    /// Closes a link once its queued frames are written.
     pub fn close(&self, link: LinkId) {
         self.link_handle(link).iter().for_each(|link_handle| link_handle.control.close());
     }
 
+    /// Closes a link at once.
     pub fn abort(&self, link: LinkId) {
         self.link_handle(link).iter().for_each(|link_handle| link_handle.control.abort());
     }
@@ -150,7 +158,7 @@
         self.0.borrow().get(&link).cloned()
     }
 
-    /// Tells of a link's end, once, and lets go of its near end.
+    /// Removes a link and reports its end once.
     fn end(&self, handle: &Handle, link: LinkId, ending: Ending) {
         let link_handle = self.0.borrow_mut().remove(&link);
         if let Some(link_handle) = link_handle {
@@ -172,7 +180,7 @@
         Ok(stream) => {
             handle.dispatch(Event::LinkUp(link));
             let (mut mid_response, mut reader) = (false, Reader::of_answers(MOST_BODY));
-            let read_frames = |buffer: &mut ReadBuffer| {
+            let on_read = |buffer: &mut ReadBuffer| {
                 let (flow, now_mid_response) = match link_handle.protocol {
                     Tongue::Frames => {
                         let flow = read_frames(&handle, link, buffer);
@@ -190,13 +198,13 @@
                 flow
             };
             let mut partially_written = false;
-            let written = |written| {
+            let on_progress = |progress| {
                 let was_partial =
-                    std::mem::replace(&mut partially_written, written == WriteProgress::Partial);
+                    std::mem::replace(&mut partially_written, progress == WriteProgress::Partial);
                 if partially_written != was_partial {
                     handle.dispatch(Event::HalfWritten(link, partially_written));
                 }
-                match written {
+                match progress {
                     WriteProgress::Partial | WriteProgress::Complete(UNTRACKED) => {}
                     WriteProgress::Complete(tag) => handle.dispatch(Event::CallOut(link, CallId(tag))),
                 }
@@ -205,13 +213,13 @@
                 &stream,
                 &link_handle.control,
                 ReadBuffer::new(4 + MOST_FRAME),
-                read_frames,
-                written,
+                on_read,
+                on_progress,
             )
             .await
             {
                 CloseReason::PeerClosed => {
-                    // An answer of no length is whole now.
+                    // A response without a declared length is complete when the connection ends.
                     let flow =
                         reader.ended().map(|message| handle_response(&handle, link, &link_handle, &message));
                     flow.and_then(ControlFlow::break_value).unwrap_or(Ending::Ended)
@@ -227,8 +235,8 @@
 
 type Attempt<'a> = Pin<Box<dyn Future<Output = io::Result<Stream>> + 'a>>;
 
-/// The first connection that is up, of one attempt and those that are asked for beside it. Where nobody listens they
-/// are over together; any other failure is of one attempt alone.
+/// Returns the first connection established, of one attempt and the further ones requested meanwhile. A
+/// refused connection ends all attempts; any other failure ends only its own.
 async fn race_dials(handle: &Handle, link_handle: &LinkHandle, within: Duration) -> io::Result<Stream> {
     let started = Instant::now();
     let mut attempts: Vec<Attempt> = vec![Box::pin(dial_with_retries(handle, link_handle.to, within))];
@@ -237,8 +245,8 @@
             link_handle.extra_attempt.wait().await;
             None
         };
-        let over = async { Some(first_finished(&mut attempts).await) };
-        match future::or(over, extra_attempt).await {
+        let finished = async { Some(first_finished(&mut attempts).await) };
+        match future::or(finished, extra_attempt).await {
             None => attempts.push(Box::pin(dial(link_handle.to, within.saturating_sub(started.elapsed())))),
             Some(Ok(stream)) => return Ok(stream),
             Some(Err(error)) => {
@@ -250,7 +258,7 @@
     }
 }
 
-/// Takes out the first attempt that is over.
+/// Waits for the first attempt to finish and removes it.
 async fn first_finished(attempts: &mut Vec<Attempt<'_>>) -> io::Result<Stream> {
     poll_fn(|context| {
         for at in 0..attempts.len() {
@@ -264,11 +272,11 @@
     .await
 }
 
-/// How often a connection is tried again where this machine has no route: that may be so for good.
+/// Attempts after a missing route on this machine, which may be permanent.
 const MAX_ROUTE_TRIES: u32 = 4;
 
-/// What this machine could not even try is tried again within the time. Where descriptors run short lastingly an
-/// idle client goes, and its place is waited for.
+/// Dials, and retries local failures within the time limit. A lasting shortage of descriptors is reported, so
+/// that an idle client is closed to make room.
 async fn dial_with_retries(handle: &Handle, to: SocketAddr, within: Duration) -> io::Result<Stream> {
     let (started, mut shortage, mut tries) = (Instant::now(), Shortage::default(), 0);
     loop {
@@ -315,8 +323,8 @@
                 frame
             }
             Ok(None) => return ControlFlow::Continue(()),
-            Err(what) => {
-                log::debug!("a searcher's frame can't be read: {what}");
+            Err(error) => {
+                log::debug!("cannot parse a searcher's frame: {error}");
                 return ControlFlow::Break(Ending::Garbled);
             }
         };
@@ -324,15 +332,15 @@
             Frame::Part { id, end, value } => handle.dispatch(Event::PartBack { link, id, end, value }),
             Frame::Check(there) => handle.dispatch(Event::CheckBack(link, there)),
             Frame::Report => {}
-            Frame::Objection(words) => {
-                log::warn!("a searcher could not use a frame of ours: {words:?}");
+            Frame::Objection(reason) => {
+                log::warn!("a searcher rejected a frame: {reason:?}");
                 return ControlFlow::Break(Ending::Objected);
             }
         }
     }
 }
 
-/// Answers of a node of the query dialect, each to the question that was asked longest ago.
+/// Reads responses of a query dialect node; each belongs to the oldest unanswered request.
 fn read_responses(
     handle: &Handle,
     link: LinkId,
@@ -347,7 +355,7 @@
                 message
             }
             Err(fault) => {
-                log::debug!("a node's answer can't be read: {fault:?}");
+                log::debug!("cannot parse a node's response: {fault:?}");
                 return ControlFlow::Break(Ending::Garbled);
             }
         };
--- a/crates/mixer/src/program/log_writer.rs
+++ b/crates/mixer/src/program/log_writer.rs
@@ -1,30 +1,29 @@
-//! Where lines of the log go: to standard error, as long as that takes them at once.
+//! Writes log lines to standard error without ever blocking.
 //!
-//! A line that it does not take is dropped and counted, and the count is written before the next line that it does.
-//! Guards against a reader of the log that hangs: standard error is a pipe then that fills up, and a write to it would
-//! hold up all that the mixer does. Hurts whoever wants each line of a log that comes faster than it is read.
+//! A line that cannot be written at once is dropped and counted, and the count is written before the next
+//! line that can. This guards against a log reader that hangs: standard error is then a full pipe, and a
+//! blocking write would stall the whole mixer. The cost is lost lines when the log grows faster than it is
+//! read.
 
 use crate::transport::retry_interrupted;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{self, Write};
 
-/// A pipe that can be written to takes so many bytes at once (`PIPE_BUF`); a longer line is cut.
+/// A writable pipe accepts this many bytes at once (`PIPE_BUF`); longer lines are truncated.
 const MAX_LINE_BYTES: usize = 4096;
 const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
 
-/// Takes one line a call, and never waits.
+/// A log target that expects one line per call and never waits.
 #[derive(Default)]
 pub struct LogWriter {
-    /// Lines dropped since the last one that was written.
+    /// Lines dropped since the last one written.
     dropped: u64,
 }
 
 impl LogWriter {
     fn write_line(&mut self, line: &[u8]) -> io::Result<()> {
         if self.dropped > 0 {
-            write_without_blocking(
-                format!("{} lines of the log could not be written\n", self.dropped).as_bytes(),
-            )?;
+            write_without_blocking(format!("{} log lines were dropped\n", self.dropped).as_bytes())?;
             self.dropped = 0;
         }
         write_without_blocking(line)
@@ -44,7 +43,7 @@
     }
 }
 
-/// Writes a line, or nothing where that would have to be waited for.
+/// Writes a line, or fails if that would block.
 fn write_without_blocking(line: &[u8]) -> io::Result<()> {
     let mut stderr = io::stderr();
     let mut ready = [PollFd::new(&stderr, PollFlags::OUT)];
--- a/crates/mixer/src/program/mod.rs
+++ b/crates/mixer/src/program/mod.rs
@@ -1,4 +1,4 @@
-//! The program: what it is told at start, and the wiring of sockets to the state machine.
+//! The mixer program: its configuration, and the wiring of sockets to the routing state machine.
 
 mod accepting;
 mod arrivals;
--- a/crates/mixer/src/program/rejections.rs
+++ b/crates/mixer/src/program/rejections.rs
@@ -1,5 +1,6 @@
-//! Those who are turned away with no place: their refusal is written, and their connection kept until they have
-//! fetched it. Closing upon unread bytes would reset the connection, and what was written might be lost with it.
+//! Connections that are rejected for want of a place: the rejection is written and the connection kept open
+//! until the client has read it. Closing a socket with unread input would reset the connection and might
+//! destroy the response.
 
 use crate::transport::{retry_interrupted, sleep, Notify};
 use std::cell::RefCell;
@@ -8,20 +9,20 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long one may take to fetch its refusal, while there is room for more of them.
+/// How long a client may take to read its rejection while there is room for more of them.
 const DELIVERY_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often they are looked at.
+/// Interval at which the connections are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How much of what one still sends is thrown away in a turn.
+/// Input discarded per connection and poll.
 const MAX_DISCARD_BYTES: usize = 16 * 1024;
-/// How long one is looked after for whom the last descriptor was given up: nobody else is accepted meanwhile.
+/// The same limit for a client accepted with the reserve descriptor: no other client is accepted meanwhile.
 const RESERVE_DELIVERY_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// One connection that hears a refusal.
+/// A connection whose rejection is being delivered.
 struct PendingRejection {
     stream: TcpStream,
     since: Instant,
-    /// What has not been written of the refusal.
+    /// The part of the response that is not written yet.
     unwritten: Vec<u8>,
 }
 
@@ -30,9 +31,10 @@
         Self { stream, since: Instant::now(), unwritten: response.to_vec() }
     }
 
-    /// Goes on writing and discarding, as far as that goes at once; false when the client is through with it.
+    /// Discards input and writes output as far as possible without blocking; false once the client has closed
+    /// the connection.
     fn advance(&mut self) -> bool {
-        // What has come is thrown away before the refusal is written.
+        // Input is discarded before the response is written.
         let open = self.discard();
         open && self.write()
     }
@@ -59,7 +61,7 @@
     }
 }
 
-/// So many at most, past which the one told longest goes. One task looks after all of them.
+/// All rejections under way, up to a maximum; beyond it the oldest is closed. One task serves all of them.
 pub struct Rejections {
     pending: RefCell<VecDeque<PendingRejection>>,
     capacity: usize,
@@ -67,10 +69,12 @@
 }
 
 impl Rejections {
+    /// Room for `capacity` rejections, and for one at least.
     pub fn new(capacity: usize) -> Self {
         Self { pending: RefCell::default(), capacity: capacity.max(1), added: Notify::default() }
     }
 
+    /// Starts to deliver a rejection.
     pub fn add(&self, stream: TcpStream, response: &[u8]) {
         let mut rejection = PendingRejection::new(stream, response);
         if rejection.advance() {
@@ -83,14 +87,14 @@
         }
     }
 
-    /// Returns once all refusals are fetched, or have had their time: the program's end would cut them off.
+    /// Waits until every rejection is delivered or has timed out: the end of the process would cut them off.
     pub async fn all_delivered(&self) {
         while !self.pending.borrow().is_empty() {
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Lets go of those who have fetched their refusal, and of who takes too long.
+    /// Closes connections whose client has read its rejection or takes too long. Never returns.
     pub async fn run(&self) {
         loop {
             if self.pending.borrow().is_empty() {
@@ -104,7 +108,8 @@
     }
 }
 
-/// Tells one who holds the last descriptor, and returns when it has fetched its refusal or had its time.
+/// Rejects a client accepted with the reserve descriptor, and returns once it has read the response or the
+/// time is up.
 pub async fn reject_alone(stream: TcpStream, response: &[u8]) {
     let mut rejection = PendingRejection::new(stream, response);
     while rejection.advance() && rejection.since.elapsed() < RESERVE_DELIVERY_TIMEOUT {
--- a/crates/mixer/src/program/requests.rs
+++ b/crates/mixer/src/program/requests.rs
@@ -1,4 +1,5 @@
-//! One client's connection, read: a request at a time, each told of when it is whole.
+//! Reads one client's connection: parses requests one at a time and dispatches an event for each complete
+//! one.
 
 use super::arrivals::Arrivals;
 use super::clients::{Clients, Connection};
@@ -14,14 +15,14 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long, and for how many bytes, a client that is still sending is read from so that its error reaches it:
-/// closing upon unread bytes resets the connection, and what was written may be lost with it.
+/// How long, and for how many bytes, a client that is still sending is read from so that the error response
+/// reaches it: closing a socket with unread input resets the connection and may destroy what was written.
 const LINGER_LIMITS: (Duration, usize) = (Duration::from_millis(500), 512 * 1024);
 
-/// A whole request that stood for less is as good as just come.
+/// A complete request that has waited for less counts as just arrived.
 const MIN_REPORTED_AGE: Duration = Duration::from_millis(1);
 
-/// Reads and writes until the connection is over.
+/// Serves one connection until it ends.
 pub async fn serve(
     clients: Rc<Clients>,
     handle: Handle,
@@ -41,17 +42,18 @@
         unparsable: false,
         stream: &stream,
     };
-    let read = |buffer: &mut ReadBuffer| requests.read(&handle, client, &connection, buffer);
-    let written = |_| connection.control.recheck_if(connection.unread.get());
+    let on_read = |buffer: &mut ReadBuffer| requests.read(&handle, client, &connection, buffer);
+    let on_progress = |_| connection.control.recheck_if(connection.unread.get());
     let reason =
-        run_connection(&stream, &connection.control, ReadBuffer::new(MOST_UNREAD), read, written).await;
-    // What else has come was not read, and is its client's to send again: it stays unread.
+        run_connection(&stream, &connection.control, ReadBuffer::new(MOST_UNREAD), on_read, on_progress)
+            .await;
+    // Further input is left unread, as its client must send it again.
     if matches!(reason, CloseReason::ClosedLocally)
         && (requests.unparsable || connection.control.has_overflowed())
     {
         linger(&stream, LINGER_LIMITS.0, LINGER_LIMITS.1).await;
     }
-    // Before it is told: the last to leave may end the program.
+    // Closed before the event is dispatched: the last client to leave may end the program.
     drop(stream);
     clients.closed(&handle, client);
 }
@@ -61,13 +63,14 @@
     stream: &'a Stream,
     reader: Reader,
     arrivals: Arrivals,
-    /// How long the first request may have stood there, where it had begun before its client was let in.
+    /// How long the first request may have been waiting, if it had begun to arrive before its client was
+    /// admitted.
     unread_since_accept: Option<Duration>,
-    /// When the first byte came of the request that is being read.
+    /// When the first byte of the current request arrived.
     request_start: Option<Instant>,
-    /// A request has begun and was told of.
+    /// The start of the current request has been reported.
     start_reported: bool,
-    /// What comes can't be told apart any more.
+    /// The input can no longer be split into requests.
     unparsable: bool,
 }
 
@@ -80,7 +83,7 @@
         buffer: &mut ReadBuffer,
     ) -> ControlFlow<()> {
         self.record_arrivals(buffer);
-        // One at a time: the next is looked at when this one's answer has been written.
+        // One at a time: the next request is parsed when the answer to this one has been written.
         while connection.takes_request() {
             let request_start = self.request_start.or(self.arrivals.oldest());
             let event = match self.reader.read(buffer.unread()) {
@@ -103,7 +106,8 @@
                     Event::Misasked(client, parse_error(fault), true)
                 }
             };
-            // It left while this waited to be read: nobody is there to be served, and its end comes next.
+            // The client left while the request waited to be parsed: there is nobody to answer, and the next
+            // read reports the end.
             if drain_socket(self.stream, &connection.control, buffer) {
                 break;
             }
@@ -117,8 +121,8 @@
         }
         let unread = !buffer.unread().is_empty();
         connection.unread.set(unread);
-        // What was read is looked at once the answer before it is written: a request on its way when its client was
-        // sent off has its answer first.
+        // Input already read is parsed once the answer before it is written: a request in flight when its
+        // client began to drain is answered first.
         if connection.draining.get() && unread {
             connection.control.stop_reading();
         }
@@ -136,13 +140,13 @@
             Ok(Question::Scan(ask)) => Event::Asked(client, ask),
             Ok(Question::Health) => Event::HealthAsked(client),
             Ok(Question::Figures) if self.may_read_metrics() => Event::FiguresAsked(client),
-            // As if there were nothing of that name.
+            // Answered as if the path did not exist.
             Ok(Question::Figures) => Event::Misasked(client, Blame::Method, false),
-            Err(parse_error) => Event::Misasked(client, parse_error, false),
+            Err(error) => Event::Misasked(client, error, false),
         }
     }
 
-    /// Notes when the bytes came that were not there before.
+    /// Records the arrival time of bytes that were not there before.
     fn record_arrivals(&mut self, buffer: &ReadBuffer) {
         let unread = buffer.unread().len();
         let unread_since_accept = if unread > 0 { self.unread_since_accept.take() } else { None };
@@ -150,7 +154,7 @@
         self.arrivals.record(unread, now.checked_sub(unread_since_accept.unwrap_or_default()).unwrap_or(now));
     }
 
-    /// Tells once of the request that has begun, and since when it has stood there.
+    /// Reports once that a request has begun, and for how long it has waited.
     fn report_start(&mut self, handle: &Handle, client: ClientId) {
         let Some(request_start) = self.request_start.filter(|_| !self.start_reported) else { return };
         self.start_reported = true;
@@ -163,14 +167,14 @@
     }
 }
 
-/// Whether bytes have come that were not taken from the system.
+/// Whether bytes have arrived that were not read from the socket yet.
 fn has_unread_bytes(stream: &Stream) -> bool {
     matches!(retry_interrupted(|| stream.get_ref().peek(&mut [0])), Ok(1..))
 }
 
 fn parse_error(fault: Fault) -> Blame {
     match fault {
-        Fault::Malformed(what) => Blame::Request(what.into()),
+        Fault::Malformed(reason) => Blame::Request(reason.into()),
         Fault::HeadTooLong => Blame::HeadTooLong,
         Fault::BodyTooLong => Blame::BodyTooLong,
     }
--- a/crates/mixer/src/program/signals.rs
+++ b/crates/mixer/src/program/signals.rs
@@ -1,9 +1,10 @@
-//! Signals that the mixer is sent.
+//! Signals sent to the mixer.
 //!
-//! That a signal came is kept as a flag, which its handler sets. A byte through a pair of sockets wakes the task that
-//! takes the flags; nothing is read from it. So a wake that is lost, repeated or interrupted changes nothing but when
-//! the flags are looked at, and that is bounded by [`CHECK_EVERY`]. Guards against writes in a handler that fail, which
-//! nobody is told of: a signal that went as bytes was lost with them. Hurts an idle mixer by ten looks a second.
+//! The signal handler sets a flag; a byte through a socket pair wakes the task that checks the flags and
+//! carries no information of its own. A wake-up that is lost, repeated or interrupted therefore only changes
+//! when the flags are checked, which happens at least every [`CHECK_INTERVAL`]. This guards against failing
+//! writes in the handler, which cannot be reported: when the bytes themselves carried the signal, it was lost
+//! with them. The cost is ten checks a second in an idle mixer.
 
 use crate::transport::{retry_interrupted, sleep, Direction, Socket};
 use futures_lite::future;
@@ -15,10 +16,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a signal whose wake was lost waits at the most.
+/// Upper bound on the delay of a signal whose wake-up was lost.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The signals that are taken.
+/// The signals that are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     Terminate,
@@ -38,25 +39,25 @@
     }
 }
 
-/// Signals that have come and were not taken yet.
+/// Signals that have arrived and were not taken yet.
 pub struct Signals {
     pending: Vec<(Signal, Arc<AtomicBool>)>,
     wake_receiver: Socket<UnixStream>,
-    /// An error of the wakes was logged; further ones are not.
+    /// A wake-up error has been logged; further ones are not.
     error_logged: bool,
 }
 
 impl Signals {
-    /// From now on the signals do not end the process.
+    /// Installs the handlers. From then on these signals no longer end the process.
     pub fn new() -> io::Result<Self> {
         let (wake_receiver, wake) = UnixStream::pair()?;
         retry_interrupted(|| wake_receiver.set_nonblocking(true))?;
-        // All that may fail for a moment comes before the first handler.
+        // Everything that can fail transiently precedes the first handler.
         let senders: Vec<_> = Signal::ALL.iter().map(|_| wake.try_clone()).collect::<io::Result<_>>()?;
         let mut pending = Vec::new();
         for (signal, sender) in Signal::ALL.into_iter().zip(senders) {
             let raised = Arc::new(AtomicBool::new(false));
-            // Handlers run in this order: the flag is set before the wake.
+            // Handlers run in order of registration: the flag is set before the wake-up is sent.
             flag::register(signal.number(), raised.clone())?;
             pipe::register(signal.number(), sender)?;
             pending.push((signal, raised));
@@ -64,7 +65,7 @@
         Ok(Self { pending, wake_receiver: Socket::new(wake_receiver), error_logged: false })
     }
 
-    /// The next signal. One that came several times before it was taken is taken once.
+    /// Waits for the next signal. One that arrives several times before it is taken is reported once.
     pub async fn next(&mut self) -> Signal {
         loop {
             if let Some(signal) = self.take() {
@@ -72,13 +73,13 @@
             }
             if let Err(error) = self.wait_for_wake().await {
                 self.log_error_once(&error);
-                // The wakes may stay readable: waiting for them at once would not wait.
+                // The socket may stay readable, so waiting on it again at once would spin.
                 sleep(CHECK_INTERVAL).await;
             }
         }
     }
 
-    /// Waits for a wake, and no longer than until the flags are to be looked at anyhow.
+    /// Waits for a wake-up, at most until the next regular check of the flags.
     async fn wait_for_wake(&self) -> io::Result<()> {
         let wake = async {
             let read = |mut socket: &UnixStream| retry_interrupted(|| socket.read(&mut [0; 64]));
--- a/crates/mixer/src/program/startup.rs
+++ b/crates/mixer/src/program/startup.rs
@@ -1,4 +1,4 @@
-//! What the start needs of the system, which may be out of it for a moment.
+//! Retries for system resources that may be unavailable for a moment at start.
 
 use crate::transport::is_local_error;
 use rustix::io::Errno;
@@ -6,11 +6,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A process before this one lets go of its address within moments.
+/// A previous process on the same address releases it within moments.
 const RETRY_WINDOW: Duration = Duration::from_secs(2);
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Makes something, again and again where this machine can't just then. Nothing is served before, so nobody waits.
+/// Calls `attempt` until it succeeds, fails for good, or [`RETRY_WINDOW`] has passed. It blocks the thread:
+/// nothing is served yet, so no client waits.
 pub fn retry_transient<T>(mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let started = Instant::now();
     loop {
--- a/crates/mixer/src/program/watch.rs
+++ b/crates/mixer/src/program/watch.rs
@@ -1,4 +1,4 @@
-//! Discovery: one call after another on one connection, each as soon as it is wished for.
+//! Discovery client: one request at a time on one connection, each sent as soon as it is requested.
 
 use super::handle::Handle;
 use crate::protocol::http::{get, Message, Reader, MOST_UNREAD};
@@ -12,22 +12,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the agent may hold a watch. One that fell silent is found by that: what it misses counts as told six
-/// seconds after (PROTOCOL.md), of which half are left for asking anew.
+/// How long the agent may hold a long poll, which also bounds the detection of an agent that fell silent.
+/// Changes missed that way count as announced six seconds later (PROTOCOL.md); half of that is left for
+/// asking again.
 const LONG_POLL: Duration = Duration::from_millis(2_500);
-/// How much longer an answer may take that is held.
+/// Extra time for the answer to a long poll.
 const LONG_POLL_GRACE: Duration = Duration::from_millis(500);
-/// How long an answer may take that is not held: the agent stands on this machine and answers at once. Twice as
-/// long after each try in vain, three times at most: on a machine that is overloaded none would ever be heard.
+/// Timeout of a request that is not held: the agent runs on this machine and answers at once. Doubled after
+/// each failure, three times at most: on an overloaded machine no answer would ever arrive in time otherwise.
 const PROMPT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A list may be long, and indented: some four hundred bytes a searcher, of which we may have thousands.
+/// Bound on the size of a list, which may be long and indented: some four hundred bytes per searcher, for
+/// thousands of searchers.
 const MAX_LIST_BYTES: usize = 2 * 1024 * 1024;
 
-/// A question: whom, for what is newer than a version, and whether the answer may be held until there is something.
+/// A request: the agent's address, the version after which news is wanted, and whether the agent may hold the
+/// answer until there is some.
 type Request = (SocketAddr, Option<u64>, bool);
 
-/// What is to be asked next.
+/// The next request to be sent; a newer one replaces it.
 #[derive(Default)]
 pub struct RequestSlot {
     next: Cell<Option<Request>>,
@@ -35,6 +38,7 @@
 }
 
 impl RequestSlot {
+    /// Requests the list, or what is newer than version `after`; `waits` allows a long poll.
     pub fn request(&self, at: SocketAddr, after: Option<u64>, waits: bool) {
         self.next.set(Some((at, after, waits)));
         self.changed.notify();
@@ -50,9 +54,10 @@
     }
 }
 
-/// A further wish ends the call under way, whose answer could only be old.
+/// Sends requests as they are made. A newer request cancels the one in flight, whose answer could only be
+/// outdated.
 pub async fn run(requests: Rc<RequestSlot>, handle: Handle) {
-    // How many calls in a row brought nothing.
+    // Failed requests in a row.
     let mut failures: u32 = 0;
     let mut request = requests.next().await;
     let mut agent = Agent { at: request.0, stream: None };
@@ -73,7 +78,7 @@
             }
             Ok(Ok(news)) => {
                 if std::mem::take(&mut failures) > 0 {
-                    log::info!("discovery answers again, version {}", news.version);
+                    log::info!("discovery is answering again, version {}", news.version);
                 }
                 Event::Told(news)
             }
@@ -81,7 +86,7 @@
                 agent.stream = None;
                 failures = failures.saturating_add(1);
                 if failures == 1 {
-                    log::warn!("discovery at {}: {error}; the last list stands", agent.at);
+                    log::warn!("discovery at {} failed: {error}; keeping the last list", agent.at);
                 }
                 Event::WatchBroke
             }
@@ -113,7 +118,7 @@
     async fn call(&mut self, path: &str, prompt_timeout: Duration) -> Result<News, String> {
         let stream = match self.stream.take() {
             Some(kept) => kept,
-            None => dial(self.at, prompt_timeout).await.map_err(|e| e.to_string())?,
+            None => dial(self.at, prompt_timeout).await.map_err(|error| error.to_string())?,
         };
         let (answer, stays) = self.exchange(&stream, path).await?;
         self.stream = Some(stream).filter(|_| stays && answer.keeps());
@@ -128,11 +133,11 @@
         news(&Json::parse(&answer.body)?)
     }
 
-    /// The answer, and whether its connection is still there after it. One that tells no length is whole where the
-    /// connection ends in order, and never where it breaks.
+    /// Sends a request and returns the answer, and whether the connection is still usable. An answer without
+    /// a declared length is complete when the connection ends in order, and never when it breaks.
     async fn exchange(&self, stream: &Stream, path: &str) -> Result<(Message, bool), String> {
-        let failed = |e: std::io::Error| e.to_string();
-        write_all(stream, &get(path, &self.at.to_string())).await.map_err(failed)?;
+        let to_text = |error: std::io::Error| error.to_string();
+        write_all(stream, &get(path, &self.at.to_string())).await.map_err(to_text)?;
         let (mut buffer, mut reader) = (ReadBuffer::new(MOST_UNREAD), Reader::of_answers(MAX_LIST_BYTES));
         loop {
             let (used, message) = reader.read(buffer.unread()).map_err(|fault| format!("{fault:?}"))?;
@@ -140,10 +145,10 @@
             if let Some(message) = message {
                 return Ok((message, true));
             }
-            match read(stream, buffer.space()).await.map_err(failed)? {
+            match read(stream, buffer.space()).await.map_err(to_text)? {
                 0 => {
                     let whole = reader.ended().map(|message| (message, false));
-                    return whole.ok_or_else(|| "it closed the connection".into());
+                    return whole.ok_or_else(|| "connection closed before the answer was complete".into());
                 }
                 count => buffer.commit(count),
             }
--- a/crates/mixer/src/transport/connection.rs
+++ b/crates/mixer/src/transport/connection.rs
@@ -1,4 +1,4 @@
-//! Both directions of one connection, as one task, until either ends.
+//! Runs both directions of a connection in one task until either ends.
 
 use super::{
     is_resource_shortage, read, retry_interrupted, sleep, timeout, Notify, ReadBuffer, Stream, WriteProgress,
@@ -10,38 +10,41 @@
 use std::ops::ControlFlow;
 use std::time::Duration;
 
-/// How long a line that is to be closed may take to write what waits.
+/// How long a closing connection may take to write its queued frames.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
-/// How much of what comes over a full inbox is thrown away at a time, and how often: what the system holds for a
-/// connection at first is through within a few tens of milliseconds, and a peer that never stops costs little.
+/// Size and interval of the reads that discard input while the read buffer is full. At this rate the bytes
+/// that the kernel buffers for a new connection are through within a few tens of milliseconds, and a peer
+/// that never stops sending costs little.
 const DISCARD: (usize, Duration) = (16 * 1024, Duration::from_millis(5));
 
-/// The near end of a connection, by which others write to it and close it.
+/// The handle through which other tasks write to a connection and close it.
 pub struct ConnectionControl {
+    /// The frames waiting to be written.
     pub write_queue: WriteQueue,
-    /// Rung to have what was read looked at again.
+    /// Notified to have the buffered input examined again.
     pub recheck: Notify,
     closing: Cell<bool>,
     aborted: Cell<bool>,
-    /// Nothing more is to be read: what comes from now on is its sender's to send again.
+    /// Nothing more is read: the sender must send again whatever arrives from now on.
     reading_stopped: Cell<bool>,
-    /// More came than may wait, and was thrown away: what follows can't be told apart.
+    /// More input arrived than fits and was discarded, so the message boundaries are lost.
     overflowed: Cell<bool>,
 }
 
-/// Why a connection is over.
+/// Why a connection ended.
 pub enum CloseReason<H> {
-    /// The other side ended it in order.
+    /// The peer closed it in order.
     PeerClosed,
-    /// It broke.
+    /// It failed, for example by a reset.
     Failed,
-    /// We closed it.
+    /// This side closed it.
     ClosedLocally,
-    /// What came made the reader halt.
+    /// The reader returned `Break` with this value.
     Stopped(H),
 }
 
 impl ConnectionControl {
+    /// Control of a connection whose write queue holds at most `max_queued_bytes`.
     pub fn new(max_queued_bytes: usize) -> Self {
         let write_queue = WriteQueue::new(max_queued_bytes);
         Self {
@@ -54,33 +57,35 @@
         }
     }
 
-    /// Closes once what waits has been written.
+    /// Closes after the queued frames have been written.
     pub fn close(&self) {
         self.closing.set(true);
         self.write_queue.changed.notify();
     }
 
+    /// Whether the connection has been closed or aborted by this side.
     pub fn is_closing(&self) -> bool {
         self.closing.get()
     }
 
-    /// Reads nothing more.
+    /// Stops reading from the socket.
     pub fn stop_reading(&self) {
         self.reading_stopped.set(true);
     }
 
-    /// Has what was read looked at again, if `wanted`.
+    /// Has the buffered input examined again if `wanted`, or if input was discarded.
     pub fn recheck_if(&self, wanted: bool) {
         if wanted || self.overflowed.get() {
             self.recheck.notify();
         }
     }
 
+    /// Whether input was discarded for lack of buffer space.
     pub fn has_overflowed(&self) -> bool {
         self.overflowed.get()
     }
 
-    /// Closes at once if nothing waits.
+    /// Closes at once if nothing is queued, otherwise after the queue has been written.
     pub fn close_promptly(&self) {
         if self.write_queue.is_empty() {
             self.abort();
@@ -89,7 +94,7 @@
         }
     }
 
-    /// Closes at once; what waits is never written.
+    /// Closes at once and drops the queued frames.
     pub fn abort(&self) {
         self.aborted.set(true);
         self.write_queue.clear();
@@ -97,8 +102,8 @@
     }
 }
 
-/// Runs a connection. `read` is handed what has come, and uses up what it can; `written` is told what
-/// each write has brought about.
+/// Runs a connection. `on_read` is given the buffered input and consumes what it can; `on_progress` is told
+/// of the progress of each write.
 pub async fn run_connection<H>(
     stream: &Stream,
     control: &ConnectionControl,
@@ -108,12 +113,12 @@
 ) -> CloseReason<H> {
     let reader = async {
         loop {
-            // What was taken from the system is read before anybody else runs: who closes the line meanwhile would
-            // throw away what its peer has every reason to think taken.
+            // Bytes received from the kernel are handled before any other task runs: a task that closed the
+            // connection in between would drop input that the peer may rightly assume was accepted.
             if let ControlFlow::Break(value) = on_read(&mut buffer) {
                 return CloseReason::Stopped(value);
             }
-            // A peer that never pauses lets the others run.
+            // A peer that sends without a pause must not starve other tasks.
             future::yield_now().await;
             match next_bytes(stream, control, &mut buffer).await {
                 Ok(Some(0)) => return CloseReason::PeerClosed,
@@ -127,8 +132,9 @@
             if control.aborted.get() {
                 return CloseReason::ClosedLocally;
             }
-            // What waits has a while to go once the line is to be closed, and none once it is cut.
-            let closed = async {
+            // Queued frames have `FLUSH_TIMEOUT` to be written once the connection is closing, and none once
+            // it is aborted.
+            let finish = async {
                 while !control.closing.get() {
                     control.write_queue.changed.wait().await;
                 }
@@ -143,7 +149,7 @@
                 }
                 Ok(())
             };
-            if future::or(control.write_queue.drain(stream, &mut on_progress), closed).await.is_err() {
+            if future::or(control.write_queue.drain(stream, &mut on_progress), finish).await.is_err() {
                 return CloseReason::Failed;
             }
             if control.closing.get() {
@@ -155,7 +161,7 @@
     future::or(reader, writer).await
 }
 
-/// Bytes read, or none where the line only asked for another look.
+/// Returns the number of bytes read, or `None` if only a recheck was requested.
 async fn next_bytes(
     stream: &Stream,
     control: &ConnectionControl,
@@ -169,27 +175,28 @@
         return recheck.await;
     }
     if buffer.is_full() {
-        // Nothing more may wait; but the peer's end, behind what it still sends, is to be seen.
+        // The buffer is full, but the end of the stream behind the excess input must still be detected.
         let discard = async {
             sleep(DISCARD.1).await;
-            // On the heap: an array would be part of each connection's task, which is moved as it begins.
+            // On the heap: an array would be part of every connection's future, which is moved when its task
+            // is spawned.
             let count = read(stream, &mut vec![0; DISCARD.0]).await?;
             control.overflowed.set(control.overflowed.get() || count > 0);
             Ok(Some(0).filter(|_| count == 0))
         };
         return future::or(recheck, discard).await;
     }
-    // What is there comes first: whoever asks for another look is to see it.
+    // Available input is read first, so that a requested recheck sees it.
     let count = future::or(async { read(stream, buffer.space()).await.map(Some) }, recheck).await?;
     buffer.commit(count.unwrap_or(0));
     Ok(count)
 }
 
-/// How many reads of what no inbox has room for are made in search of the end behind it.
+/// Limit on the reads made in search of the end of the stream when more input arrives than the buffer holds.
 const MAX_DRAIN_READS: usize = 64;
 
-/// Takes in what has come and was not read yet, and tells whether the other side has ended the connection behind it.
-/// What finds no room is thrown away, and the line ends with its next answer.
+/// Reads what has arrived and was not read yet, and returns whether the peer has closed the connection behind
+/// it. Input that does not fit is discarded, and the connection then ends with its next answer.
 pub fn drain_socket(stream: &Stream, control: &ConnectionControl, buffer: &mut ReadBuffer) -> bool {
     let mut socket = stream.get_ref();
     if control.reading_stopped.get() {
@@ -205,15 +212,16 @@
             Ok(0) => return true,
             Ok(_) if full => control.overflowed.set(true),
             Ok(count) => buffer.commit(count),
-            // Any other error is the connection's end: reset, or given up by the system.
+            // Any other error means that the connection has ended: reset by the peer or given up by the
+            // kernel.
             Err(error) => return error.kind() != io::ErrorKind::WouldBlock && !is_resource_shortage(&error),
         }
     }
     false
 }
 
-/// Ends our direction and throws away a little of what comes from the other, so that what was written is not
-/// lost to a reset.
+/// Shuts down the write direction and discards a limited amount of further input, so that a reset does not
+/// destroy what was written.
 pub async fn linger(stream: &Stream, within: Duration, mut bytes: usize) {
     let _ = stream.get_ref().shutdown(std::net::Shutdown::Write);
     let rest = async {
--- a/crates/mixer/src/transport/connection/tests.rs
+++ b/crates/mixer/src/transport/connection/tests.rs
@@ -12,7 +12,8 @@
     Stream::new(stream)
 }
 
-/// Whoever closed a line between its bytes' leaving the system and their being read once threw them away.
+/// Guards against losing received bytes: a task that closed the connection after the bytes had been received
+/// and before they were handled used to discard them.
 #[test]
 fn received_bytes_are_handled_before_another_task_runs() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -32,7 +33,7 @@
     let other = async {
         while !closed.get() {
             let taken = stream.get_ref().peek(&mut [0]).is_err();
-            assert!(!taken || read_so_far.get() == 5, "taken, and nobody has read it");
+            assert!(!taken || read_so_far.get() == 5, "received but not handled");
             if taken {
                 control.abort();
             }
@@ -42,13 +43,13 @@
     Reactor::new().unwrap().block_on(future::zip(reader, other));
 }
 
-/// Nothing is owed to it, but its place is wanted back.
+/// The peer will not read the rest, but its connection must be freed.
 #[test]
 fn a_peer_that_leaves_with_its_answer_partly_written_ends_the_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let stream = accepted(&listener);
-    // More than the system takes of either side.
+    // More than the kernel buffers on both sides.
     let (answer, control) = (vec![7; 32 << 20], ConnectionControl::new(33 << 20));
     assert!(control.write_queue.push(1, answer));
     let (partial, written, closed) = (Cell::new(false), Cell::new(false), Cell::new(None));
@@ -64,7 +65,7 @@
     let reader = async {
         let mut some = [0; 1000];
         while peer.read(&mut some).unwrap() == 0 {}
-        assert!(partial.get() && !written.get(), "it is half written");
+        assert!(partial.get() && !written.get(), "the answer is partly written");
         drop(peer);
     };
     Reactor::new().unwrap().block_on(future::zip(writer, reader));
--- a/crates/mixer/src/transport/mod.rs
+++ b/crates/mixer/src/transport/mod.rs
@@ -1,5 +1,5 @@
-//! Byte streams over TCP: accept and dial, one buffer a connection for what comes, one bounded queue for what
-//! goes. Nothing here knows what the bytes mean.
+//! Byte streams over TCP: accepting and dialing, with one read buffer and one bounded write queue per
+//! connection. Nothing here interprets the bytes.
 
 mod connection;
 mod net;
--- a/crates/mixer/src/transport/net.rs
+++ b/crates/mixer/src/transport/net.rs
@@ -1,4 +1,5 @@
-//! Sockets: listening, dialling, and which failures are a shortage of our own.
+//! TCP sockets: listening, accepting, dialing, and telling local resource shortages from failures of the
+//! peer.
 
 use super::reactor::{sleep, Direction};
 use super::retry_interrupted;
@@ -12,12 +13,14 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
+/// A non-blocking TCP stream.
 pub type Stream = Socket<TcpStream>;
 
-/// How many may stand outside; the system's own bound is below it. With the library's 128, a crowd that comes
-/// at once would have its connections, and those of others, dropped and tried again a second later.
+/// Length of the listen backlog; the kernel caps it at its own limit. With the standard library's 128, a
+/// burst of clients would have connections dropped and retried a second later, other clients' among them.
 const LISTEN_BACKLOG: i32 = 4096;
 
+/// Listens on an address without blocking.
 pub fn listen(address: SocketAddr) -> io::Result<Socket<TcpListener>> {
     let listener = TcpListener::bind(address)?;
     retry_interrupted(|| listener.set_nonblocking(true))?;
@@ -25,30 +28,33 @@
     Ok(Socket::new(listener))
 }
 
-/// A connection that was accepted, not registered with the poller yet: one that is turned away never is.
+/// An accepted connection that is not registered with the poller yet; a rejected connection never is.
 pub struct Accepted {
+    /// The accepted socket, non-blocking.
     pub stream: TcpStream,
+    /// The peer's address; unspecified if the kernel did not report one.
     pub from: IpAddr,
 }
 
-/// How many connections in a row may have ended before they were accepted; past that others have a turn.
+/// Connections in a row that may have ended before being accepted; after that other tasks run.
 const MAX_ABORTED_ACCEPTS: usize = 64;
 
-/// The next that stands outside, if one does. What ended before it was accepted is passed over: Linux hands on the
-/// errors of a connection that it had taken in.
+/// Accepts the next pending connection, if there is one. A connection that ended before it was accepted is
+/// skipped: Linux reports its pending error from `accept`.
 pub fn accept(listener: &TcpListener) -> io::Result<Option<Accepted>> {
     for _ in 0..MAX_ABORTED_ACCEPTS {
         match retry_interrupted(|| accept_once(listener)) {
             Ok(accepted) => return Ok(Some(accepted)),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(None),
             Err(error) if is_resource_shortage(&error) => return Err(error),
-            Err(error) => log::debug!("a connection ended before it was accepted: {error}"),
+            Err(error) => log::debug!("connection ended before it was accepted: {error}"),
         }
     }
     Ok(None)
 }
 
-/// Taken in and made not to block in one call: between two a connection that was taken in could be lost.
+/// Accepts and sets the non-blocking flag in one call: with two, an error of the second would lose an
+/// accepted connection.
 fn accept_once(listener: &TcpListener) -> io::Result<Accepted> {
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
     let (socket, from) = rustix::net::acceptfrom_with(listener, flags)?;
@@ -57,7 +63,8 @@
     Ok(Accepted { stream: socket.into(), from })
 }
 
-/// One descriptor held back for when there is none left: given up, it accepts one who would wait in vain.
+/// A descriptor held in reserve for when none is left: closing it makes room to accept one client that would
+/// otherwise wait in vain.
 pub struct ReserveDescriptor(Option<File>);
 
 impl Default for ReserveDescriptor {
@@ -67,6 +74,7 @@
 }
 
 impl ReserveDescriptor {
+    /// Gives up the reserve descriptor to accept one connection.
     pub fn accept(&mut self, listener: &TcpListener) -> Option<Accepted> {
         drop(self.0.take()?);
         let accepted = accept(listener).ok().flatten();
@@ -74,7 +82,7 @@
         accepted
     }
 
-    /// Takes it back, once who was accepted by it has gone.
+    /// Reopens the reserve, once the connection accepted with it has been closed.
     pub fn restore(&mut self) {
         if self.0.is_none() {
             *self = Self::default();
@@ -82,7 +90,7 @@
     }
 }
 
-/// What comes of it, if it does so within the time.
+/// Runs `operation` and returns its result, or `None` if it takes longer than `limit`.
 pub async fn timeout<T>(limit: Duration, operation: impl Future<Output = T>) -> Option<T> {
     let expired = async {
         sleep(limit).await;
@@ -91,11 +99,11 @@
     future::or(async { Some(operation.await) }, expired).await
 }
 
-/// A connection that is up within the time, or `TimedOut`.
+/// Connects within `limit`, or fails with `TimedOut`.
 pub async fn dial(to: SocketAddr, limit: Duration) -> io::Result<Stream> {
-    let connected = timeout(limit, connect(to)).await;
-    let stream = connected.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))?;
-    // Without it small frames wait for each other, no more.
+    let result = timeout(limit, connect(to)).await;
+    let stream = result.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))?;
+    // A failure to set the option is ignored: it only lets Nagle's algorithm delay small frames.
     let _ = retry_interrupted(|| stream.get_ref().set_nodelay(true));
     Ok(stream)
 }
@@ -117,7 +125,7 @@
     }
 }
 
-/// An error where the connection attempt has failed.
+/// Whether the connection is established; an error if the attempt has failed.
 fn is_connected(stream: &TcpStream) -> io::Result<bool> {
     if let Some(error) = retry_interrupted(|| stream.take_error())? {
         return Err(error);
@@ -129,13 +137,14 @@
     }
 }
 
-/// This machine is out of descriptors or buffers: it says nothing of the other side.
+/// Whether this machine is out of descriptors or buffers, which says nothing about the peer.
 pub fn is_resource_shortage(error: &io::Error) -> bool {
     let errno = Errno::from_io_error(error);
     matches!(errno, Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// This machine could not even try to connect: no port or no route of its own, or a signal came in between.
+/// Whether the attempt failed on this machine before reaching the peer: no local port, no route, or an
+/// interruption by a signal.
 pub fn is_local_error(error: &io::Error) -> bool {
     let errno = Errno::from_io_error(error);
     is_resource_shortage(error)
--- a/crates/mixer/src/transport/notify.rs
+++ b/crates/mixer/src/transport/notify.rs
@@ -1,9 +1,10 @@
-//! Wakes the one task that waits on it.
+//! Wakes a single waiting task.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::task::{Poll, Waker};
 
+/// A notification that is kept until the next wait.
 #[derive(Default)]
 pub struct Notify {
     notified: Cell<bool>,
@@ -11,6 +12,7 @@
 }
 
 impl Notify {
+    /// Wakes the waiting task, or lets its next wait return at once.
     pub fn notify(&self) {
         self.notified.set(true);
         if let Some(waker) = self.waiter.take() {
@@ -18,7 +20,7 @@
         }
     }
 
-    /// Returns at once where it was rung since the last wait.
+    /// Waits for the next notification; returns at once if one has arrived since the last wait.
     pub async fn wait(&self) {
         poll_fn(|context| {
             if self.notified.replace(false) {
--- a/crates/mixer/src/transport/reactor.rs
+++ b/crates/mixer/src/transport/reactor.rs
@@ -1,10 +1,10 @@
-//! Readiness of sockets and the passing of time, for the tasks of one thread.
+//! Socket readiness and timers for the tasks of one thread.
 //!
-//! A socket is registered once, edge-triggered for both directions, and is not armed anew after an event. So nothing
-//! that can fail stands between an event that the system hands over and the task that waits for it, and an idle socket
-//! costs no call. Guards against `epoll_ctl` failing for a moment (ENOMEM, ENOSPC): with one-shot events, which have to
-//! be armed again, each such failure left a socket that was never looked at again. Hurts nobody who makes a call until
-//! it would block before waiting, as edges demand; `Socket` does.
+//! A socket is registered once, edge-triggered for both directions, and never re-armed. So no call that can
+//! fail stands between an event delivered by the kernel and the task waiting for it, and an idle socket costs
+//! no system call. This guards against transient `epoll_ctl` failures (ENOMEM, ENOSPC): with one-shot events,
+//! which must be re-armed, each such failure left a socket that was never polled again. Edge triggering
+//! requires callers to repeat a call until it would block before they wait, which `Socket` does.
 
 use rustix::buffer::spare_capacity;
 use rustix::event::{epoll, Timespec};
@@ -22,11 +22,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Events taken from the system in one call.
+/// Events fetched from the kernel per call.
 const MAX_EVENTS_PER_WAIT: usize = 256;
-/// The longest single wait for events; nothing depends on it.
+/// The longest single wait for events; correctness does not depend on it.
 const LONGEST_WAIT: Duration = Duration::from_secs(60);
-/// How long is slept where the wait for events itself fails: sockets are then looked at by time alone.
+/// Pause after a failed wait for events; sockets are then rechecked by timer only.
 const FAILED_WAIT_PAUSE: Duration = Duration::from_millis(5);
 
 thread_local! {
@@ -40,7 +40,7 @@
     Write,
 }
 
-/// What is known of one direction: an event that nobody has waited for yet, and who waits.
+/// Readiness of one direction: an event that no task has consumed yet, and the waiting task.
 #[derive(Default)]
 struct Readiness {
     reported: Cell<bool>,
@@ -82,7 +82,8 @@
     }
 }
 
-/// A socket's place with the poller. Whoever holds it takes it back by `Registration::release`, while the socket is open.
+/// A socket's registration with the poller. Its holder must call `Registration::release` while the socket is
+/// still open.
 pub struct Registration {
     reactor: Rc<Reactor>,
     key: usize,
@@ -90,7 +91,7 @@
 }
 
 impl Registration {
-    /// With the reactor of this thread.
+    /// Registers the socket with the reactor of this thread.
     pub fn new(socket: &impl AsFd) -> io::Result<Self> {
         let reactor = Reactor::current();
         let source = Rc::new(Source::default());
@@ -105,7 +106,7 @@
         Ok(Self { reactor, key, source })
     }
 
-    /// Waits for an event of this direction that came after the last one waited for.
+    /// Waits for an event in this direction that arrived after the last one consumed.
     pub async fn ready(&self, direction: Direction) {
         let readiness = match direction {
             Direction::Read => &self.source.read,
@@ -114,16 +115,18 @@
         poll_fn(|context| readiness.poll(context)).await;
     }
 
+    /// Removes the socket from the poller.
     pub fn release(&self, socket: &impl AsFd) {
-        // Where this fails, the socket's close takes it out.
+        // If this fails, closing the socket removes it from the poller.
         let _ = epoll::delete(&self.reactor.poller, socket);
         self.reactor.sources.borrow_mut().remove(self.key);
     }
 }
 
-/// A point in time that a task waits for.
+/// Due time of a timer, and a number that tells timers of the same time apart.
 type TimerKey = (Instant, u64);
 
+/// An epoll instance with the sources and timers of one thread.
 pub struct Reactor {
     poller: OwnedFd,
     sources: RefCell<Slab<Rc<Source>>>,
@@ -133,6 +136,7 @@
 }
 
 impl Reactor {
+    /// Creates the epoll instance.
     pub fn new() -> io::Result<Self> {
         Ok(Self {
             poller: epoll::create(epoll::CreateFlags::CLOEXEC)?,
@@ -148,7 +152,7 @@
         current.expect("sockets and timers are waited for within block_on")
     }
 
-    /// Runs a future, and whatever it drives, on this thread to its end.
+    /// Runs a future on this thread until it completes, with every task that it drives.
     pub fn block_on<T>(self, future: impl Future<Output = T>) -> T {
         let reactor = Rc::new(self);
         CURRENT.set(Some(reactor.clone()));
@@ -162,7 +166,7 @@
                     return done;
                 }
             }
-            // Whoever has work left only has a look at what came meanwhile.
+            // With runnable tasks left, the poll for events does not block.
             let longest = if woken.is_set() { Duration::ZERO } else { reactor.until_next_timer() };
             reactor.wait(longest);
             reactor.fire_timers();
@@ -179,7 +183,7 @@
     fn wait(&self, longest: Duration) {
         let mut events = self.events.borrow_mut();
         events.clear();
-        // The system counts whole milliseconds: rounded up, so that no timer is looked at early.
+        // epoll counts whole milliseconds: rounded up, so that it does not wake before the timer is due.
         let millis = longest.as_nanos().div_ceil(1_000_000) as i64;
         let longest = Timespec { tv_sec: millis / 1000, tv_nsec: millis % 1000 * 1_000_000 };
         match epoll::wait(&self.poller, spare_capacity(&mut events), Some(&longest)) {
@@ -192,7 +196,7 @@
     fn dispatch(&self, events: &[epoll::Event]) {
         let sources = self.sources.borrow();
         for event in events {
-            // Packed: its fields are copied out.
+            // The struct is packed, so its fields are copied out.
             let (data, flags) = (event.data, event.flags);
             if let Some(source) = sources.get(data.u64() as usize) {
                 source.report(flags);
@@ -216,8 +220,8 @@
     }
 }
 
-/// Set when the future that `block_on` runs is to be polled. Everything runs on the one thread, so nobody has to be
-/// fetched out of a wait.
+/// Set when the future run by `block_on` is to be polled. Everything runs on one thread, so a wake-up never
+/// has to interrupt a wait.
 struct Woken(AtomicBool);
 
 impl Woken {
@@ -236,7 +240,7 @@
     }
 }
 
-/// A timer's place in the reactor, given back when its task waits no more.
+/// A timer registered with the reactor; removed when its task stops waiting.
 struct TimerEntry {
     reactor: Rc<Reactor>,
     key: TimerKey,
@@ -248,10 +252,12 @@
     }
 }
 
+/// Waits for a span of time.
 pub async fn sleep(span: Duration) {
     sleep_until(Instant::now() + span).await;
 }
 
+/// Waits until a point in time.
 pub async fn sleep_until(due: Instant) {
     let mut entry: Option<TimerEntry> = None;
     poll_fn(|context| {
--- a/crates/mixer/src/transport/reactor/tests.rs
+++ b/crates/mixer/src/transport/reactor/tests.rs
@@ -3,7 +3,7 @@
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 
-/// A timer that fires early, out of order, or after its task has let go of it.
+/// Guards against a timer that fires early, out of order, or after its task has dropped it.
 #[test]
 fn timers_fire_in_order_and_not_before_their_time() {
     let (began, fired) = (Instant::now(), RefCell::new(Vec::new()));
@@ -21,7 +21,7 @@
     assert!(fired.iter().all(|(millis, at)| *at >= Duration::from_millis(*millis)), "{fired:?}");
 }
 
-/// An event that came before anybody waited, and one that came while somebody did.
+/// Covers an event that arrives before any task waits, and one that arrives during a wait.
 #[test]
 fn each_event_wakes_once() {
     let (mut here, mut there) = UnixStream::pair().unwrap();
@@ -39,7 +39,7 @@
             sleep(Duration::from_millis(20)).await;
             false
         };
-        assert!(!future::or(again, quiet).await, "nothing came");
+        assert!(!future::or(again, quiet).await, "no event without new data");
         let writes = async {
             sleep(Duration::from_millis(5)).await;
             there.write_all(b"two").unwrap();
--- a/crates/mixer/src/transport/read_buffer.rs
+++ b/crates/mixer/src/transport/read_buffer.rs
@@ -1,11 +1,13 @@
-//! What has come over a connection and is not used up: one buffer, which grows as it needs, up to its bound,
-//! and is compacted in place.
+//! Received bytes of a connection that have not been consumed. One buffer that grows on demand up to its
+//! capacity and is compacted in place.
 
-/// A first read takes a usual message whole.
+/// Enough to receive a typical message in the first read.
 const INITIAL_BYTES: usize = 2048;
-/// An emptied buffer above this is given back, so that one large message does not hold memory for good.
+/// An emptied buffer larger than this is freed, so that one large message does not hold memory for the life
+/// of the connection.
 const MAX_RETAINED_BYTES: usize = 16 * 1024;
 
+/// A growable receive buffer with a bound.
 pub struct ReadBuffer {
     bytes: Vec<u8>,
     start: usize,
@@ -14,14 +16,17 @@
 }
 
 impl ReadBuffer {
+    /// An empty buffer that grows to at most `capacity` bytes.
     pub fn new(capacity: usize) -> Self {
         Self { bytes: Vec::new(), start: 0, end: 0, capacity }
     }
 
+    /// The bytes received and not consumed yet.
     pub fn unread(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
+    /// Removes the oldest `count` unread bytes.
     pub fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.end);
         if self.start == self.end {
@@ -32,11 +37,12 @@
         }
     }
 
+    /// Whether the unread bytes fill the capacity.
     pub fn is_full(&self) -> bool {
         self.end - self.start >= self.capacity
     }
 
-    /// Where the next bytes are to be read to; empty only where the buffer is full.
+    /// The space to read the next bytes into; empty only when the buffer is full.
     pub fn space(&mut self) -> &mut [u8] {
         if self.end == self.bytes.len() && self.start > 0 {
             self.bytes.copy_within(self.start..self.end, 0);
@@ -49,6 +55,7 @@
         &mut self.bytes[self.end..]
     }
 
+    /// Marks `count` bytes of `space` as received.
     pub fn commit(&mut self, count: usize) {
         self.end = (self.end + count).min(self.bytes.len());
     }
--- a/crates/mixer/src/transport/socket.rs
+++ b/crates/mixer/src/transport/socket.rs
@@ -1,9 +1,9 @@
-//! A non-blocking socket. The socket is the state, and readiness only wakes: each wait ends after a bounded time as
-//! well, and the call that would have blocked is made again.
+//! A non-blocking socket. Readiness events are only hints: every wait also ends after a bounded time, and the
+//! call that would have blocked is then retried.
 //!
-//! Guards against events that are lost, whoever loses them, and against a poller that does not take a socket
-//! (`epoll_ctl` with ENOMEM or ENOSPC): it is looked at by time until it is taken. Hurts an idle socket by a call every
-//! [`LONGEST_RECHECK`].
+//! This guards against lost events, wherever they are lost, and against a poller that refuses a socket
+//! (`epoll_ctl` with ENOMEM or ENOSPC): that socket is rechecked by timer until the poller accepts it. The
+//! cost is one call per [`LONGEST_RECHECK`] on an idle socket.
 
 use super::reactor::{sleep, Direction, Registration};
 use futures_lite::future;
@@ -12,30 +12,32 @@
 use std::os::fd::AsFd;
 use std::time::Duration;
 
-/// When a registered socket is first looked at again without an event; each time twice as late.
+/// Delay before a registered socket is rechecked without an event; it doubles each time up to the maximum.
 const FIRST_RECHECK: Duration = Duration::from_millis(100);
 const LONGEST_RECHECK: Duration = Duration::from_secs(1);
-/// The same for a socket that the poller has not taken, where no event will come.
+/// The same for a socket that the poller has refused, for which no event will arrive.
 const FIRST_UNREGISTERED_RECHECK: Duration = Duration::from_millis(2);
 const LONGEST_UNREGISTERED_RECHECK: Duration = Duration::from_millis(50);
 
+/// A non-blocking socket and its registration with the poller.
 pub struct Socket<T: AsFd> {
     inner: T,
-    /// From the first wait on, once the poller takes it.
+    /// Set at the first wait at which the poller accepts the socket.
     registration: OnceCell<Registration>,
 }
 
 impl<T: AsFd> Socket<T> {
-    /// Of one that does not block.
+    /// Wraps a socket, which must already be non-blocking.
     pub fn new(inner: T) -> Self {
         Self { inner, registration: OnceCell::new() }
     }
 
+    /// The wrapped socket.
     pub fn get_ref(&self) -> &T {
         &self.inner
     }
 
-    /// Makes the call until it does not block.
+    /// Repeats the call until it does not return `WouldBlock`.
     pub async fn when_ready<R>(
         &self,
         direction: Direction,
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Returns when the call that would have blocked is to be made again.
+    /// Waits until the call that would have blocked should be retried.
     pub async fn wait(&self, direction: Direction, backoff: &mut RecheckBackoff) {
         let Some(registration) = self.registration() else {
             return sleep(backoff.next(FIRST_UNREGISTERED_RECHECK, LONGEST_UNREGISTERED_RECHECK)).await;
@@ -77,7 +79,7 @@
     }
 }
 
-/// How often one call has been waited for.
+/// Counts the waits for one call, and so sets the delay before the next recheck.
 #[derive(Default)]
 pub struct RecheckBackoff(u32);
 
--- a/crates/mixer/src/transport/socket/tests.rs
+++ b/crates/mixer/src/transport/socket/tests.rs
@@ -19,7 +19,8 @@
     }
 }
 
-/// A socket that the poller never takes, as where it is out of memory: epoll refuses plain files.
+/// The poller may refuse a socket, as when it is out of memory. Simulated by a plain file, which epoll
+/// refuses.
 #[test]
 fn a_socket_the_poller_refuses_is_rechecked_by_timer() {
     let socket = Socket::new(File::open("/proc/self/stat").unwrap());
@@ -34,7 +35,7 @@
     assert!(calls.get() < 20, "{calls:?}");
 }
 
-/// An event that is lost on the way.
+/// The call must be retried by timer if its readiness event is lost.
 #[test]
 fn a_call_is_retried_when_its_event_is_lost() {
     let (here, _there) = UnixStream::pair().unwrap();
--- a/crates/mixer/src/transport/system.rs
+++ b/crates/mixer/src/transport/system.rs
@@ -1,18 +1,18 @@
-//! Reads and writes that go on through what Linux documents as passing: a signal's interruption, and a shortage of
-//! buffers. Neither says that anything was taken or given, so the call is simply made again.
+//! Reads and writes that survive the failures which Linux documents as transient: interruption by a signal,
+//! and a shortage of buffers. Neither transfers any data, so the call is simply repeated.
 
 use super::reactor::{sleep, Direction};
 use super::{is_resource_shortage, Stream};
 use std::io::{self, Read, Write};
 use std::time::Duration;
 
-/// How often in a row a call is made again at once; past that others have a turn first.
+/// Immediate retries in a row; after that other tasks run first.
 const MAX_INTERRUPTED_RETRIES: usize = 16;
-/// How long a shortage of buffers is waited out.
+/// Delay before a call is retried after a shortage of buffers.
 const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Makes a call again as often as a signal interrupts it. One that is interrupted all the time is taken for one that
-/// would block.
+/// Retries a call while signals interrupt it. A call interrupted every time is reported as one that would
+/// block.
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     for _ in 0..MAX_INTERRUPTED_RETRIES {
         match call() {
@@ -23,7 +23,7 @@
     Err(io::ErrorKind::WouldBlock.into())
 }
 
-/// Bytes that have come, or none where the other side has ended its direction.
+/// Reads available bytes; returns 0 if the peer has closed its direction.
 pub async fn read(stream: &Stream, into: &mut [u8]) -> io::Result<usize> {
     loop {
         match stream.when_ready(Direction::Read, |mut socket| retry_interrupted(|| socket.read(into))).await {
@@ -33,7 +33,8 @@
     }
 }
 
-/// Writes by `write_once`, which is handed the socket and may be called several times before it takes anything.
+/// Writes with `write_once`, which is given the socket and may be called several times before it writes
+/// anything.
 pub async fn write_with(
     stream: &Stream,
     mut write_once: impl FnMut(&mut &std::net::TcpStream) -> io::Result<usize>,
@@ -49,6 +50,7 @@
     }
 }
 
+/// Writes all of `bytes`.
 pub async fn write_all(stream: &Stream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match write_with(stream, |socket| socket.write(bytes)).await? {
--- a/crates/mixer/src/transport/write_queue.rs
+++ b/crates/mixer/src/transport/write_queue.rs
@@ -1,5 +1,5 @@
-//! What waits to be written on a connection: whole frames, in order and bounded. It knows which frame's last
-//! byte the system has taken, and can take back a frame of which no byte has gone.
+//! The frames waiting to be written to a connection, in order and bounded in bytes. Tracks when the kernel
+//! has accepted the last byte of each frame, and can withdraw a frame of which no byte has been written.
 
 use super::system::write_with;
 use super::{Notify, Stream};
@@ -7,22 +7,22 @@
 use std::collections::VecDeque;
 use std::io::{self, Write};
 
-/// Says what a frame holds, at the moment when it begins to go.
+/// Encodes a frame at the moment its first byte is about to be written.
 type Encoder = Box<dyn Fn() -> Vec<u8>>;
 
-/// What a write has brought about.
+/// Progress made by a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteProgress {
-    /// Some bytes of a frame have gone, and not its last.
+    /// Some bytes of a frame have been written, but not the last.
     Partial,
-    /// The last byte of the frame of this tag.
+    /// The last byte of the frame with this tag has been written.
     Complete(u64),
 }
 
 struct Frame {
     tag: u64,
     bytes: Vec<u8>,
-    /// Of how many bytes the queue's bound is kept: another wording may be shorter.
+    /// Bytes counted against the queue's capacity. A deferred frame may turn out shorter.
     reserved: usize,
     encoder: Option<Encoder>,
 }
@@ -30,28 +30,32 @@
 #[derive(Default)]
 struct Queue {
     frames: VecDeque<Frame>,
-    /// How many bytes of the first frame have gone.
+    /// Bytes of the first frame that have been written.
     sent: usize,
     reserved: usize,
 }
 
+/// A bounded queue of frames to be written.
 pub struct WriteQueue {
     queue: RefCell<Queue>,
     capacity: usize,
+    /// Notified when a frame is queued or the connection is closed.
     pub changed: Notify,
 }
 
 impl WriteQueue {
+    /// An empty queue of `capacity` bytes.
     pub fn new(capacity: usize) -> Self {
         Self { queue: RefCell::default(), capacity, changed: Notify::default() }
     }
 
-    /// False where the bound is reached: the other side does not read. One frame is taken whatever its size.
+    /// Queues a frame. Returns false if the capacity is reached, which means that the peer is not reading. An
+    /// empty queue takes one frame of any size.
     pub fn push(&self, tag: u64, frame: Vec<u8>) -> bool {
         self.push_frame(Frame { tag, reserved: frame.len(), bytes: frame, encoder: None })
     }
 
-    /// The same for a frame of about this size that is worded by `word` when its first byte is about to go.
+    /// Queues a frame of about `reserved` bytes that is encoded when its first byte is about to be written.
     pub fn push_deferred(&self, tag: u64, reserved: usize, encode: impl Fn() -> Vec<u8> + 'static) -> bool {
         self.push_frame(Frame { tag, reserved, bytes: Vec::new(), encoder: Some(Box::new(encode)) })
     }
@@ -67,7 +71,7 @@
         true
     }
 
-    /// Takes a frame back; false where it has begun to go, or is gone.
+    /// Withdraws a frame; returns false if its writing has begun or is complete.
     pub fn withdraw(&self, tag: u64) -> bool {
         let queue = &mut *self.queue.borrow_mut();
         let Some(at) = queue.frames.iter().position(|frame| frame.tag == tag) else { return false };
@@ -78,15 +82,17 @@
         true
     }
 
+    /// Drops all queued frames.
     pub fn clear(&self) {
         *self.queue.borrow_mut() = Queue::default();
     }
 
+    /// Whether no frame is waiting to be written, in whole or in part.
     pub fn is_empty(&self) -> bool {
         self.queue.borrow().frames.is_empty()
     }
 
-    /// Writes until nothing waits, and tells what each write has brought about.
+    /// Writes until the queue is empty and reports the progress of each write.
     pub async fn drain(&self, stream: &Stream, mut on_progress: impl FnMut(WriteProgress)) -> io::Result<()> {
         while !self.is_empty() {
             let count = write_with(stream, |socket| self.write_once(socket)).await?;
@@ -101,14 +107,14 @@
 
     fn write_once(&self, socket: &mut impl Write) -> io::Result<usize> {
         let queue = &mut *self.queue.borrow_mut();
-        // Taken back while this waited for room.
+        // The frame was withdrawn while this waited for the socket to become writable.
         let Some(first) = queue.frames.front_mut() else { return Ok(0) };
         if let Some(encode) = first.encoder.as_ref().filter(|_| queue.sent == 0) {
             first.bytes = encode();
         }
         match socket.write(&first.bytes[queue.sent..]) {
             Ok(0) => Err(io::ErrorKind::WriteZero.into()),
-            count => count,
+            result => result,
         }
     }
 
--- a/crates/mixer/tests/log.rs
+++ b/crates/mixer/tests/log.rs
@@ -72,9 +72,9 @@
     assert_eq!(next().len(), PIPE - 1);
     mixer.signal("-HUP");
     let first = next();
-    assert!(first.contains("lines of the log could not be written"), "{first}");
+    assert!(first.contains("log lines were dropped"), "{first}");
     let then = next();
-    assert!(then.contains("orders read again"), "{then}");
+    assert!(then.contains("configuration reloaded"), "{then}");
 }
 
 #[test]
--- a/crates/mixer/tests/signals.rs
+++ b/crates/mixer/tests/signals.rs
@@ -14,8 +14,8 @@
 
 /// A signal takes effect within this.
 const PROMPTLY: Duration = Duration::from_millis(200);
-const READ_AGAIN: &str = "orders read again";
-const STOPS: &str = "told to stop";
+const READ_AGAIN: &str = "configuration reloaded";
+const STOPS: &str = "stopping on signal";
 
 /// One life of a mixer: the fault, how many configurations come, and the signal that ends it.
 struct Life {
--- a/crates/mixer/tests/sockets.rs
+++ b/crates/mixer/tests/sockets.rs
@@ -266,7 +266,7 @@
 #[test_case("{", "", "more after the value at byte 6"; "not JSON")]
 #[test_case("\"pure\"", "\"none\"", "services.0.repeat: unknown word none"; "unknown word")]
 #[test_case("5000", "\"none\"", "settings: tick: not a number: none"; "not a number")]
-#[test_case("127.0.0.1:9\"", "none\"", "listen is no address and port: none"; "no address")]
+#[test_case("127.0.0.1:9\"", "none\"", "listen is not an address and port: none"; "no address")]
 #[test_case("\"dial_timeout\":250000,", "", "settings: limits.dial_timeout: a number above 0 has to be stated"; "no time to dial")]
 #[test_case("\"aim\":2000000,", "", "settings: services.0.aim: a number above 0 has to be stated"; "no quoted time")]
 #[test_case("\"cells\":1,", "\"cells\":0,", "settings: family_info.cells: a number above 0 has to be stated"; "no cells")]
--- a/crates/mixer/tests/system_errors.rs
+++ b/crates/mixer/tests/system_errors.rs
@@ -224,7 +224,7 @@
     drop(clients);
     mixer.signal("-TERM");
     let began = Instant::now();
-    while !std::fs::read_to_string(&mixer.files[1]).expect("its log").contains("told to stop") {
+    while !std::fs::read_to_string(&mixer.files[1]).expect("its log").contains("stopping on signal") {
         assert!(began.elapsed() < PROMPTLY, "SIGTERM has no effect");
         std::thread::sleep(Duration::from_millis(5));
     }
