--- a/crates/mixer/src/program/config.rs
+++ b/crates/mixer/src/program/config.rs
@@ -53,14 +53,14 @@
         operator: Option<&Path>,
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, String> {
-        let read_file = |path: &Path| read_bytes(path).map_err(|error| error.to_string());
+        let read = |path: &Path| read_bytes(path).map_err(|error| error.to_string());
         let path = variable("ROUTER_CONFIG")
             .ok_or("ROUTER_CONFIG is not set; it must name the JSON configuration file")?;
         let within = |error: String| format!("{path}: {error}");
-        let json = Json::parse(&read_file(Path::new(&path)).map_err(within)?).map_err(within)?;
+        let json = Json::parse(&read(Path::new(&path)).map_err(within)?).map_err(within)?;
         let mut config = Self::from_json(&json, variable).map_err(within)?;
         if let Some(file) = operator {
-            let parsed = read_file(file)
+            let parsed = read(file)
                 .and_then(parse_operator_file)
                 .map_err(|error| format!("{}: {error}", file.display()))?;
             (config.operator, config.settings) = parsed;
