--- a/crates/mixer/src/main.rs
+++ b/crates/mixer/src/main.rs
@@ -1,4 +1,4 @@
-//! A fernglade mixer on sockets; every decision is in `fernglade::choice`.
+//! Runs a fernglade mixer on real sockets. All routing decisions are made in `fernglade::choice`.
 
 mod program;
 mod protocol;
@@ -6,30 +6,29 @@
 mod transport;
 
 use clap::Parser;
-use program::Orders;
+use program::Config;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// One mixer of a sharded search service, on sockets. The platform's orders come from the file that ROUTER_CONFIG
-/// names.
+/// One mixer of a sharded search service. Its configuration comes from the file that ROUTER_CONFIG names.
 #[derive(Parser)]
 #[command(version)]
-struct Call {
-    /// The operator's own file (JSON5), read again on SIGHUP; without it all that it could switch on is off.
+struct Arguments {
+    /// Operator's file (JSON5), reloaded on SIGHUP. Without it every optional feature is off.
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
 }
 
 fn main() -> ExitCode {
-    let call = Call::parse();
+    let arguments = Arguments::parse();
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
         .target(env_logger::Target::Pipe(Box::new(program::LogWriter::default())))
         .init();
-    let orders = Orders::read(call.operator.as_deref(), |name| std::env::var(name).ok());
-    match orders.and_then(program::run) {
+    let config = Config::read(arguments.operator.as_deref(), |name| std::env::var(name).ok());
+    match config.and_then(program::run) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("fernglade-mixer: {what}");
+        Err(error) => {
+            eprintln!("fernglade-mixer: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/mixer/src/program/accepting.rs
+++ b/crates/mixer/src/program/accepting.rs
@@ -1,12 +1,14 @@
-//! The listeners: whoever stands outside is accepted in batches, as long as the door is open.
+//! The listeners: pending connections are accepted in batches while the gate is open.
 
 use super::clients::Clients;
 use super::clock::duration;
 use super::handle::Handle;
-use super::refusals::refuse_alone;
+use super::rejections::reject_alone;
 use crate::protocol::scans::retry_later_response;
 use crate::routing::Event;
-use crate::transport::{accept, sleep, Accepted, Bell, Direction, Reserve, Socket, Wait};
+use crate::transport::{
+    accept, sleep, Accepted, Direction, Notify, RecheckBackoff, ReserveDescriptor, Socket,
+};
 use fernglade_admission::{FailureResponse, ResourceShortage};
 use futures_lite::future;
 use std::cell::Cell;
@@ -15,143 +17,147 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How many are accepted before others have a turn: some hundred microseconds' work.
-const BATCH: usize = 32;
-/// How long the backlog of a listener that is to be shut is looked after where accepts fail.
-const LAST_ACCEPTS: Duration = Duration::from_millis(200);
-/// Where not even the reserve accepts: long enough not to spin, short against any client's time.
-const SHORT_PAUSE: Duration = Duration::from_millis(20);
-/// A shortage that lasts is told of once in so long.
-const TOLD_EVERY: Duration = Duration::from_secs(10);
+/// Connections accepted before other tasks run: some hundred microseconds of work.
+const BATCH_SIZE: usize = 32;
+/// How long a stopped listener's backlog is still drained while accepts fail.
+const BACKLOG_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
+/// Pause when not even the reserve descriptor makes an accept succeed: long enough not to spin, short
+/// compared with any client's timeout.
+const SHORTAGE_PAUSE: Duration = Duration::from_millis(20);
+/// Minimum interval between warnings about a lasting shortage.
+const WARNING_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Whether clients are accepted by one listener.
+/// Controls whether one listener accepts clients.
 #[derive(Default)]
-pub struct Door {
-    full: Cell<bool>,
-    shut: Cell<bool>,
-    moved: Bell,
+pub struct AcceptGate {
+    paused: Cell<bool>,
+    stopped: Cell<bool>,
+    changed: Notify,
 }
 
-impl Door {
-    pub fn open(&self, open: bool) {
-        self.full.set(!open);
-        self.moved.ring();
+impl AcceptGate {
+    /// Resumes or pauses accepting.
+    pub fn set_open(&self, open: bool) {
+        self.paused.set(!open);
+        self.changed.notify();
     }
 
-    pub fn shut(&self) {
-        self.shut.set(true);
-        self.moved.ring();
+    /// Stops accepting for good; the backlog is drained after that.
+    pub fn stop(&self) {
+        self.stopped.set(true);
+        self.changed.notify();
     }
 
-    /// Waits until somebody may stand outside, or the door is opened or shut.
-    async fn somebody(&self, listener: &Socket<TcpListener>) {
-        if self.full.get() {
-            return self.moved.wait().await;
+    /// Waits until a connection may be pending, or the state of the gate changes.
+    async fn wait_for_connection(&self, listener: &Socket<TcpListener>) {
+        if self.paused.get() {
+            return self.changed.wait().await;
         }
-        future::or(self.moved.wait(), listener.wait(Direction::Read, &mut Wait::default())).await;
+        future::or(self.changed.wait(), listener.wait(Direction::Read, &mut RecheckBackoff::default())).await;
     }
 
-    fn takes_more(&self) -> bool {
-        !self.full.get() && !self.shut.get()
+    fn accepts(&self) -> bool {
+        !self.paused.get() && !self.stopped.get()
     }
 }
 
-/// What a batch of accepts leaves of the backlog.
+/// The state of the backlog after a batch of accepts.
 enum Backlog {
-    /// Nobody stands there who is to be let in now.
+    /// No connection is left that should be accepted now.
     Emptied,
-    /// Somebody may.
-    Left,
+    /// Further connections may be pending.
+    MayHaveMore,
 }
 
-/// One listener, and what it meets.
-struct Accepting {
+/// One listener with the state of its accept failures.
+struct Acceptor {
     clients: Rc<Clients>,
     handle: Handle,
     listener: Socket<TcpListener>,
     shortage: ResourceShortage,
-    reserve: Reserve,
-    told: Option<Instant>,
+    reserve: ReserveDescriptor,
+    warned_at: Option<Instant>,
 }
 
-/// Accepts until the door is shut, then lets in who stands in the backlog, and closes the listener.
-pub async fn accept_all(clients: Rc<Clients>, handle: Handle, which: usize, listener: Socket<TcpListener>) {
-    let mut accepting = Accepting {
+/// Accepts until the gate is stopped, then drains the backlog and closes the listener.
+pub async fn accept_all(clients: Rc<Clients>, handle: Handle, index: usize, listener: Socket<TcpListener>) {
+    let mut acceptor = Acceptor {
         clients: clients.clone(),
         handle: handle.clone(),
         listener,
         shortage: ResourceShortage::default(),
-        reserve: Reserve::default(),
-        told: None,
+        reserve: ReserveDescriptor::default(),
+        warned_at: None,
     };
-    let door = clients.door(which);
-    while !door.shut.get() {
-        match accepting.batch(door).await {
-            Backlog::Emptied => door.somebody(&accepting.listener).await,
-            Backlog::Left => future::yield_now().await,
+    let gate = clients.gate(index);
+    while !gate.stopped.get() {
+        match acceptor.batch(gate).await {
+            Backlog::Emptied => gate.wait_for_connection(&acceptor.listener).await,
+            Backlog::MayHaveMore => future::yield_now().await,
         }
     }
-    accepting.empty_backlog().await;
-    drop(accepting);
-    handle.feed(Event::ListenerClosed);
+    acceptor.drain_backlog().await;
+    drop(acceptor);
+    handle.dispatch(Event::ListenerClosed);
 }
 
-impl Accepting {
-    /// Nobody is accepted where the door is not open.
-    async fn batch(&mut self, door: &Door) -> Backlog {
-        for _ in 0..BATCH {
-            if !door.takes_more() {
+impl Acceptor {
+    /// Accepts up to [`BATCH_SIZE`] connections, none while the gate is not open.
+    async fn batch(&mut self, gate: &AcceptGate) -> Backlog {
+        for _ in 0..BATCH_SIZE {
+            if !gate.accepts() {
                 return Backlog::Emptied;
             }
             match accept(self.listener.get_ref()) {
-                Ok(Some(accepted)) => self.knock(accepted),
+                Ok(Some(accepted)) => self.hand_over(accepted),
                 Ok(None) => return Backlog::Emptied,
                 Err(error) => {
-                    self.failed(&error).await;
-                    return Backlog::Left;
+                    self.accept_failed(&error).await;
+                    return Backlog::MayHaveMore;
                 }
             }
         }
-        Backlog::Left
+        Backlog::MayHaveMore
     }
 
-    /// The system has taken in who stands outside: they are served, or told.
-    async fn empty_backlog(&mut self) {
+    /// Accepts the connections that the kernel has already established, so that each is served or rejected.
+    async fn drain_backlog(&mut self) {
         let began = Instant::now();
         loop {
             match accept(self.listener.get_ref()) {
-                Ok(Some(accepted)) => self.knock(accepted),
+                Ok(Some(accepted)) => self.hand_over(accepted),
                 Ok(None) => return,
-                Err(_) if began.elapsed() > LAST_ACCEPTS => return,
-                Err(error) => self.failed(&error).await,
+                Err(_) if began.elapsed() > BACKLOG_DRAIN_TIMEOUT => return,
+                Err(error) => self.accept_failed(&error).await,
             }
         }
     }
 
-    fn knock(&mut self, accepted: Accepted) {
+    fn hand_over(&mut self, accepted: Accepted) {
         self.shortage.record_success();
-        self.clients.knocked(&self.handle, accepted);
+        self.clients.accepted(&self.handle, accepted);
     }
 
-    async fn failed(&mut self, error: &io::Error) {
+    async fn accept_failed(&mut self, error: &io::Error) {
         match self.shortage.record_failure() {
             FailureResponse::Retry(pause) => sleep(duration(pause)).await,
-            FailureResponse::FreeDescriptors => self.make_room(error).await,
+            FailureResponse::FreeDescriptors => self.reject_for_shortage(error).await,
         }
     }
 
-    /// Whoever is at the door hears that there is no room, rather than waiting for what may not come.
-    async fn make_room(&mut self, error: &io::Error) {
-        if self.told.is_none_or(|told| told.elapsed() > TOLD_EVERY) {
-            log::warn!("no client can be let in: {error}");
-            self.told = Some(Instant::now());
+    /// Rejects the next pending client at once, as it would otherwise wait for a descriptor that may never be
+    /// free.
+    async fn reject_for_shortage(&mut self, error: &io::Error) {
+        if self.warned_at.is_none_or(|warned_at| warned_at.elapsed() > WARNING_INTERVAL) {
+            log::warn!("cannot accept clients: {error}");
+            self.warned_at = Some(Instant::now());
         }
-        self.handle.feed(Event::OutOfResources);
+        self.handle.dispatch(Event::OutOfResources);
         match self.reserve.accept(self.listener.get_ref()) {
             Some(accepted) => {
-                refuse_alone(accepted.stream, &retry_later_response(self.clients.come_back(), true)).await
+                reject_alone(accepted.stream, &retry_later_response(self.clients.retry_after(), true)).await
             }
-            None => sleep(SHORT_PAUSE).await,
+            None => sleep(SHORTAGE_PAUSE).await,
         }
         self.reserve.restore();
     }
--- a/crates/mixer/src/program/clients.rs
+++ b/crates/mixer/src/program/clients.rs
@@ -1,14 +1,14 @@
-//! Clients: let in, read, and answered, one request at a time on each connection.
+//! Client connections: admission, reading and answering, one request at a time per connection.
 
-use super::accepting::Door;
+use super::accepting::AcceptGate;
 use super::handle::Handle;
 use super::identity::Identity;
-use super::listening::serve;
-use super::refusals::Refusals;
+use super::rejections::Rejections;
+use super::requests::serve;
 use crate::protocol::scans::{self, retry_later_response};
 use crate::protocol::MAX_BODY_BYTES;
 use crate::routing::{ClientId, Event, Reply};
-use crate::transport::{sleep, Accepted, Line, Socket};
+use crate::transport::{sleep, Accepted, ConnectionControl, Socket};
 use fernglade::Span;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,109 +16,125 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// One answer.
-const MOST_WAITING: usize = MAX_BODY_BYTES + 1024;
-/// Who asks for what makes no sense is heard again after this: at full speed it would take the time of others.
-const REST: Duration = Duration::from_millis(100);
+/// Enough for one answer.
+const MAX_QUEUED_BYTES: usize = MAX_BODY_BYTES + 1024;
+/// Pause after an invalid request before the next is read: at full speed a client sending only such requests
+/// would take the time of others.
+const INVALID_REQUEST_DELAY: Duration = Duration::from_millis(100);
 
-/// All clients' connections: those that were accepted and have no place yet, those inside, and those that hear a
-/// refusal.
+/// All client connections: accepted ones awaiting admission, admitted ones, and those whose rejection is
+/// being delivered.
 pub struct Clients {
-    /// One for each address that is listened on.
-    doors: Vec<Door>,
-    count: Cell<u64>,
+    /// One for each listening address.
+    gates: Vec<AcceptGate>,
+    last_id: Cell<u64>,
     pending: RefCell<BTreeMap<ClientId, (TcpStream, Instant)>>,
-    inside: RefCell<BTreeMap<ClientId, Rc<Connection>>>,
-    refusals: Refusals,
-    /// When those refused last were to come back; for those refused where no descriptor is left.
-    come_back: Cell<Span>,
-    /// Indices of the query dialect; it is not spoken where there are none.
+    admitted: RefCell<BTreeMap<ClientId, Rc<Connection>>>,
+    rejections: Rejections,
+    /// The latest retry delay sent with a rejection; reused for clients rejected when no descriptor is left.
+    retry_after: Cell<Span>,
+    /// Indices of the query dialect; the dialect is off if there are none.
     indices: BTreeSet<String>,
-    who: Rc<Identity>,
+    identity: Rc<Identity>,
 }
 
 impl Clients {
-    /// So many may stand half closed until they have fetched their refusal.
-    pub fn new(listeners: usize, most_told: usize, indices: BTreeSet<String>, who: Rc<Identity>) -> Self {
+    /// `max_rejections` bounds the half-closed connections whose rejection has not been read yet.
+    pub fn new(
+        listeners: usize,
+        max_rejections: usize,
+        indices: BTreeSet<String>,
+        identity: Rc<Identity>,
+    ) -> Self {
         Self {
             indices,
-            who,
-            doors: (0..listeners).map(|_| Door::default()).collect(),
-            count: Cell::new(0),
+            identity,
+            gates: (0..listeners).map(|_| AcceptGate::default()).collect(),
+            last_id: Cell::new(0),
             pending: RefCell::default(),
-            inside: RefCell::default(),
-            refusals: Refusals::new(most_told),
-            come_back: Cell::new(Span::ZERO),
+            admitted: RefCell::default(),
+            rejections: Rejections::new(max_rejections),
+            retry_after: Cell::new(Span::ZERO),
         }
     }
 
-    pub fn door(&self, listener: usize) -> &Door {
-        &self.doors[listener]
+    /// The gate of one listener, by its index.
+    pub fn gate(&self, listener: usize) -> &AcceptGate {
+        &self.gates[listener]
     }
 
-    pub fn refusals(&self) -> &Refusals {
-        &self.refusals
+    /// The rejections under way.
+    pub fn rejections(&self) -> &Rejections {
+        &self.rejections
     }
 
-    pub fn come_back(&self) -> Span {
-        self.come_back.get()
+    /// The latest retry delay sent with a rejection.
+    pub fn retry_after(&self) -> Span {
+        self.retry_after.get()
     }
 
+    /// The indices of the query dialect.
     pub fn indices(&self) -> &BTreeSet<String> {
         &self.indices
     }
 
-    pub fn may_read_figures(&self, from: std::net::IpAddr) -> bool {
-        self.who.tells_to(from)
+    /// Whether metrics may be sent to this address.
+    pub fn may_read_metrics(&self, from: std::net::IpAddr) -> bool {
+        self.identity.may_read_metrics(from)
     }
 
-    /// A connection was accepted: it waits until the house has a place for it, or none.
-    pub fn knocked(&self, handle: &Handle, accepted: Accepted) {
-        self.count.set(self.count.get() + 1);
-        let client = ClientId(self.count.get());
+    /// Registers an accepted connection, which waits for the decision whether to admit it.
+    pub fn accepted(&self, handle: &Handle, accepted: Accepted) {
+        self.last_id.set(self.last_id.get() + 1);
+        let client = ClientId(self.last_id.get());
         self.pending.borrow_mut().insert(client, (accepted.stream, Instant::now()));
-        handle.feed(Event::ClientAccepted(client, accepted.from));
+        handle.dispatch(Event::ClientAccepted(client, accepted.from));
     }
 
-    /// A connection is over, its descriptor free.
-    pub fn left(&self, handle: &Handle, client: ClientId) {
-        self.inside.borrow_mut().remove(&client);
-        handle.feed(Event::ClientDisconnected(client));
+    /// Removes a connection that has ended and whose descriptor is closed.
+    pub fn closed(&self, handle: &Handle, client: ClientId) {
+        self.admitted.borrow_mut().remove(&client);
+        handle.dispatch(Event::ClientDisconnected(client));
     }
 
-    pub fn open_door(&self, open: bool) {
-        self.doors.iter().for_each(|door| door.open(open));
+    /// Resumes or pauses accepting on all listeners.
+    pub fn set_accepting(&self, open: bool) {
+        self.gates.iter().for_each(|gate| gate.set_open(open));
     }
 
-    pub fn shut_door(&self) {
-        self.doors.iter().for_each(Door::shut);
+    /// Stops all listeners.
+    pub fn stop_listening(&self) {
+        self.gates.iter().for_each(AcceptGate::stop);
     }
 
-    /// Lets in one that waits on the porch.
-    pub fn let_in(self: &Rc<Self>, handle: &Handle, client: ClientId) {
+    /// Admits a pending connection.
+    pub fn admit(self: &Rc<Self>, handle: &Handle, client: ClientId) {
         let waited = self.pending.borrow_mut().remove(&client);
-        let Some((stream, since)) = waited else { return handle.feed(Event::ClientDisconnected(client)) };
-        // Inside from now on: it may be sent off before its task has run once.
+        let Some((stream, since)) = waited else { return handle.dispatch(Event::ClientDisconnected(client)) };
+        // Registered before its task first runs, since it may be drained before that.
         let connection = Rc::new(Connection::new());
-        self.inside.borrow_mut().insert(client, connection.clone());
+        self.admitted.borrow_mut().insert(client, connection.clone());
         let stream = Socket::new(stream);
         handle.spawn(serve(self.clone(), handle.clone(), client, stream, connection, since.elapsed()));
     }
 
-    pub fn turn_away(&self, client: ClientId, pause: Span) {
-        self.come_back.set(pause);
+    /// Rejects a pending connection and asks its client to retry after `pause`.
+    pub fn reject(&self, client: ClientId, pause: Span) {
+        self.retry_after.set(pause);
         if let Some((stream, _)) = self.pending.borrow_mut().remove(&client) {
-            self.refusals.tell(stream, &retry_later_response(pause, true));
+            self.rejections.add(stream, &retry_later_response(pause, true));
         }
     }
 
-    pub fn dismiss(&self, client: ClientId) {
-        self.with(client, |connection| connection.send_off());
+    /// Closes a connection once the requests already received on it are answered.
+    pub fn drain(&self, client: ClientId) {
+        self.with(client, |connection| connection.drain());
     }
 
+    /// Encodes and queues the reply to the current request.
     pub fn reply(&self, handle: &Handle, client: ClientId, reply: &Reply, last: bool) {
         self.with(client, |connection| {
-            let last = connection.ends_with_this(last);
+            let last = connection.is_final_answer(last);
             let bytes = match reply {
                 Reply::Answer { complete, values } => scans::scan_response(*complete, values, last),
                 Reply::Rejected(retry_after) => retry_later_response(*retry_after, last),
@@ -127,9 +143,11 @@
                     scans::dialect_response(*status, body, *retry_after, opaque_id.as_deref(), last)
                 }
                 Reply::Health(ready) => scans::health_response(*ready, last),
-                Reply::Metrics(figures) => scans::metrics_response(&self.who.tells(figures).encode(), last),
-                Reply::InvalidRequest(why) if !last && !connection.sent_off.get() => {
-                    return handle.spawn(connection.clone().blame(scans::error_response(why, last)));
+                Reply::Metrics(figures) => {
+                    scans::metrics_response(&self.identity.metrics(figures).encode(), last)
+                }
+                Reply::InvalidRequest(why) if !last && !connection.draining.get() => {
+                    return handle.spawn(connection.clone().answer_invalid(scans::error_response(why, last)));
                 }
                 Reply::InvalidRequest(why) => scans::error_response(why, last),
             };
@@ -137,83 +155,88 @@
         });
     }
 
-    fn with(&self, client: ClientId, act: impl FnOnce(&Rc<Connection>)) {
-        let connection = self.inside.borrow().get(&client).cloned();
+    fn with(&self, client: ClientId, action: impl FnOnce(&Rc<Connection>)) {
+        let connection = self.admitted.borrow().get(&client).cloned();
         if let Some(connection) = connection {
-            act(&connection);
+            action(&connection);
         }
     }
 }
 
-/// One client's connection, as others see it.
+/// The state of one client's connection that is shared between its task and the hub.
 pub struct Connection {
-    pub line: Line,
+    /// Writes to the connection and closes it.
+    pub control: ConnectionControl,
     /// A request is being answered.
     pub answering: Cell<bool>,
-    /// The client wants no more than this answer.
+    /// The connection ends with the answer to the current request, as the client asked or because its input
+    /// cannot be parsed.
     pub is_last: Cell<bool>,
-    /// It is to go, once what has come from it is answered.
-    pub sent_off: Cell<bool>,
-    /// More was read than the request that is being answered.
+    /// The connection is to be closed once the requests already received are answered.
+    pub draining: Cell<bool>,
+    /// More input was read than the request that is being answered.
     pub unread: Cell<bool>,
 }
 
 impl Connection {
     fn new() -> Self {
-        let line = Line::new(MOST_WAITING);
+        let control = ConnectionControl::new(MAX_QUEUED_BYTES);
         Self {
-            line,
+            control,
             answering: false.into(),
             is_last: false.into(),
-            sent_off: false.into(),
+            draining: false.into(),
             unread: false.into(),
         }
     }
 
-    /// Whether the next request may be looked at: the one before it is answered, and its answer written.
+    /// Whether the next request may be parsed: the one before it is answered, and that answer written.
     pub fn takes_request(&self) -> bool {
-        let line = &self.line;
-        !line.is_closing() && !self.answering.get() && !line.is_flooded() && line.outbox.is_empty()
+        let control = &self.control;
+        !control.is_closing()
+            && !self.answering.get()
+            && !control.has_overflowed()
+            && control.write_queue.is_empty()
     }
 
-    /// Whether the connection ends with the answer that is given now. One that is sent off stays until all that was
+    /// Whether the connection ends with the current answer. A draining connection stays open until everything
     /// read from it is answered.
-    fn ends_with_this(&self, sent_off: bool) -> bool {
-        if self.is_last.get() || self.line.is_flooded() {
+    fn is_final_answer(&self, draining: bool) -> bool {
+        if self.is_last.get() || self.control.has_overflowed() {
             return true;
         }
-        self.sent_off.set(self.sent_off.get() || sent_off);
-        self.sent_off.get() && !self.unread.get()
+        self.draining.set(self.draining.get() || draining);
+        self.draining.get() && !self.unread.get()
     }
 
-    fn send_off(&self) {
-        self.sent_off.set(true);
-        self.line.look.ring();
+    fn drain(&self) {
+        self.draining.set(true);
+        self.control.recheck.notify();
     }
 
     fn answer(&self, bytes: Vec<u8>, last: bool) {
-        let room = self.line.outbox.push(0, bytes);
-        if last || !room {
-            self.line.close();
+        let queued = self.control.write_queue.push(0, bytes);
+        if last || !queued {
+            self.control.close();
         }
-        self.hear_on();
+        self.finish_answer();
     }
 
-    fn hear_on(&self) {
+    fn finish_answer(&self) {
         self.answering.set(false);
-        self.line.look.ring();
+        self.control.recheck.notify();
     }
 
-    /// The same for one who asked for what makes no sense, and may ask on.
-    async fn blame(self: Rc<Self>, bytes: Vec<u8>) {
-        if !self.line.outbox.push(0, bytes) {
-            self.line.close();
+    /// Answers an invalid request, and delays the next one if the client may send more.
+    async fn answer_invalid(self: Rc<Self>, bytes: Vec<u8>) {
+        if !self.control.write_queue.push(0, bytes) {
+            self.control.close();
         }
-        sleep(REST).await;
-        if self.line.is_flooded() {
-            self.line.close();
+        sleep(INVALID_REQUEST_DELAY).await;
+        if self.control.has_overflowed() {
+            self.control.close();
         }
-        self.hear_on();
+        self.finish_answer();
     }
 }
 
--- a/crates/mixer/src/program/identity.rs
+++ b/crates/mixer/src/program/identity.rs
@@ -1,6 +1,7 @@
-//! Who this mixer is, for those who may read its figures: its program, the settings in force, this life of it.
+//! What this mixer reports of itself in its metrics: its program, the settings in force, and this incarnation
+//! of the process.
 
-use super::Orders;
+use super::Config;
 use crate::protocol::metrics::{bucket_bounds_micros, MixerMetrics, TrafficTypeMetrics};
 use crate::routing::{Metrics, TrafficTypeCounts};
 use fernglade_orders::{digest, OperatorConfig};
@@ -8,50 +9,55 @@
 use std::net::IpAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
+/// What identifies this process in its metrics.
 #[derive(Default)]
 pub struct Identity {
     operator: OperatorConfig,
     program: String,
     incarnation: String,
     settings: RefCell<String>,
-    refused: Cell<bool>,
+    settings_refused: Cell<bool>,
 }
 
 impl Identity {
-    /// Nothing is read where nobody may ask.
-    pub fn new(orders: &Orders) -> Self {
-        let tells = orders.operator.exposes_metrics();
-        // The file that this process began from, whatever stands at its path by now.
-        let program = tells.then(|| std::fs::read("/proc/self/exe").ok()).flatten();
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
+    /// Reads the program's file only if metrics are enabled for anyone.
+    pub fn new(config: &Config) -> Self {
+        let enabled = config.operator.exposes_metrics();
+        // The executable of this process, even if its path has been replaced since.
+        let program = enabled.then(|| std::fs::read("/proc/self/exe").ok()).flatten();
+        let started_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
         Self {
-            operator: orders.operator.clone(),
+            operator: config.operator.clone(),
             program: digest(program.as_deref()),
-            incarnation: format!("{since}-{}", std::process::id()),
-            settings: RefCell::new(orders.settings.clone()),
-            refused: Cell::new(false),
+            incarnation: format!("{started_ms}-{}", std::process::id()),
+            settings: RefCell::new(config.settings.clone()),
+            settings_refused: Cell::new(false),
         }
     }
 
-    pub fn tells_to(&self, from: IpAddr) -> bool {
+    /// Whether metrics may be sent to this address.
+    pub fn may_read_metrics(&self, from: IpAddr) -> bool {
         self.operator.may_read_metrics(from)
     }
 
-    /// The operator's file was read again: its digest is told once all of it is in force, and not before.
-    pub fn read_again(&self, orders: &Orders) -> bool {
-        let in_force = orders.operator.differs_only_in_admission(&self.operator);
-        self.refused.set(!in_force);
+    /// Takes up a reloaded operator's file and returns whether all of it is in force. Its digest is reported
+    /// only then.
+    pub fn reloaded(&self, config: &Config) -> bool {
+        let in_force = config.operator.differs_only_in_admission(&self.operator);
+        self.settings_refused.set(!in_force);
         if in_force {
-            self.settings.replace(orders.settings.clone());
+            self.settings.replace(config.settings.clone());
         }
         in_force
     }
 
-    pub fn refused(&self) {
-        self.refused.set(true);
+    /// Records that a reloaded configuration was refused.
+    pub fn reload_failed(&self) {
+        self.settings_refused.set(true);
     }
 
-    pub fn tells(&self, figures: &Metrics) -> MixerMetrics {
+    /// The metrics to be reported, from the figures of the routing state.
+    pub fn metrics(&self, figures: &Metrics) -> MixerMetrics {
         let of_type = |(name, line): &(String, TrafficTypeCounts)| TrafficTypeMetrics {
             name: name.clone(),
             taken: line.taken,
@@ -71,8 +77,8 @@
             incarnation: self.incarnation.clone(),
             process_id: std::process::id(),
             ready: figures.ready,
-            settings_refused: self.refused.get(),
-            resident_bytes: resident(),
+            settings_refused: self.settings_refused.get(),
+            resident_bytes: resident_bytes(),
             searchers_ready: figures.searchers_listed,
             relays: figures.relays,
             traffic_types: figures.traffic_types.iter().map(of_type).collect(),
@@ -80,8 +86,8 @@
     }
 }
 
-/// Pages resident stand second in the file; nothing where it can't be read.
-fn resident() -> u64 {
+/// Resident memory from the second field of statm, in pages; 0 if it cannot be read.
+fn resident_bytes() -> u64 {
     let read = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: u64 = read.split(' ').nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0);
     pages * rustix::param::page_size() as u64
--- a/crates/mixer/src/program/links.rs
+++ b/crates/mixer/src/program/links.rs
@@ -1,4 +1,4 @@
-//! One link to a searcher: dialled, then run until it ends.
+//! Links to searchers: each is dialed, then served by one task until it ends.
 
 use super::clock::duration;
 use super::handle::Handle;
@@ -7,7 +7,8 @@
 use crate::protocol::{nodes, MAX_BODY_BYTES};
 use crate::routing::{CallId, CloseReason, Event, LinkId, SearcherProtocol};
 use crate::transport::{
-    dial, is_local_fault, is_short, pump, sleep, Bell, Inbox, Line, Stop, Stream, Written,
+    dial, is_local_error, is_resource_shortage, run_connection, sleep, ConnectionControl, Notify, ReadBuffer,
+    Stream, StreamEnd, WriteProgress,
 };
 use fernglade_admission::{FailureResponse, ResourceShortage};
 use futures_lite::future;
@@ -22,27 +23,27 @@
 use std::task::Poll;
 use std::time::{Duration, Instant};
 
-/// What may wait to be written to one searcher: the longest calls of one part, on a link full of them. Usual
-/// calls take a hundred bytes; all links together hold no more of them than parts are open.
-const MOST_WAITING: usize = 2 * 1024 * 1024;
-/// A client that is sent off frees its place within this.
-const ROOM_PAUSE: Duration = Duration::from_millis(5);
-/// The tag of frames whose writing nobody waits for.
-const UNTOLD: u64 = 0;
+/// Bound on the bytes queued for one searcher: the longest calls of one part, on a full link. Usual calls
+/// take a hundred bytes; all links together hold no more of them than there are open parts.
+const MAX_QUEUED_BYTES: usize = 2 * 1024 * 1024;
+/// A drained client frees its descriptor within this time.
+const ROOM_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// The tag of frames whose completion is not reported.
+const UNTRACKED: u64 = 0;
 
-/// The near ends of all links to searchers.
+/// The local ends of all links to searchers.
 #[derive(Default)]
-pub struct Links(RefCell<BTreeMap<LinkId, Rc<Near>>>);
+pub struct Links(RefCell<BTreeMap<LinkId, Rc<LinkHandle>>>);
 
-/// The near end of one.
-struct Near {
-    line: Line,
-    tongue: SearcherProtocol,
+/// The local end of one link.
+struct LinkHandle {
+    control: ConnectionControl,
+    protocol: SearcherProtocol,
     to: SocketAddr,
-    /// Rung for a further attempt while it is dialled.
-    beside: Bell,
-    /// What a node of the query dialect was asked and has not answered, in order.
-    asked: RefCell<VecDeque<Question>>,
+    /// Notified to start a further attempt while the link is being dialed.
+    extra_attempt: Notify,
+    /// Requests to a node of the query dialect that are not answered yet, in order.
+    unanswered: RefCell<VecDeque<Question>>,
 }
 
 enum Question {
@@ -52,149 +53,185 @@
 }
 
 impl Links {
+    /// Starts dialing a searcher; the link is served once it is connected.
     pub fn dial(
         self: &Rc<Self>,
         handle: &Handle,
         link: LinkId,
         to: SocketAddr,
-        tongue: SearcherProtocol,
+        protocol: SearcherProtocol,
         within: Duration,
     ) {
-        let line = Line::new(MOST_WAITING);
-        let near = Rc::new(Near { line, tongue, to, beside: Bell::default(), asked: RefCell::default() });
-        self.0.borrow_mut().insert(link, near.clone());
-        handle.spawn(serve(self.clone(), handle.clone(), link, near, within));
+        let control = ConnectionControl::new(MAX_QUEUED_BYTES);
+        let link_handle = Rc::new(LinkHandle {
+            control,
+            protocol,
+            to,
+            extra_attempt: Notify::default(),
+            unanswered: RefCell::default(),
+        });
+        self.0.borrow_mut().insert(link, link_handle.clone());
+        handle.spawn(serve(self.clone(), handle.clone(), link, link_handle, within));
     }
 
-    pub fn dial_beside(&self, link: LinkId) {
-        self.near(link).iter().for_each(|near| near.beside.ring());
+    /// Starts a further connection attempt beside those of a link being dialed.
+    pub fn dial_extra(&self, link: LinkId) {
+        self.link_handle(link).iter().for_each(|link_handle| link_handle.extra_attempt.notify());
     }
 
+    /// Queues a call with one or more parts.
     pub fn call(&self, handle: &Handle, link: LinkId, call: CallId, errands: &[PartRequest]) {
-        let Some(near) = self.near(link) else { return };
-        match (near.tongue, errands) {
+        let Some(link_handle) = self.link_handle(link) else { return };
+        match (link_handle.protocol, errands) {
             (SearcherProtocol::Frames, errands) => {
-                let (errands, size, handed_over) =
+                let (errands, size, queued_at) =
                     (errands.to_vec(), frames::estimated_call_size(errands), Instant::now());
-                let word = move || frames::encode_call(&errands, handed_over.elapsed().as_millis() as u64);
-                if !near.line.outbox.push_worded(call.0, size, word) {
+                let encode = move || frames::encode_call(&errands, queued_at.elapsed().as_millis() as u64);
+                if !link_handle.control.write_queue.push_deferred(call.0, size, encode) {
                     self.end(handle, link, CloseReason::WriteBacklogFull);
                 }
             }
             (SearcherProtocol::QueryApi, [errand]) => {
-                if let Some(question) = nodes::encode_part_request(errand, &near.to.to_string()) {
-                    near.asked.borrow_mut().push_back(Question::Part(errand.id.clone()));
+                if let Some(question) = nodes::encode_part_request(errand, &link_handle.to.to_string()) {
+                    link_handle.unanswered.borrow_mut().push_back(Question::Part(errand.id.clone()));
                     self.write(handle, link, call.0, question);
                 }
             }
-            // All of its parts were given up before it was handed over.
+            // Every part of the call was given up before it was handed over.
             (SearcherProtocol::QueryApi, _) => {}
         }
     }
 
+    /// Tells the searcher that the answer to a part is no longer wanted.
     pub fn give_up(&self, handle: &Handle, link: LinkId, id: &str) {
-        self.write(handle, link, UNTOLD, frames::encode_cancel(id));
+        self.write(handle, link, UNTRACKED, frames::encode_cancel(id));
     }
 
+    /// Sends a health check.
     pub fn check(&self, handle: &Handle, link: LinkId) {
-        let Some(near) = self.near(link) else { return };
-        match near.tongue {
-            SearcherProtocol::Frames => self.write(handle, link, UNTOLD, frames::encode_probe()),
+        let Some(link_handle) = self.link_handle(link) else { return };
+        match link_handle.protocol {
+            SearcherProtocol::Frames => self.write(handle, link, UNTRACKED, frames::encode_probe()),
             SearcherProtocol::QueryApi => {
-                near.asked.borrow_mut().push_back(Question::Check);
-                self.write(handle, link, UNTOLD, get_request("/_cluster/health", &near.to.to_string()));
+                link_handle.unanswered.borrow_mut().push_back(Question::Check);
+                self.write(
+                    handle,
+                    link,
+                    UNTRACKED,
+                    get_request("/_cluster/health", &link_handle.to.to_string()),
+                );
             }
         }
     }
 
-    /// At a node's first contact, ahead of its first part.
+    /// Asks for a node's version at the first contact, ahead of its first part.
     pub fn ask_version(&self, handle: &Handle, link: LinkId) {
-        let Some(near) = self.near(link) else { return };
-        near.asked.borrow_mut().push_back(Question::Version);
-        self.write(handle, link, UNTOLD, get_request("/", &near.to.to_string()));
+        let Some(link_handle) = self.link_handle(link) else { return };
+        link_handle.unanswered.borrow_mut().push_back(Question::Version);
+        self.write(handle, link, UNTRACKED, get_request("/", &link_handle.to.to_string()));
     }
 
-    /// Where the searcher takes nothing and the bound is reached, the link is over.
+    /// Queues a frame. A full queue means that the searcher does not read, and ends the link.
     fn write(&self, handle: &Handle, link: LinkId, tag: u64, frame: Vec<u8>) {
-        if self.near(link).is_some_and(|near| !near.line.outbox.push(tag, frame)) {
+        if self.link_handle(link).is_some_and(|link_handle| !link_handle.control.write_queue.push(tag, frame))
+        {
             self.end(handle, link, CloseReason::WriteBacklogFull);
         }
     }
 
+    /// Withdraws a call if none of its bytes has been written.
     pub fn withdraw(&self, handle: &Handle, link: LinkId, call: CallId) {
-        let Some(near) = self.near(link) else { return };
-        if near.line.outbox.withdraw(call.0) {
-            // It was the one part asked there; a check may stand beside it.
-            near.asked.borrow_mut().retain(|question| !matches!(question, Question::Part(_)));
-            handle.feed(Event::CallWithdrawn(link, call));
+        let Some(link_handle) = self.link_handle(link) else { return };
+        if link_handle.control.write_queue.withdraw(call.0) {
+            // It was the only part requested on this link; a health check may be outstanding beside it.
+            link_handle.unanswered.borrow_mut().retain(|question| !matches!(question, Question::Part(_)));
+            handle.dispatch(Event::CallWithdrawn(link, call));
         }
     }
 
-    pub fn hang_up(&self, link: LinkId) {
-        self.near(link).iter().for_each(|near| near.line.close());
+    /// Closes a link once its queued frames are written.
+    pub fn close(&self, link: LinkId) {
+        self.link_handle(link).iter().for_each(|link_handle| link_handle.control.close());
     }
 
-    pub fn cut(&self, link: LinkId) {
-        self.near(link).iter().for_each(|near| near.line.cut());
+    /// Closes a link at once.
+    pub fn abort(&self, link: LinkId) {
+        self.link_handle(link).iter().for_each(|link_handle| link_handle.control.abort());
     }
 
-    fn near(&self, link: LinkId) -> Option<Rc<Near>> {
+    fn link_handle(&self, link: LinkId) -> Option<Rc<LinkHandle>> {
         self.0.borrow().get(&link).cloned()
     }
 
-    /// Tells of a link's end, once, and lets go of its near end.
+    /// Removes a link and reports its end once.
     fn end(&self, handle: &Handle, link: LinkId, ending: CloseReason) {
-        let near = self.0.borrow_mut().remove(&link);
-        if let Some(near) = near {
-            near.line.cut();
-            handle.feed(Event::LinkClosed(link, ending));
+        let link_handle = self.0.borrow_mut().remove(&link);
+        if let Some(link_handle) = link_handle {
+            link_handle.control.abort();
+            handle.dispatch(Event::LinkClosed(link, ending));
         }
     }
 }
 
-async fn serve(links: Rc<Links>, handle: Handle, link: LinkId, near: Rc<Near>, within: Duration) {
-    let ending = match dial_racing(&handle, &near, within).await {
-        Err(error) => not_up(&error),
+async fn serve(
+    links: Rc<Links>,
+    handle: Handle,
+    link: LinkId,
+    link_handle: Rc<LinkHandle>,
+    within: Duration,
+) {
+    let ending = match race_dials(&handle, &link_handle, within).await {
+        Err(error) => dial_failure(&error),
         Ok(stream) => {
-            handle.feed(Event::LinkConnected(link));
-            let (mut amid, mut reader) = (false, Reader::for_responses(MAX_BODY_BYTES));
-            let read = |inbox: &mut Inbox| {
-                let (flow, is_amid) = match near.tongue {
+            handle.dispatch(Event::LinkConnected(link));
+            let (mut mid_response, mut reader) = (false, Reader::for_responses(MAX_BODY_BYTES));
+            let on_read = |buffer: &mut ReadBuffer| {
+                let (flow, now_mid_response) = match link_handle.protocol {
                     SearcherProtocol::Frames => {
-                        let flow = read(&handle, link, inbox);
-                        (flow, !inbox.unread().is_empty())
+                        let flow = read_frames(&handle, link, buffer);
+                        (flow, !buffer.unread().is_empty())
                     }
                     SearcherProtocol::QueryApi => {
-                        let flow = hear(&handle, link, &near, &mut reader, inbox);
-                        (flow, reader.is_mid_message(inbox.unread()))
+                        let flow = read_responses(&handle, link, &link_handle, &mut reader, buffer);
+                        (flow, reader.is_mid_message(buffer.unread()))
                     }
                 };
-                if amid != is_amid {
-                    amid = is_amid;
-                    handle.feed(Event::FramePartiallyRead(link, amid));
+                if mid_response != now_mid_response {
+                    mid_response = now_mid_response;
+                    handle.dispatch(Event::FramePartiallyRead(link, mid_response));
                 }
                 flow
             };
-            let mut half = false;
-            let written = |written| {
-                let was_half = std::mem::replace(&mut half, written == Written::Part);
-                if half != was_half {
-                    handle.feed(Event::FramePartiallyWritten(link, half));
+            let mut partially_written = false;
+            let on_progress = |progress| {
+                let was_partial =
+                    std::mem::replace(&mut partially_written, progress == WriteProgress::Partial);
+                if partially_written != was_partial {
+                    handle.dispatch(Event::FramePartiallyWritten(link, partially_written));
                 }
-                match written {
-                    Written::Part | Written::Whole(UNTOLD) => {}
-                    Written::Whole(tag) => handle.feed(Event::CallWritten(link, CallId(tag))),
+                match progress {
+                    WriteProgress::Partial | WriteProgress::Complete(UNTRACKED) => {}
+                    WriteProgress::Complete(tag) => handle.dispatch(Event::CallWritten(link, CallId(tag))),
                 }
             };
-            match pump(&stream, &near.line, Inbox::new(4 + MAX_FRAME_BYTES), read, written).await {
-                Stop::Ended => {
-                    // An answer of no length is whole now.
-                    let flow = reader.finish().map(|message| heard(&handle, link, &near, &message));
+            match run_connection(
+                &stream,
+                &link_handle.control,
+                ReadBuffer::new(4 + MAX_FRAME_BYTES),
+                on_read,
+                on_progress,
+            )
+            .await
+            {
+                StreamEnd::PeerClosed => {
+                    // A response without a declared length is complete when the connection ends.
+                    let flow =
+                        reader.finish().map(|message| handle_response(&handle, link, &link_handle, &message));
                     flow.and_then(ControlFlow::break_value).unwrap_or(CloseReason::ClosedByPeer)
                 }
-                Stop::Broke => CloseReason::ConnectionBroken,
-                Stop::Closed => CloseReason::ClosedLocally,
-                Stop::Halted(ending) => ending,
+                StreamEnd::Failed => CloseReason::ConnectionBroken,
+                StreamEnd::ClosedLocally => CloseReason::ClosedLocally,
+                StreamEnd::Stopped(ending) => ending,
             }
         }
     };
@@ -203,19 +240,19 @@
 
 type Attempt<'a> = Pin<Box<dyn Future<Output = io::Result<Stream>> + 'a>>;
 
-/// The first connection that is up, of one attempt and those that are asked for beside it. Where nobody listens they
-/// are over together; any other failure is of one attempt alone.
-async fn dial_racing(handle: &Handle, near: &Near, within: Duration) -> io::Result<Stream> {
-    let began = Instant::now();
-    let mut attempts: Vec<Attempt> = vec![Box::pin(dial_with_room(handle, near.to, within))];
+/// Returns the first connection established, of one attempt and the further ones requested meanwhile. A
+/// refused connection ends all attempts; any other failure ends only its own.
+async fn race_dials(handle: &Handle, link_handle: &LinkHandle, within: Duration) -> io::Result<Stream> {
+    let started = Instant::now();
+    let mut attempts: Vec<Attempt> = vec![Box::pin(dial_with_retries(handle, link_handle.to, within))];
     loop {
-        let beside = async {
-            near.beside.wait().await;
+        let extra_attempt = async {
+            link_handle.extra_attempt.wait().await;
             None
         };
-        let over = async { Some(first_over(&mut attempts).await) };
-        match future::or(over, beside).await {
-            None => attempts.push(Box::pin(dial(near.to, within.saturating_sub(began.elapsed())))),
+        let finished = async { Some(first_finished(&mut attempts).await) };
+        match future::or(finished, extra_attempt).await {
+            None => attempts.push(Box::pin(dial(link_handle.to, within.saturating_sub(started.elapsed())))),
             Some(Ok(stream)) => return Ok(stream),
             Some(Err(error)) => {
                 if attempts.is_empty() || error.kind() == io::ErrorKind::ConnectionRefused {
@@ -226,8 +263,8 @@
     }
 }
 
-/// Takes out the first attempt that is over.
-async fn first_over(attempts: &mut Vec<Attempt<'_>>) -> io::Result<Stream> {
+/// Waits for the first attempt to finish and removes it.
+async fn first_finished(attempts: &mut Vec<Attempt<'_>>) -> io::Result<Stream> {
     poll_fn(|context| {
         for at in 0..attempts.len() {
             if let Poll::Ready(done) = attempts[at].as_mut().poll(context) {
@@ -240,30 +277,30 @@
     .await
 }
 
-/// How often a connection is tried again where this machine has no route: that may be so for good.
-const ROUTE_TRIES: u32 = 4;
+/// Attempts after a missing route on this machine, which may be permanent.
+const MAX_ROUTE_TRIES: u32 = 4;
 
-/// What this machine could not even try is tried again within the time. Where descriptors run short lastingly an
-/// idle client goes, and its place is waited for.
-async fn dial_with_room(handle: &Handle, to: SocketAddr, within: Duration) -> io::Result<Stream> {
-    let (began, mut shortage, mut tries) = (Instant::now(), ResourceShortage::default(), 0);
+/// Dials, and retries local failures within the time limit. A lasting shortage of descriptors is reported, so
+/// that an idle client is closed to make room.
+async fn dial_with_retries(handle: &Handle, to: SocketAddr, within: Duration) -> io::Result<Stream> {
+    let (started, mut shortage, mut tries) = (Instant::now(), ResourceShortage::default(), 0);
     loop {
-        let left = within.saturating_sub(began.elapsed());
+        let left = within.saturating_sub(started.elapsed());
         let error = match dial(to, left).await {
-            Err(error) if is_local_fault(&error) && left > ROOM_PAUSE => error,
+            Err(error) if is_local_error(&error) && left > ROOM_RETRY_DELAY => error,
             dialled => return dialled,
         };
         tries += 1;
-        if is_unroutable(&error) && tries > ROUTE_TRIES {
+        if is_unroutable(&error) && tries > MAX_ROUTE_TRIES {
             return Err(error);
         }
         match shortage.record_failure() {
             FailureResponse::Retry(pause) => sleep(duration(pause)).await,
             FailureResponse::FreeDescriptors => {
-                if is_short(&error) {
-                    handle.feed(Event::OutOfResources);
+                if is_resource_shortage(&error) {
+                    handle.dispatch(Event::OutOfResources);
                 }
-                sleep(ROOM_PAUSE).await;
+                sleep(ROOM_RETRY_DELAY).await;
             }
         }
     }
@@ -273,79 +310,84 @@
     matches!(error.kind(), io::ErrorKind::NetworkUnreachable | io::ErrorKind::NetworkDown)
 }
 
-fn not_up(error: &io::Error) -> CloseReason {
+fn dial_failure(error: &io::Error) -> CloseReason {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => CloseReason::ConnectionRefused,
         io::ErrorKind::TimedOut => CloseReason::ConnectTimedOut,
         _ if is_unroutable(error) => CloseReason::Unreachable,
-        _ if is_local_fault(error) => CloseReason::OutOfResources,
+        _ if is_local_error(error) => CloseReason::OutOfResources,
         _ => CloseReason::Unreachable,
     }
 }
 
-fn read(handle: &Handle, link: LinkId, inbox: &mut Inbox) -> ControlFlow<CloseReason> {
+fn read_frames(handle: &Handle, link: LinkId, buffer: &mut ReadBuffer) -> ControlFlow<CloseReason> {
     loop {
-        let frame = match frames::decode(inbox.unread()) {
+        let frame = match frames::decode(buffer.unread()) {
             Ok(Some((frame, count))) => {
-                inbox.used(count);
+                buffer.consume(count);
                 frame
             }
             Ok(None) => return ControlFlow::Continue(()),
-            Err(what) => {
-                log::debug!("a searcher's frame can't be read: {what}");
+            Err(error) => {
+                log::debug!("cannot parse a searcher's frame: {error}");
                 return ControlFlow::Break(CloseReason::InvalidData);
             }
         };
         match frame {
             Frame::Part { id, outcome, value } => {
-                handle.feed(Event::PartAnswered { link, id, outcome, value })
+                handle.dispatch(Event::PartAnswered { link, id, outcome, value })
             }
-            Frame::ProbeResult(there) => handle.feed(Event::HealthProbeAnswered(link, there)),
+            Frame::ProbeResult(there) => handle.dispatch(Event::HealthProbeAnswered(link, there)),
             Frame::LoadReport => {}
-            Frame::ProtocolError(words) => {
-                log::warn!("a searcher could not use a frame of ours: {words:?}");
+            Frame::ProtocolError(reason) => {
+                log::warn!("a searcher rejected a frame: {reason:?}");
                 return ControlFlow::Break(CloseReason::RejectedByPeer);
             }
         }
     }
 }
 
-/// Answers of a node of the query dialect, each to the question that was asked longest ago.
-fn hear(
+/// Reads responses of a query dialect node; each belongs to the oldest unanswered request.
+fn read_responses(
     handle: &Handle,
     link: LinkId,
-    near: &Near,
+    link_handle: &LinkHandle,
     reader: &mut Reader,
-    inbox: &mut Inbox,
+    buffer: &mut ReadBuffer,
 ) -> ControlFlow<CloseReason> {
     loop {
-        let message = match reader.read(inbox.unread()) {
+        let message = match reader.read(buffer.unread()) {
             Ok((used, message)) => {
-                inbox.used(used);
+                buffer.consume(used);
                 message
             }
             Err(fault) => {
-                log::debug!("a node's answer can't be read: {fault:?}");
+                log::debug!("cannot parse a node's response: {fault:?}");
                 return ControlFlow::Break(CloseReason::InvalidData);
             }
         };
         let Some(message) = message else { return ControlFlow::Continue(()) };
-        heard(handle, link, near, &message)?;
+        handle_response(handle, link, link_handle, &message)?;
     }
 }
 
-fn heard(handle: &Handle, link: LinkId, near: &Near, message: &Message) -> ControlFlow<CloseReason> {
-    let question = near.asked.borrow_mut().pop_front();
+fn handle_response(
+    handle: &Handle,
+    link: LinkId,
+    link_handle: &LinkHandle,
+    message: &Message,
+) -> ControlFlow<CloseReason> {
+    let question = link_handle.unanswered.borrow_mut().pop_front();
     match question {
         Some(Question::Part(id)) => {
             let (outcome, value) = nodes::part_outcome(message);
-            handle.feed(Event::PartAnswered { link, id, outcome, value });
+            handle.dispatch(Event::PartAnswered { link, id, outcome, value });
         }
         Some(Question::Check) => {
-            handle.feed(Event::HealthProbeAnswered(link, message.start_line[1] == "200"))
+            handle.dispatch(Event::HealthProbeAnswered(link, message.start_line[1] == "200"))
         }
         Some(Question::Version) => {
-            handle.feed(Event::NodeVersionReceived(link, nodes::node_version(message)))
+            handle.dispatch(Event::NodeVersionReceived(link, nodes::node_version(message)))
         }
         None => return ControlFlow::Break(CloseReason::InvalidData),
     }
--- a/crates/mixer/src/program/mod.rs
+++ b/crates/mixer/src/program/mod.rs
@@ -1,21 +1,21 @@
-//! The program: what it is told at start, and the wiring of sockets to the state machine.
+//! The mixer program: its configuration, and the wiring of sockets to the routing state machine.
 
 mod accepting;
 mod arrivals;
 mod clients;
 mod clock;
+mod config;
 mod handle;
 mod hub;
 mod identity;
 mod links;
-mod listening;
 mod log_writer;
-mod orders;
-mod refusals;
+mod rejections;
+mod requests;
 mod signals;
 mod startup;
 mod watch;
 
+pub use config::Config;
 pub use hub::run;
 pub use log_writer::LogWriter;
-pub use orders::Orders;
--- /dev/null
+++ b/crates/mixer/src/program/requests.rs
@@ -0,0 +1,185 @@
+//! Reads one client's connection: parses requests one at a time and dispatches an event for each complete
+//! one.
+
+use super::arrivals::Arrivals;
+use super::clients::{Clients, Connection};
+use super::handle::Handle;
+use crate::protocol::http::{Message, ParseError, Reader, MAX_UNREAD_BYTES};
+use crate::protocol::scans::{parse_request, ClientRequest, RequestError};
+use crate::routing::{ClientId, Event};
+use crate::transport::{
+    drain_socket, linger, retry_interrupted, run_connection, ReadBuffer, Stream, StreamEnd,
+};
+use fernglade::Span;
+use std::ops::ControlFlow;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// How long, and for how many bytes, a client that is still sending is read from so that the error response
+/// reaches it: closing a socket with unread input resets the connection and may destroy what was written.
+const LINGER_LIMITS: (Duration, usize) = (Duration::from_millis(500), 512 * 1024);
+
+/// A complete request that has waited for less counts as just arrived.
+const MIN_REPORTED_AGE: Duration = Duration::from_millis(1);
+
+/// Serves one connection until it ends.
+pub async fn serve(
+    clients: Rc<Clients>,
+    handle: Handle,
+    client: ClientId,
+    stream: Stream,
+    connection: Rc<Connection>,
+    waited: Duration,
+) {
+    let _ = stream.get_ref().set_nodelay(true);
+    let mut requests = RequestReader {
+        clients: clients.clone(),
+        reader: Reader::default(),
+        arrivals: Arrivals::default(),
+        unread_since_accept: Some(waited).filter(|_| has_unread_bytes(&stream)),
+        request_start: None,
+        start_reported: false,
+        unparsable: false,
+        stream: &stream,
+    };
+    let on_read = |buffer: &mut ReadBuffer| requests.read(&handle, client, &connection, buffer);
+    let on_progress = |_| connection.control.recheck_if(connection.unread.get());
+    let reason =
+        run_connection(&stream, &connection.control, ReadBuffer::new(MAX_UNREAD_BYTES), on_read, on_progress)
+            .await;
+    // Further input is left unread, as its client must send it again.
+    if matches!(reason, StreamEnd::ClosedLocally)
+        && (requests.unparsable || connection.control.has_overflowed())
+    {
+        linger(&stream, LINGER_LIMITS.0, LINGER_LIMITS.1).await;
+    }
+    // Closed before the event is dispatched: the last client to leave may end the program.
+    drop(stream);
+    clients.closed(&handle, client);
+}
+
+struct RequestReader<'a> {
+    clients: Rc<Clients>,
+    stream: &'a Stream,
+    reader: Reader,
+    arrivals: Arrivals,
+    /// How long the first request may have been waiting, if it had begun to arrive before its client was
+    /// admitted.
+    unread_since_accept: Option<Duration>,
+    /// When the first byte of the current request arrived.
+    request_start: Option<Instant>,
+    /// The start of the current request has been reported.
+    start_reported: bool,
+    /// The input can no longer be split into requests.
+    unparsable: bool,
+}
+
+impl RequestReader<'_> {
+    fn read(
+        &mut self,
+        handle: &Handle,
+        client: ClientId,
+        connection: &Connection,
+        buffer: &mut ReadBuffer,
+    ) -> ControlFlow<()> {
+        self.record_arrivals(buffer);
+        // One at a time: the next request is parsed when the answer to this one has been written.
+        while connection.takes_request() {
+            let request_start = self.request_start.or(self.arrivals.oldest());
+            let event = match self.reader.read(buffer.unread()) {
+                Ok((used, message)) => {
+                    buffer.consume(used);
+                    self.arrivals.consume(used);
+                    let Some(message) = message else {
+                        self.request_start =
+                            request_start.filter(|_| self.reader.is_mid_message(buffer.unread()));
+                        self.report_start(handle, client);
+                        break;
+                    };
+                    if !message.keep_alive() {
+                        connection.is_last.set(true);
+                    }
+                    self.event(client, &message)
+                }
+                Err(fault) => {
+                    self.unparsable = true;
+                    connection.is_last.set(true);
+                    Event::InvalidRequest(client, parse_error(fault), true)
+                }
+            };
+            // The client left while the request waited to be parsed: there is nobody to answer, and the next
+            // read reports the end.
+            if drain_socket(self.stream, &connection.control, buffer) {
+                break;
+            }
+            self.record_arrivals(buffer);
+            self.request_start = request_start.filter(|at| at.elapsed() >= MIN_REPORTED_AGE);
+            self.report_start(handle, client);
+            (self.request_start, self.start_reported) = (None, false);
+            connection.answering.set(true);
+            connection.unread.set(!buffer.unread().is_empty());
+            handle.dispatch(event);
+        }
+        let unread = !buffer.unread().is_empty();
+        connection.unread.set(unread);
+        // Input already read is parsed once the answer before it is written: a request in flight when its
+        // client began to drain is answered first.
+        if connection.draining.get() && unread {
+            connection.control.stop_reading();
+        }
+        let all_examined =
+            !connection.answering.get() && (!unread || connection.control.write_queue.is_empty());
+        if connection.draining.get() && all_examined {
+            connection.control.close_promptly();
+        }
+        ControlFlow::Continue(())
+    }
+
+    fn event(&self, client: ClientId, message: &Message) -> Event {
+        match parse_request(message, self.clients.indices()) {
+            Ok(ClientRequest::Query(request)) => Event::QueryRequested(client, request),
+            Ok(ClientRequest::Scan(ask)) => Event::ScanRequested(client, ask),
+            Ok(ClientRequest::Health) => Event::HealthRequested(client),
+            Ok(ClientRequest::Metrics) if self.may_read_metrics() => Event::MetricsRequested(client),
+            // Answered as if the path did not exist.
+            Ok(ClientRequest::Metrics) => Event::InvalidRequest(client, RequestError::Method, false),
+            Err(error) => Event::InvalidRequest(client, error, false),
+        }
+    }
+
+    /// Records the arrival time of bytes that were not there before.
+    fn record_arrivals(&mut self, buffer: &ReadBuffer) {
+        let unread = buffer.unread().len();
+        let unread_since_accept = if unread > 0 { self.unread_since_accept.take() } else { None };
+        let now = Instant::now();
+        self.arrivals.record(unread, now.checked_sub(unread_since_accept.unwrap_or_default()).unwrap_or(now));
+    }
+
+    /// Reports once that a request has begun, and for how long it has waited.
+    fn report_start(&mut self, handle: &Handle, client: ClientId) {
+        let Some(request_start) = self.request_start.filter(|_| !self.start_reported) else { return };
+        self.start_reported = true;
+        handle.dispatch(Event::RequestStarted(
+            client,
+            Span::from_micros(request_start.elapsed().as_micros() as u64),
+        ));
+    }
+
+    fn may_read_metrics(&self) -> bool {
+        let from = self.stream.get_ref().peer_addr();
+        from.is_ok_and(|from| self.clients.may_read_metrics(from.ip()))
+    }
+}
+
+/// Whether bytes have arrived that were not read from the socket yet.
+fn has_unread_bytes(stream: &Stream) -> bool {
+    matches!(retry_interrupted(|| stream.get_ref().peek(&mut [0])), Ok(1..))
+}
+
+fn parse_error(fault: ParseError) -> RequestError {
+    match fault {
+        ParseError::Malformed(reason) => RequestError::Invalid(reason.into()),
+        ParseError::HeadTooLong => RequestError::HeadTooLong,
+        ParseError::BodyTooLong => RequestError::BodyTooLong,
+    }
+}
--- /dev/null
+++ b/crates/mixer/src/transport/connection.rs
@@ -0,0 +1,241 @@
+//! Runs both directions of a connection in one task until either ends.
+
+use super::{
+    is_resource_shortage, read, retry_interrupted, sleep, timeout, Notify, ReadBuffer, Stream, WriteProgress,
+    WriteQueue,
+};
+use futures_lite::future;
+use std::cell::Cell;
+use std::io::{self, Read};
+use std::ops::ControlFlow;
+use std::time::Duration;
+
+/// How long a closing connection may take to write its queued frames.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
+/// Size and interval of the reads that discard input while the read buffer is full. At this rate the bytes
+/// that the kernel buffers for a new connection are through within a few tens of milliseconds, and a peer
+/// that never stops sending costs little.
+const DISCARD: (usize, Duration) = (16 * 1024, Duration::from_millis(5));
+
+/// The handle through which other tasks write to a connection and close it.
+pub struct ConnectionControl {
+    /// The frames waiting to be written.
+    pub write_queue: WriteQueue,
+    /// Notified to have the buffered input examined again.
+    pub recheck: Notify,
+    closing: Cell<bool>,
+    aborted: Cell<bool>,
+    /// Nothing more is read: the sender must send again whatever arrives from now on.
+    reading_stopped: Cell<bool>,
+    /// More input arrived than fits and was discarded, so the message boundaries are lost.
+    overflowed: Cell<bool>,
+}
+
+/// Why a connection ended.
+pub enum StreamEnd<H> {
+    /// The peer closed it in order.
+    PeerClosed,
+    /// It failed, for example by a reset.
+    Failed,
+    /// This side closed it.
+    ClosedLocally,
+    /// The reader returned `Break` with this value.
+    Stopped(H),
+}
+
+impl ConnectionControl {
+    /// Control of a connection whose write queue holds at most `max_queued_bytes`.
+    pub fn new(max_queued_bytes: usize) -> Self {
+        let write_queue = WriteQueue::new(max_queued_bytes);
+        Self {
+            write_queue,
+            recheck: Notify::default(),
+            closing: false.into(),
+            aborted: false.into(),
+            overflowed: false.into(),
+            reading_stopped: false.into(),
+        }
+    }
+
+    /// Closes after the queued frames have been written.
+    pub fn close(&self) {
+        self.closing.set(true);
+        self.write_queue.changed.notify();
+    }
+
+    /// Whether the connection has been closed or aborted by this side.
+    pub fn is_closing(&self) -> bool {
+        self.closing.get()
+    }
+
+    /// Stops reading from the socket.
+    pub fn stop_reading(&self) {
+        self.reading_stopped.set(true);
+    }
+
+    /// Has the buffered input examined again if `wanted`, or if input was discarded.
+    pub fn recheck_if(&self, wanted: bool) {
+        if wanted || self.overflowed.get() {
+            self.recheck.notify();
+        }
+    }
+
+    /// Whether input was discarded for lack of buffer space.
+    pub fn has_overflowed(&self) -> bool {
+        self.overflowed.get()
+    }
+
+    /// Closes at once if nothing is queued, otherwise after the queue has been written.
+    pub fn close_promptly(&self) {
+        if self.write_queue.is_empty() {
+            self.abort();
+        } else {
+            self.close();
+        }
+    }
+
+    /// Closes at once and drops the queued frames.
+    pub fn abort(&self) {
+        self.aborted.set(true);
+        self.write_queue.clear();
+        self.close();
+    }
+}
+
+/// Runs a connection. `on_read` is given the buffered input and consumes what it can; `on_progress` is told
+/// of the progress of each write.
+pub async fn run_connection<H>(
+    stream: &Stream,
+    control: &ConnectionControl,
+    mut buffer: ReadBuffer,
+    mut on_read: impl FnMut(&mut ReadBuffer) -> ControlFlow<H>,
+    mut on_progress: impl FnMut(WriteProgress),
+) -> StreamEnd<H> {
+    let reader = async {
+        loop {
+            // Bytes received from the kernel are handled before any other task runs: a task that closed the
+            // connection in between would drop input that the peer may rightly assume was accepted.
+            if let ControlFlow::Break(value) = on_read(&mut buffer) {
+                return StreamEnd::Stopped(value);
+            }
+            // A peer that sends without a pause must not starve other tasks.
+            future::yield_now().await;
+            match next_bytes(stream, control, &mut buffer).await {
+                Ok(Some(0)) => return StreamEnd::PeerClosed,
+                Ok(_) => {}
+                Err(_) => return StreamEnd::Failed,
+            }
+        }
+    };
+    let writer = async {
+        loop {
+            if control.aborted.get() {
+                return StreamEnd::ClosedLocally;
+            }
+            // Queued frames have `FLUSH_TIMEOUT` to be written once the connection is closing, and none once
+            // it is aborted.
+            let finish = async {
+                while !control.closing.get() {
+                    control.write_queue.changed.wait().await;
+                }
+                if !control.aborted.get() {
+                    let aborted = async {
+                        while !control.aborted.get() {
+                            control.write_queue.changed.wait().await
+                        }
+                    };
+                    timeout(FLUSH_TIMEOUT, aborted).await;
+                    control.aborted.set(true);
+                }
+                Ok(())
+            };
+            if future::or(control.write_queue.drain(stream, &mut on_progress), finish).await.is_err() {
+                return StreamEnd::Failed;
+            }
+            if control.closing.get() {
+                return StreamEnd::ClosedLocally;
+            }
+            control.write_queue.changed.wait().await;
+        }
+    };
+    future::or(reader, writer).await
+}
+
+/// Returns the number of bytes read, or `None` if only a recheck was requested.
+async fn next_bytes(
+    stream: &Stream,
+    control: &ConnectionControl,
+    buffer: &mut ReadBuffer,
+) -> io::Result<Option<usize>> {
+    let recheck = async {
+        control.recheck.wait().await;
+        Ok(None)
+    };
+    if control.reading_stopped.get() {
+        return recheck.await;
+    }
+    if buffer.is_full() {
+        // The buffer is full, but the end of the stream behind the excess input must still be detected.
+        let discard = async {
+            sleep(DISCARD.1).await;
+            // On the heap: an array would be part of every connection's future, which is moved when its task
+            // is spawned.
+            let count = read(stream, &mut vec![0; DISCARD.0]).await?;
+            control.overflowed.set(control.overflowed.get() || count > 0);
+            Ok(Some(0).filter(|_| count == 0))
+        };
+        return future::or(recheck, discard).await;
+    }
+    // Available input is read first, so that a requested recheck sees it.
+    let count = future::or(async { read(stream, buffer.space()).await.map(Some) }, recheck).await?;
+    buffer.commit(count.unwrap_or(0));
+    Ok(count)
+}
+
+/// Limit on the reads made in search of the end of the stream when more input arrives than the buffer holds.
+const MAX_DRAIN_READS: usize = 64;
+
+/// Reads what has arrived and was not read yet, and returns whether the peer has closed the connection behind
+/// it. Input that does not fit is discarded, and the connection then ends with its next answer.
+pub fn drain_socket(stream: &Stream, control: &ConnectionControl, buffer: &mut ReadBuffer) -> bool {
+    let mut socket = stream.get_ref();
+    if control.reading_stopped.get() {
+        return retry_interrupted(|| socket.peek(&mut [0])).is_ok_and(|count| count == 0);
+    }
+    for _ in 0..MAX_DRAIN_READS {
+        let full = buffer.is_full();
+        let received = match full {
+            true => retry_interrupted(|| socket.read(&mut [0; DISCARD.0])),
+            false => retry_interrupted(|| socket.read(buffer.space())),
+        };
+        match received {
+            Ok(0) => return true,
+            Ok(_) if full => control.overflowed.set(true),
+            Ok(count) => buffer.commit(count),
+            // Any other error means that the connection has ended: reset by the peer or given up by the
+            // kernel.
+            Err(error) => return error.kind() != io::ErrorKind::WouldBlock && !is_resource_shortage(&error),
+        }
+    }
+    false
+}
+
+/// Shuts down the write direction and discards a limited amount of further input, so that a reset does not
+/// destroy what was written.
+pub async fn linger(stream: &Stream, within: Duration, mut bytes: usize) {
+    let _ = stream.get_ref().shutdown(std::net::Shutdown::Write);
+    let rest = async {
+        let mut discard = [0; 4096];
+        while let Ok(count @ 1..) = read(stream, &mut discard).await {
+            bytes = bytes.saturating_sub(count);
+            if bytes == 0 {
+                return;
+            }
+            future::yield_now().await;
+        }
+    };
+    timeout(within, rest).await;
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/mixer/src/transport/connection/tests.rs
@@ -0,0 +1,104 @@
+use super::{run_connection, ConnectionControl, ReadBuffer, StreamEnd, WriteProgress};
+use crate::transport::{Reactor, Stream};
+use futures_lite::future;
+use std::cell::Cell;
+use std::io::{Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::ops::ControlFlow;
+
+fn accepted(listener: &TcpListener) -> Stream {
+    let (stream, _) = listener.accept().unwrap();
+    stream.set_nonblocking(true).unwrap();
+    Stream::new(stream)
+}
+
+/// Guards against losing received bytes: a task that closed the connection after the bytes had been received
+/// and before they were handled used to discard them.
+#[test]
+fn received_bytes_are_handled_before_another_task_runs() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let stream = accepted(&listener);
+    peer.write_all(&[7; 5]).unwrap();
+    let (control, read_so_far, closed) = (ConnectionControl::new(10), Cell::new(0), Cell::new(false));
+    let read = |buffer: &mut ReadBuffer| {
+        read_so_far.set(read_so_far.get() + buffer.unread().len());
+        buffer.consume(buffer.unread().len());
+        ControlFlow::<()>::Continue(())
+    };
+    let reader = async {
+        run_connection(&stream, &control, ReadBuffer::new(4096), read, |_| ()).await;
+        closed.set(true);
+    };
+    let other = async {
+        while !closed.get() {
+            let taken = stream.get_ref().peek(&mut [0]).is_err();
+            assert!(!taken || read_so_far.get() == 5, "received but not handled");
+            if taken {
+                control.abort();
+            }
+            future::yield_now().await;
+        }
+    };
+    Reactor::new().unwrap().block_on(future::zip(reader, other));
+}
+
+/// The peer will not read the rest, but its connection must be freed.
+#[test]
+fn a_peer_that_leaves_with_its_answer_partly_written_ends_the_connection() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let stream = accepted(&listener);
+    // More than the kernel buffers on both sides.
+    let (answer, control) = (vec![7; 32 << 20], ConnectionControl::new(33 << 20));
+    assert!(control.write_queue.push(1, answer));
+    let (partial, written, closed) = (Cell::new(false), Cell::new(false), Cell::new(None));
+    let writer = async {
+        let read = |_: &mut ReadBuffer| ControlFlow::<()>::Continue(());
+        let on_progress = |progress| match progress {
+            WriteProgress::Partial => partial.set(true),
+            WriteProgress::Complete(_) => written.set(true),
+        };
+        let reason = run_connection(&stream, &control, ReadBuffer::new(4096), read, on_progress).await;
+        closed.set(Some(matches!(reason, StreamEnd::PeerClosed | StreamEnd::Failed)));
+    };
+    let reader = async {
+        let mut some = [0; 1000];
+        while peer.read(&mut some).unwrap() == 0 {}
+        assert!(partial.get() && !written.get(), "the answer is partly written");
+        drop(peer);
+    };
+    Reactor::new().unwrap().block_on(future::zip(writer, reader));
+    assert_eq!((written.get(), closed.get()), (false, Some(true)));
+}
+
+#[test]
+fn a_peer_that_never_pauses_lets_other_tasks_run() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let stream = accepted(&listener);
+    peer.write_all(&[7; 60_000]).unwrap();
+    drop(peer);
+    let (control, reads, turns, closed) =
+        (ConnectionControl::new(10), Cell::new(0), Cell::new(0), Cell::new(false));
+    let read = |buffer: &mut ReadBuffer| {
+        buffer.consume(buffer.unread().len());
+        reads.set(reads.get() + 1);
+        ControlFlow::<()>::Continue(())
+    };
+    let reader = async {
+        assert!(matches!(
+            run_connection(&stream, &control, ReadBuffer::new(4096), read, |_| ()).await,
+            StreamEnd::PeerClosed
+        ));
+        closed.set(true);
+    };
+    let other = async {
+        while !closed.get() {
+            turns.set(turns.get() + 1);
+            future::yield_now().await;
+        }
+    };
+    Reactor::new().unwrap().block_on(future::zip(reader, other));
+    assert!(reads.get() > 10 && turns.get() + 1 >= reads.get(), "{reads:?} reads, {turns:?} turns");
+}
--- /dev/null
+++ b/crates/mixer/src/transport/read_buffer.rs
@@ -0,0 +1,65 @@
+//! Received bytes of a connection that have not been consumed. One buffer that grows on demand up to its
+//! capacity and is compacted in place.
+
+/// Enough to receive a typical message in the first read.
+const INITIAL_BYTES: usize = 2048;
+/// An emptied buffer larger than this is freed, so that one large message does not hold memory for the life
+/// of the connection.
+const MAX_RETAINED_BYTES: usize = 16 * 1024;
+
+/// A growable receive buffer with a bound.
+pub struct ReadBuffer {
+    bytes: Vec<u8>,
+    start: usize,
+    end: usize,
+    capacity: usize,
+}
+
+impl ReadBuffer {
+    /// An empty buffer that grows to at most `capacity` bytes.
+    pub fn new(capacity: usize) -> Self {
+        Self { bytes: Vec::new(), start: 0, end: 0, capacity }
+    }
+
+    /// The bytes received and not consumed yet.
+    pub fn unread(&self) -> &[u8] {
+        &self.bytes[self.start..self.end]
+    }
+
+    /// Removes the oldest `count` unread bytes.
+    pub fn consume(&mut self, count: usize) {
+        self.start = (self.start + count).min(self.end);
+        if self.start == self.end {
+            (self.start, self.end) = (0, 0);
+            if self.bytes.len() > MAX_RETAINED_BYTES {
+                self.bytes = Vec::new();
+            }
+        }
+    }
+
+    /// Whether the unread bytes fill the capacity.
+    pub fn is_full(&self) -> bool {
+        self.end - self.start >= self.capacity
+    }
+
+    /// The space to read the next bytes into; empty only when the buffer is full.
+    pub fn space(&mut self) -> &mut [u8] {
+        if self.end == self.bytes.len() && self.start > 0 {
+            self.bytes.copy_within(self.start..self.end, 0);
+            (self.start, self.end) = (0, self.end - self.start);
+        }
+        if self.end == self.bytes.len() {
+            let grown = (self.bytes.len() * 2).clamp(INITIAL_BYTES.min(self.capacity), self.capacity);
+            self.bytes.resize(grown, 0);
+        }
+        &mut self.bytes[self.end..]
+    }
+
+    /// Marks `count` bytes of `space` as received.
+    pub fn commit(&mut self, count: usize) {
+        self.end = (self.end + count).min(self.bytes.len());
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/mixer/src/transport/socket/tests.rs
+++ b/crates/mixer/src/transport/socket/tests.rs
@@ -19,9 +19,10 @@
     }
 }
 
-/// A socket that the poller never takes, as where it is out of memory: epoll refuses plain files.
+/// The poller may refuse a socket, as when it is out of memory. Simulated by a plain file, which epoll
+/// refuses.
 #[test]
-fn what_the_poller_refuses_is_looked_at_by_time() {
+fn a_socket_the_poller_refuses_is_rechecked_by_timer() {
     let socket = Socket::new(File::open("/proc/self/stat").unwrap());
     let (began, calls) = (Instant::now(), Cell::new(0));
     let call = blocks_until(began, Duration::from_millis(150), &calls);
@@ -34,9 +35,9 @@
     assert!(calls.get() < 20, "{calls:?}");
 }
 
-/// An event that is lost on the way.
+/// The call must be retried by timer if its readiness event is lost.
 #[test]
-fn a_call_is_made_again_though_no_event_comes() {
+fn a_call_is_retried_when_its_event_is_lost() {
     let (here, _there) = UnixStream::pair().unwrap();
     let socket = Socket::new(here);
     let (began, calls) = (Instant::now(), Cell::new(0));
--- a/crates/mixer/tests/log.rs
+++ b/crates/mixer/tests/log.rs
@@ -72,9 +72,9 @@
     assert_eq!(next_line().len(), PIPE_CAPACITY - 1);
     mixer.signal("-HUP");
     let first = next_line();
-    assert!(first.contains("lines of the log could not be written"), "{first}");
+    assert!(first.contains("log lines were dropped"), "{first}");
     let second = next_line();
-    assert!(second.contains("orders read again"), "{second}");
+    assert!(second.contains("configuration reloaded"), "{second}");
 }
 
 #[test]
--- a/crates/mixer/tests/signals.rs
+++ b/crates/mixer/tests/signals.rs
@@ -14,8 +14,8 @@
 
 /// The time limit for a signal to take effect.
 const EFFECT_LIMIT: Duration = Duration::from_millis(200);
-const RELOAD_LINE: &str = "orders read again";
-const STOP_LINE: &str = "told to stop";
+const RELOAD_LINE: &str = "configuration reloaded";
+const STOP_LINE: &str = "stopping on signal";
 
 /// One run of a mixer: the injected fault, the number of configuration reloads, and the signal that ends the
 /// run.
--- a/crates/mixer/tests/sockets.rs
+++ b/crates/mixer/tests/sockets.rs
@@ -277,7 +277,7 @@
 #[test_case("{", "", "more after the value at byte 6"; "not JSON")]
 #[test_case("\"pure\"", "\"none\"", "services.0.repeat: unknown word none"; "unknown word")]
 #[test_case("5000", "\"none\"", "settings: tick: not a number: none"; "not a number")]
-#[test_case("127.0.0.1:9\"", "none\"", "listen is no address and port: none"; "invalid listen address")]
+#[test_case("127.0.0.1:9\"", "none\"", "listen is not an address and port: none"; "invalid listen address")]
 #[test_case("\"dial_timeout\":250000,", "", "settings: limits.dial_timeout: a number above 0 has to be stated"; "no dial timeout")]
 #[test_case("\"aim\":2000000,", "", "settings: services.0.aim: a number above 0 has to be stated"; "no target latency")]
 #[test_case("\"cells\":1,", "\"cells\":0,", "settings: family_info.cells: a number above 0 has to be stated"; "no cells")]
@@ -324,6 +324,7 @@
     let output = command(&config_file("second-step", &text)).output().unwrap();
     let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        !output.status.success() && stderr.contains("look: a second step is not supported over sockets"), "{stderr}"
+        !output.status.success() && stderr.contains("look: a second step is not supported over sockets"),
+        "{stderr}"
     );
 }
--- a/crates/mixer/tests/system_errors.rs
+++ b/crates/mixer/tests/system_errors.rs
@@ -235,7 +235,7 @@
     drop(clients);
     mixer.signal("-TERM");
     let started = Instant::now();
-    while !std::fs::read_to_string(&mixer.files[1]).expect("its log").contains("told to stop") {
+    while !std::fs::read_to_string(&mixer.files[1]).expect("its log").contains("stopping on signal") {
         assert!(started.elapsed() < EFFECT_LIMIT, "SIGTERM has no effect");
         std::thread::sleep(Duration::from_millis(5));
     }
