--- a/crates/mixer/src/program/clients.rs
+++ b/crates/mixer/src/program/clients.rs
@@ -143,8 +143,8 @@
                     scans::dialect_response(*status, body, *retry_after, opaque_id.as_deref(), last)
                 }
                 Reply::Health(ready) => scans::health_response(*ready, last),
-                Reply::Metrics(figures) => {
-                    scans::metrics_response(&self.identity.metrics(figures).encode(), last)
+                Reply::Metrics(metrics) => {
+                    scans::metrics_response(&self.identity.metrics(metrics).encode(), last)
                 }
                 Reply::InvalidRequest(why) if !last && !connection.draining.get() => {
                     return handle.spawn(connection.clone().answer_invalid(scans::error_response(why, last)));
--- a/crates/mixer/src/program/config.rs
+++ b/crates/mixer/src/program/config.rs
@@ -150,8 +150,8 @@
             items.iter().enumerate().for_each(|(at, item)| flatten(item, below(&at.to_string()), into));
         }
         Json::Array(items) => {
-            let words: Vec<String> = items.iter().map(plain).collect();
-            into.insert(path, words.join(","));
+            let values: Vec<String> = items.iter().map(plain).collect();
+            into.insert(path, values.join(","));
         }
         other => drop(into.insert(path, plain(other))),
     }
--- a/crates/mixer/src/program/identity.rs
+++ b/crates/mixer/src/program/identity.rs
@@ -56,8 +56,8 @@
         self.settings_refused.set(true);
     }
 
-    /// The metrics to be reported, from the figures of the routing state.
-    pub fn metrics(&self, figures: &Metrics) -> MixerMetrics {
+    /// The metrics to be reported, from those of the routing state.
+    pub fn metrics(&self, metrics: &Metrics) -> MixerMetrics {
         let of_type = |(name, line): &(String, TrafficTypeCounts)| TrafficTypeMetrics {
             name: name.clone(),
             taken: line.taken,
@@ -76,12 +76,12 @@
             settings_digest: self.settings.borrow().clone(),
             incarnation: self.incarnation.clone(),
             process_id: std::process::id(),
-            ready: figures.ready,
+            ready: metrics.ready,
             settings_refused: self.settings_refused.get(),
             resident_bytes: resident_bytes(),
-            searchers_ready: figures.searchers_listed,
-            relays: figures.relays,
-            traffic_types: figures.traffic_types.iter().map(of_type).collect(),
+            searchers_ready: metrics.searchers_listed,
+            relays: metrics.relays,
+            traffic_types: metrics.traffic_types.iter().map(of_type).collect(),
         }
     }
 }
--- a/crates/mixer/src/program/links.rs
+++ b/crates/mixer/src/program/links.rs
@@ -80,20 +80,20 @@
     }
 
     /// Queues a call with one or more parts.
-    pub fn call(&self, handle: &Handle, link: LinkId, call: CallId, errands: &[PartRequest]) {
+    pub fn call(&self, handle: &Handle, link: LinkId, call: CallId, requests: &[PartRequest]) {
         let Some(link_handle) = self.link_handle(link) else { return };
-        match (link_handle.protocol, errands) {
-            (SearcherProtocol::Frames, errands) => {
-                let (errands, size, queued_at) =
-                    (errands.to_vec(), frames::estimated_call_size(errands), Instant::now());
-                let encode = move || frames::encode_call(&errands, queued_at.elapsed().as_millis() as u64);
+        match (link_handle.protocol, requests) {
+            (SearcherProtocol::Frames, requests) => {
+                let (requests, size, queued_at) =
+                    (requests.to_vec(), frames::estimated_call_size(requests), Instant::now());
+                let encode = move || frames::encode_call(&requests, queued_at.elapsed().as_millis() as u64);
                 if !link_handle.control.write_queue.push_deferred(call.0, size, encode) {
                     self.end(handle, link, CloseReason::WriteBacklogFull);
                 }
             }
-            (SearcherProtocol::QueryApi, [errand]) => {
-                if let Some(question) = nodes::encode_part_request(errand, &link_handle.to.to_string()) {
-                    link_handle.unanswered.borrow_mut().push_back(Question::Part(errand.id.clone()));
+            (SearcherProtocol::QueryApi, [request]) => {
+                if let Some(question) = nodes::encode_part_request(request, &link_handle.to.to_string()) {
+                    link_handle.unanswered.borrow_mut().push_back(Question::Part(request.id.clone()));
                     self.write(handle, link, call.0, question);
                 }
             }
@@ -164,11 +164,11 @@
     }
 
     /// Removes a link and reports its end once.
-    fn end(&self, handle: &Handle, link: LinkId, ending: CloseReason) {
+    fn end(&self, handle: &Handle, link: LinkId, reason: CloseReason) {
         let link_handle = self.0.borrow_mut().remove(&link);
         if let Some(link_handle) = link_handle {
             link_handle.control.abort();
-            handle.dispatch(Event::LinkClosed(link, ending));
+            handle.dispatch(Event::LinkClosed(link, reason));
         }
     }
 }
@@ -180,7 +180,7 @@
     link_handle: Rc<LinkHandle>,
     within: Duration,
 ) {
-    let ending = match race_dials(&handle, &link_handle, within).await {
+    let reason = match race_dials(&handle, &link_handle, within).await {
         Err(error) => dial_failure(&error),
         Ok(stream) => {
             handle.dispatch(Event::LinkConnected(link));
@@ -231,11 +231,11 @@
                 }
                 StreamEnd::Failed => CloseReason::ConnectionBroken,
                 StreamEnd::ClosedLocally => CloseReason::ClosedLocally,
-                StreamEnd::Stopped(ending) => ending,
+                StreamEnd::Stopped(reason) => reason,
             }
         }
     };
-    links.end(&handle, link, ending);
+    links.end(&handle, link, reason);
 }
 
 type Attempt<'a> = Pin<Box<dyn Future<Output = io::Result<Stream>> + 'a>>;
@@ -361,8 +361,8 @@
                 buffer.consume(used);
                 message
             }
-            Err(fault) => {
-                log::debug!("cannot parse a node's response: {fault:?}");
+            Err(error) => {
+                log::debug!("cannot parse a node's response: {error:?}");
                 return ControlFlow::Break(CloseReason::InvalidData);
             }
         };
--- a/crates/mixer/src/program/requests.rs
+++ b/crates/mixer/src/program/requests.rs
@@ -101,10 +101,10 @@
                     }
                     self.event(client, &message)
                 }
-                Err(fault) => {
+                Err(error) => {
                     self.unparsable = true;
                     connection.is_last.set(true);
-                    Event::InvalidRequest(client, parse_error(fault), true)
+                    Event::InvalidRequest(client, parse_error(error), true)
                 }
             };
             // The client left while the request waited to be parsed: there is nobody to answer, and the next
@@ -176,8 +176,8 @@
     matches!(retry_interrupted(|| stream.get_ref().peek(&mut [0])), Ok(1..))
 }
 
-fn parse_error(fault: ParseError) -> RequestError {
-    match fault {
+fn parse_error(error: ParseError) -> RequestError {
+    match error {
         ParseError::Malformed(reason) => RequestError::Invalid(reason.into()),
         ParseError::HeadTooLong => RequestError::HeadTooLong,
         ParseError::BodyTooLong => RequestError::BodyTooLong,
--- a/crates/mixer/src/program/watch.rs
+++ b/crates/mixer/src/program/watch.rs
@@ -142,7 +142,7 @@
         let (mut buffer, mut reader) =
             (ReadBuffer::new(MAX_UNREAD_BYTES), Reader::for_responses(MAX_LIST_BYTES));
         loop {
-            let (used, message) = reader.read(buffer.unread()).map_err(|fault| format!("{fault:?}"))?;
+            let (used, message) = reader.read(buffer.unread()).map_err(|error| format!("{error:?}"))?;
             buffer.consume(used);
             if let Some(message) = message {
                 return Ok((message, true));
--- a/crates/mixer/src/transport/connection.rs
+++ b/crates/mixer/src/transport/connection.rs
@@ -102,8 +102,8 @@
     }
 }
 
-/// Runs a connection. `on_read` is given the buffered input and consumes what it can; `on_progress` is told
-/// of the progress of each write.
+/// Runs a connection. `on_read` is given the buffered input and consumes what it can; `on_progress` is called
+/// with the progress of each write.
 pub async fn run_connection<H>(
     stream: &Stream,
     control: &ConnectionControl,
