--- a/crates/conductor/src/ask.rs
+++ b/crates/conductor/src/ask.rs
@@ -1,7 +1,7 @@
 //! Asks a mixer what it tells of itself, within a time and a size.
 
 use async_io::{Async, Timer};
-use fernglade_rollout::told::{Told, MOST_TOLD};
+use fernglade_rollout::metrics_sample::{MetricsSample, MAX_RESPONSE_BYTES};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -11,7 +11,7 @@
 const WITHIN: Duration = Duration::from_millis(600);
 
 pub enum Answer {
-    Told(Box<Told>),
+    Sample(Box<MetricsSample>),
     /// Nobody listens there.
     Nobody,
     /// Nothing came in time, or nothing that makes sense; the reason.
@@ -25,7 +25,7 @@
     };
     match future::or(get(at), late).await {
         Ok(text) => match told(&text) {
-            Ok(told) => Answer::Told(Box::new(told)),
+            Ok(told) => Answer::Sample(Box::new(told)),
             Err(why) => Answer::Nothing(why),
         },
         Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => Answer::Nobody,
@@ -37,14 +37,14 @@
     let mut stream = Async::<TcpStream>::connect(at).await?;
     stream.write_all(b"GET /figures HTTP/1.1\r\nHost: mixer\r\nConnection: close\r\n\r\n").await?;
     let mut text = Vec::new();
-    stream.take(MOST_TOLD as u64).read_to_end(&mut text).await?;
+    stream.take(MAX_RESPONSE_BYTES as u64).read_to_end(&mut text).await?;
     String::from_utf8(text).map_err(|_| io::ErrorKind::InvalidData.into())
 }
 
-fn told(answer: &str) -> Result<Told, String> {
+fn told(answer: &str) -> Result<MetricsSample, String> {
     let (head, body) = answer.split_once("\r\n\r\n").ok_or("no whole answer")?;
     match head.split(' ').nth(1) {
-        Some("200") => Told::read(body).map_err(|why| why.to_string()),
+        Some("200") => MetricsSample::parse(body).map_err(|why| why.to_string()),
         Some(status) => Err(format!("status {status}: its operator's file has to allow us (figures.to)")),
         None => Err("no answer in HTTP".into()),
     }
--- a/crates/conductor/src/conduct.rs
+++ b/crates/conductor/src/conduct.rs
@@ -6,12 +6,12 @@
 use async_io::Timer;
 use fernglade::Moment;
 use fernglade_orders::digest;
-use fernglade_rollout::course::{Course, Side};
-use fernglade_rollout::journal::{last, Record};
-use fernglade_rollout::judge::{Judge, Ruling};
-use fernglade_rollout::machine::{Change, Effect, Event, Report, Stand};
+use fernglade_rollout::canary_analysis::{CanaryAnalysis, Ruling};
+use fernglade_rollout::journal::{last_change, Record};
+use fernglade_rollout::machine::{Effect, Event, Report, Rollout, Stand};
+use fernglade_rollout::metrics_sample::{BuildDigests, MetricsSample};
 use fernglade_rollout::plan::{Build, Plan};
-use fernglade_rollout::told::{Makes, Told};
+use fernglade_rollout::spec::{RolloutSpec, Side};
 use serde_json::json;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -31,26 +31,26 @@
 }
 
 /// What a build makes of a mixer: digests of its program and its settings.
-pub fn makes(build: &Build) -> Result<Makes, String> {
+pub fn makes(build: &Build) -> Result<BuildDigests, String> {
     let read = |path: &Path| std::fs::read(path).map_err(|error| format!("{}: {error}", path.display()));
     let settings = build.operator.as_deref().map(read).transpose()?;
-    let program = read(build.told_as.as_ref().unwrap_or(&build.program))?;
-    Ok(Makes { program: digest(Some(&program)), settings: digest(settings.as_deref()) })
+    let program = read(build.reported_program.as_ref().unwrap_or(&build.program))?;
+    Ok(BuildDigests { program: digest(Some(&program)), settings: digest(settings.as_deref()) })
 }
 
-pub fn course(plan: &Plan) -> Result<Course, String> {
-    plan.course(makes(&plan.old)?, makes(&plan.new)?).map_err(|wrong| wrong.to_string())
+pub fn course(plan: &Plan) -> Result<RolloutSpec, String> {
+    plan.spec(makes(&plan.old)?, makes(&plan.new)?).map_err(|wrong| wrong.to_string())
 }
 
 struct Conductor<'a> {
     plan: &'a Plan,
-    course: Arc<Course>,
-    change: Change,
-    judge: Judge,
+    course: Arc<RolloutSpec>,
+    change: Rollout,
+    analysis: CanaryAnalysis,
     hands: Hands<'a>,
     paper: Paper,
     /// What each told last; none of one that has ended.
-    told: Vec<Option<Told>>,
+    told: Vec<Option<MetricsSample>>,
     /// Who was there last, to tell an end from a silence.
     process: Vec<Option<u32>>,
     events: VecDeque<Event>,
@@ -64,7 +64,7 @@
 pub fn run(plan: &Plan, digest_of_plan: &str, stop_when_held: bool) -> Result<End, String> {
     let course = Arc::new(course(plan)?);
     let mut paper = Paper::open(&plan.journal)?;
-    let begun = match last(&paper.records) {
+    let begun = match last_change(&paper.records) {
         Some((records, false)) => {
             let same = matches!(&records[0], Record::Begun { plan, .. } if plan == digest_of_plan);
             if !same {
@@ -79,10 +79,10 @@
         }
     };
     let count = plan.mixers.len();
-    let change = Change::new(course.clone(), &begun, Moment::default());
+    let change = Rollout::new(course.clone(), &begun, Moment::default());
     let mut conductor = Conductor {
         plan,
-        judge: Judge::new(plan.compare, course.zones.clone()),
+        analysis: CanaryAnalysis::new(plan.compare, course.zones.clone()),
         course,
         change,
         hands: Hands::new(plan),
@@ -103,22 +103,22 @@
     }
 
     async fn go_on(&mut self, stop_when_held: bool) -> Result<End, String> {
-        let all: Vec<SocketAddr> = self.plan.mixers.iter().map(|mixer| mixer.at).collect();
+        let all: Vec<SocketAddr> = self.plan.mixers.iter().map(|mixer| mixer.address).collect();
         loop {
             let turn = Instant::now();
             let answers = ask_all(&all).await;
             self.see(answers);
             self.events.extend(self.paper.wish().map(Event::Wished));
-            let watched = self.judge.has_before();
+            let watched = self.analysis.has_reference();
             self.events.push_back(Event::Time { watched });
-            if matches!(self.change.stand, Stand::Judging(_)) {
-                let ruling = self.judge.ruling(self.now());
+            if matches!(self.change.state, Stand::Judging(_)) {
+                let ruling = self.analysis.ruling(self.now());
                 self.ruled(ruling);
             }
             self.work()?;
             self.paper.wish_done();
             self.show();
-            match &self.change.stand {
+            match &self.change.state {
                 Stand::Done(Side::New) => return Ok(End::AllNew),
                 Stand::Done(Side::Old) => return Ok(End::AllOld),
                 Stand::Held(_) if stop_when_held => return Ok(End::Held),
@@ -138,10 +138,10 @@
         }
         for (mixer, answer) in answers.into_iter().enumerate() {
             match answer {
-                Answer::Told(told) => {
-                    self.judge.hear(self.now(), mixer, &told);
+                Answer::Sample(told) => {
+                    self.analysis.record_sample(self.now(), mixer, &told);
                     self.events.push_back(Event::Heard(mixer, self.report(&told)));
-                    self.process[mixer] = Some(told.process);
+                    self.process[mixer] = Some(told.pid);
                     self.told[mixer] = Some(*told);
                 }
                 // Its door is shut while it answers its last scans: it has ended once its process has.
@@ -158,13 +158,13 @@
         }
     }
 
-    fn report(&self, told: &Told) -> Report {
+    fn report(&self, told: &MetricsSample) -> Report {
         Report {
-            side: self.course.side(&told.makes),
+            side: self.course.side(&told.build),
             incarnation: told.incarnation.clone(),
             ready: told.ready,
-            memory: told.memory,
-            wrong_sum: told.wrong_sum().map(String::from),
+            memory: told.memory_bytes,
+            wrong_sum: told.inconsistent_type().map(String::from),
             refused_settings: told.refused_settings,
         }
     }
@@ -194,7 +194,7 @@
             if !quiet {
                 self.paper.log(&json!({"at": self.now().micros(), "event": format!("{event:?}")}));
             }
-            for effect in self.change.take(self.now(), event) {
+            for effect in self.change.handle(self.now(), event) {
                 self.act(effect)?;
             }
         }
@@ -207,15 +207,15 @@
         let (mixer, done) = match effect {
             Effect::Write(record) => {
                 if let Record::Step { step, .. } = &record {
-                    let parts = self.course.parts(*step);
-                    self.judge.begin(self.now(), parts);
+                    let parts = self.course.cohorts(*step);
+                    self.analysis.begin_step(self.now(), parts);
                 }
                 return self.paper.write(&record);
             }
             Effect::Compare(step) => {
                 // A conductor that begins anew in the middle of a step has not begun it.
-                let parts = self.course.parts(step);
-                self.judge.compare(self.now(), parts);
+                let parts = self.course.cohorts(step);
+                self.analysis.begin_comparison(self.now(), parts);
                 return Ok(());
             }
             Effect::Tell(text) => {
@@ -249,7 +249,7 @@
 
     /// A line for people, where it is another than before.
     fn show(&mut self) {
-        let line = self.change.told();
+        let line = self.change.status_line();
         if self.shown != line {
             println!("{:>6.1} s  {line}", self.now().since(Moment::default()).as_f64() / 1e6);
             self.paper.stands(&line);
@@ -259,7 +259,7 @@
 }
 
 /// The steps of a plan, for people.
-pub fn steps(course: &Course) -> String {
+pub fn steps(course: &RolloutSpec) -> String {
     let names = |all: &mut dyn Iterator<Item = &usize>| {
         all.map(|at| format!("{} ({})", course.names[*at], course.zones[*at])).collect::<Vec<_>>().join(", ")
     };
@@ -267,25 +267,29 @@
     for (number, step) in course.steps.iter().enumerate() {
         let changed = course.changed_in(number);
         text += &format!("step {}: new {}\n", number + 1, names(&mut changed.iter()));
-        if step.judged {
-            text += &format!("        beside {}, restarted with the old\n", names(&mut step.twins.iter()));
+        if step.compared {
+            text += &format!("        beside {}, restarted with the old\n", names(&mut step.baseline.iter()));
         } else {
             text += "        nobody is left to be held against\n";
         }
     }
     let at_once = |count: usize| if count == 1 { "one mixer".into() } else { format!("{count} mixers") };
-    text + &format!("away at once: {}, going back {}\n", at_once(course.most_away), at_once(course.undo_away))
+    text + &format!(
+        "away at once: {}, going back {}\n",
+        at_once(course.max_unavailable),
+        at_once(course.max_unavailable_in_rollback)
+    )
 }
 
 /// What everybody says now; whether all could be heard and run one of the two sides.
-pub fn survey(plan: &Plan, course: &Course) -> (String, bool) {
-    let all: Vec<SocketAddr> = plan.mixers.iter().map(|mixer| mixer.at).collect();
+pub fn survey(plan: &Plan, course: &RolloutSpec) -> (String, bool) {
+    let all: Vec<SocketAddr> = plan.mixers.iter().map(|mixer| mixer.address).collect();
     let answers = async_io::block_on(ask_all(&all));
     let (mut text, mut well) = (String::new(), true);
     for (mixer, answer) in plan.mixers.iter().zip(answers) {
         let says = match answer {
-            Answer::Told(told) => {
-                let found = course.side(&told.makes);
+            Answer::Sample(told) => {
+                let found = course.side(&told.build);
                 well &= found.is_some() && told.ready;
                 let side = match found {
                     Some(Side::Old) => "old",
@@ -293,7 +297,7 @@
                     None => "NEITHER old nor new",
                 };
                 let ready = if told.ready { "ready" } else { "NOT ready" };
-                format!("{side}, version {}, {} MB, {ready}", told.version, told.memory >> 20)
+                format!("{side}, version {}, {} MB, {ready}", told.version, told.memory_bytes >> 20)
             }
             Answer::Nobody => {
                 well = false;
--- a/crates/conductor/src/hands.rs
+++ b/crates/conductor/src/hands.rs
@@ -1,8 +1,8 @@
 //! What is done to mixers: as children of the conductor's own, or by the operator's commands.
 
 use crate::paper::{replace, Paper};
-use fernglade_rollout::course::Side;
 use fernglade_rollout::plan::{Build, Commands, Plan};
+use fernglade_rollout::spec::Side;
 use rustix::process::{kill_process, test_kill_process, Pid, Signal};
 use std::io;
 use std::os::unix::process::CommandExt;
@@ -70,7 +70,7 @@
         }
         let log = paper.child_log(&mixer.name).map_err(|error| error.to_string())?;
         // A group of its own: what ends the conductor at a terminal does not end the mixers.
-        command.env("ROUTER_CONFIG", &mixer.orders).stdin(Stdio::null()).stdout(Stdio::null());
+        command.env("ROUTER_CONFIG", &mixer.config).stdin(Stdio::null()).stdout(Stdio::null());
         let child = command.stderr(log).process_group(0).spawn();
         let child = child.map_err(|error| format!("{}: {error}", build.program.display()))?;
         self.children[whom.mixer] = Some(child);
@@ -79,7 +79,7 @@
 
     /// New settings for one that goes on running.
     pub fn hand(&mut self, whom: Whom, side: Side) -> Result<(), String> {
-        if let Some(Commands { hand: Some(words), .. }) = &self.plan.commands {
+        if let Some(Commands { reload: Some(words), .. }) = &self.plan.commands {
             return self.by_command(words, whom, Some(side));
         }
         self.lay(whom.mixer, self.build(side))?;
@@ -102,12 +102,12 @@
         let values = [
             ("{name}", mixer.name.clone()),
             ("{zone}", mixer.zone.clone()),
-            ("{at}", mixer.at.to_string()),
+            ("{at}", mixer.address.to_string()),
             ("{process}", whom.process.to_string()),
             ("{side}", side.map_or("", |side| if side == Side::New { "new" } else { "old" }).into()),
             ("{program}", path(build.map(|build| build.program.as_path()))),
             ("{settings}", path(build.and_then(|build| build.operator.as_deref()))),
-            ("{orders}", path(Some(&mixer.orders))),
+            ("{orders}", path(Some(&mixer.config))),
             ("{operator}", path(mixer.operator.as_deref())),
         ];
         let filled =
--- a/crates/conductor/src/main.rs
+++ b/crates/conductor/src/main.rs
@@ -62,7 +62,7 @@
 fn read(path: &Path) -> Result<(Plan, String), String> {
     let within = |what: String| format!("{}: {what}", path.display());
     let text = std::fs::read_to_string(path).map_err(|error| within(error.to_string()))?;
-    let plan = Plan::read(&text).map_err(|wrong| within(wrong.to_string()))?;
+    let plan = Plan::parse(&text).map_err(|wrong| within(wrong.to_string()))?;
     Ok((plan, digest(Some(text.as_bytes()))))
 }
 
--- a/crates/conductor/src/paper.rs
+++ b/crates/conductor/src/paper.rs
@@ -62,7 +62,7 @@
     /// On the disk when this returns. A disk that is full or fails is tried again for a while: nothing that the record
     /// speaks of is done before, and the mixers serve on meanwhile.
     pub fn write(&mut self, record: &Record) -> Result<(), String> {
-        let line = record.line();
+        let line = record.to_line();
         let began = Instant::now();
         loop {
             match self.append(line.as_bytes()) {
--- a/crates/mixer/tests/figures.rs
+++ b/crates/mixer/tests/figures.rs
@@ -1,6 +1,6 @@
 //! What the built mixer tells of itself: to whom it may, in a form that the conductor reads, with sums that add up.
 
-use fernglade_rollout::told::{Sums, Told};
+use fernglade_rollout::metrics_sample::{MetricsSample, ScanCounts};
 use fernglade_standins::child::{file, free_address, orders, start, Mixer};
 use fernglade_standins::client::{answer, say, scan, scan_of};
 use fernglade_standins::discovery::{agent, list};
@@ -29,18 +29,18 @@
     start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at)
 }
 
-fn told(mixer: &Mixer) -> Told {
+fn told(mixer: &Mixer) -> MetricsSample {
     let mut client = mixer.client();
     say(&mut client, ASK);
     let (status, head, body) = answer(&mut client);
     assert!(status == 200 && head.contains("openmetrics"), "{head}");
-    Told::read(&body).unwrap_or_else(|why| panic!("{why}: {body}"))
+    MetricsSample::parse(&body).unwrap_or_else(|why| panic!("{why}: {body}"))
 }
 
-fn until(mixer: &Mixer, what: impl Fn(&Told) -> bool) -> Told {
+fn until(mixer: &Mixer, what: impl Fn(&MetricsSample) -> bool) -> MetricsSample {
     for _ in 0..200 {
         let told = told(mixer);
-        assert_eq!(told.wrong_sum(), None, "{told:?}");
+        assert_eq!(told.inconsistent_type(), None, "{told:?}");
         if what(&told) {
             return told;
         }
@@ -69,14 +69,17 @@
     let mut stays = mixer.client();
     say(&mut stays, scan("e", &[2]));
     let told = until(&mixer, |told| told.types["look"].open == 1);
-    let is = |sums: &Sums| (sums.taken, sums.served, sums.refused, sums.failed, sums.open);
+    let is = |sums: &ScanCounts| (sums.taken, sums.served, sums.refused, sums.failed, sums.open);
     assert_eq!(is(&told.types["look"]), (4, 1, 1, 1, 1));
     assert_eq!(is(&told.types["fix"]), (1, 0, 0, 1, 0));
-    assert_eq!(told.types["look"].within(60.0), 1);
-    assert!(told.types["look"].quantile(0.5).is_some_and(|seconds| seconds < 1.0), "{told:?}");
-    assert!(told.ready && told.memory > 100_000 && told.relays >= 5 && told.listed == 1, "{told:?}");
-    assert_eq!(told.process, mixer_process(&mixer));
-    assert_ne!(told.makes.program, "-");
+    assert_eq!(told.types["look"].served_within(60.0), 1);
+    assert!(told.types["look"].latency_quantile(0.5).is_some_and(|seconds| seconds < 1.0), "{told:?}");
+    assert!(
+        told.ready && told.memory_bytes > 100_000 && told.relays >= 5 && told.searchers_listed == 1,
+        "{told:?}"
+    );
+    assert_eq!(told.pid, mixer_process(&mixer));
+    assert_ne!(told.build.program, "-");
 }
 
 /// The shell that set the limit became the mixer.
@@ -88,18 +91,18 @@
 #[test]
 fn settings_are_told_as_they_are_in_force() {
     let mixer = mixer("{ figures: { to: ['127.0.0.0/8'] } }");
-    let before = told(&mixer).makes;
+    let before = told(&mixer).build;
     let hand = |text: &str| {
         std::fs::write(&mixer.files[1], text).unwrap();
         mixer.signal("-HUP");
     };
     hand("{ figures: { to: ['127.0.0.0/8'] }, admission: { per_address: 50 } }");
-    let after = until(&mixer, |told| told.makes != before).makes;
+    let after = until(&mixer, |told| told.build != before).build;
     assert_eq!(after.program, before.program);
     for bad in ["{ figures: ", "{ figures: { to: ['127.0.0.0/8'] }, shedding: { as_one: true } }"] {
         hand(bad);
         let told = until(&mixer, |told| told.refused_settings);
-        assert_eq!(told.makes, after, "{bad}");
+        assert_eq!(told.build, after, "{bad}");
         hand("{ figures: { to: ['127.0.0.0/8'] }, admission: { per_address: 50 } }");
         until(&mixer, |told| !told.refused_settings);
     }
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/canary_analysis.rs
@@ -6,8 +6,8 @@
 //! against each other. Shares are clipped near to what the old ones had of late, the same way on both sides, so that one
 //! bad block of a few scans does not count for hundreds of good ones, and a gambler may bet high (docs/rollout.md).
 
-use crate::told::{Sums, Told};
-use crate::wager::Wager;
+use crate::metrics_sample::{MetricsSample, ScanCounts};
+use crate::sequential_test::SequentialTest;
 use fernglade::{Moment, Span};
 use std::collections::BTreeMap;
 
@@ -38,35 +38,47 @@
 /// How much worse is worse, and how sure one has to be. A plan's `compare`, with these defaults.
 #[derive(Clone, Copy, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Scales {
+pub struct Thresholds {
     /// More of the scans not served: that share of all.
-    pub lost: f64,
+    #[serde(rename = "lost")]
+    pub loss_increase: f64,
     /// More of the served ones slower than the old ones usually are: that share of them.
-    pub slower: f64,
+    #[serde(rename = "slower")]
+    pub slow_increase: f64,
     /// All do worse than before the stage, by that share of all scans.
-    pub fall: f64,
+    #[serde(rename = "fall")]
+    pub overall_loss_increase: f64,
     /// The chance that a change no worse is stopped, and that one as bad as that goes on.
-    pub false_stop: f64,
-    pub missed: f64,
+    #[serde(rename = "false_stop")]
+    pub false_stop_rate: f64,
+    #[serde(rename = "missed")]
+    pub missed_rate: f64,
     /// How long the time before a stage is.
-    #[serde(deserialize_with = "crate::plan::span")]
-    pub before: Span,
+    #[serde(rename = "before", deserialize_with = "crate::plan::deserialize_span")]
+    pub reference_window: Span,
 }
 
-impl Default for Scales {
+impl Default for Thresholds {
     fn default() -> Self {
-        let before = Span::of_millis(30_000);
-        Self { lost: 0.01, slower: 0.04, fall: 0.05, false_stop: 0.01, missed: 0.05, before }
+        let reference_window = Span::of_millis(30_000);
+        Self {
+            loss_increase: 0.01,
+            slow_increase: 0.04,
+            overall_loss_increase: 0.05,
+            false_stop_rate: 0.01,
+            missed_rate: 0.05,
+            reference_window,
+        }
     }
 }
 
 /// What a mixer is to the step that is judged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Cohort {
     /// Changed in this step.
-    New,
+    Canary,
     /// Restarted with the old, at the same time.
-    Twin,
+    Baseline,
     /// Neither.
     Other,
 }
@@ -83,8 +95,8 @@
 
 #[derive(Clone, Debug, Default)]
 struct Pool {
-    new: Sums,
-    old: Sums,
+    new: ScanCounts,
+    old: ScanCounts,
 }
 
 /// One zone's scans of one traffic type.
@@ -94,15 +106,15 @@
     /// What the old ones lose usually; known before the next block.
     usual: f64,
     /// Bets that the new ones are worse, and bets that they are not.
-    lost: Wager,
-    slower: Wager,
-    as_good: Wager,
-    as_quick: Wager,
+    lost: SequentialTest,
+    slower: SequentialTest,
+    as_good: SequentialTest,
+    as_quick: SequentialTest,
 }
 
 impl Default for Stratum {
     fn default() -> Self {
-        let bet = || Wager::new(CLIP);
+        let bet = || SequentialTest::new(CLIP);
         let (open, usual) = (Pool::default(), 0.0);
         Self { open, usual, lost: bet(), slower: bet(), as_good: bet(), as_quick: bet() }
     }
@@ -111,13 +123,13 @@
 /// One traffic type over all zones: whether all fall.
 #[derive(Clone, Debug)]
 struct Whole {
-    others: Sums,
-    falls: Wager,
+    others: ScanCounts,
+    falls: SequentialTest,
 }
 
 impl Default for Whole {
     fn default() -> Self {
-        Self { others: Sums::default(), falls: Wager::new(CLIP) }
+        Self { others: ScanCounts::default(), falls: SequentialTest::new(CLIP) }
     }
 }
 
@@ -133,14 +145,14 @@
 /// What a mixer did in all its lives, and for how long it was heard meanwhile.
 #[derive(Clone, Debug, Default)]
 struct Work {
-    types: BTreeMap<String, Sums>,
+    types: BTreeMap<String, ScanCounts>,
     seconds: f64,
 }
 
 /// What each mixer told last, and its work by now and by the two last turns of the time before.
 #[derive(Clone, Debug, Default)]
 struct Known {
-    last: Option<(Told, Moment)>,
+    last: Option<(MetricsSample, Moment)>,
     work: Work,
     newer: Work,
     older: Work,
@@ -149,7 +161,7 @@
 impl Known {
     /// Takes in what it told. What it did since it was last heard counts, in a new life too, or a conductor that begins
     /// anew while mixers are changed takes the load for less than it is; not so where it was long unheard.
-    fn note(&mut self, now: Moment, told: &Told) {
+    fn note(&mut self, now: Moment, told: &MetricsSample) {
         let Some((before, at)) = self.last.replace((told.clone(), now)) else { return };
         let gap = now.since(at);
         if gap >= LOAD_SEEN {
@@ -164,10 +176,10 @@
     }
 }
 
-pub struct Judge {
-    scales: Scales,
+pub struct CanaryAnalysis {
+    scales: Thresholds,
     zones: Vec<String>,
-    parts: Vec<Part>,
+    cohorts: Vec<Cohort>,
     known: Vec<Known>,
     turned: (Option<Moment>, Option<Moment>),
     before: Before,
@@ -188,18 +200,18 @@
     (usual + clip).min(1.0) - (usual - clip).max(0.0)
 }
 
-fn lost(sums: &Sums) -> f64 {
+fn lost(sums: &ScanCounts) -> f64 {
     1.0 - sums.served as f64 / sums.ended().max(1) as f64
 }
 
-impl Judge {
+impl CanaryAnalysis {
     /// The zones of all mixers, in their order.
-    pub fn new(scales: Scales, zones: Vec<String>) -> Self {
-        let (parts, known) = (vec![Part::Other; zones.len()], vec![Known::default(); zones.len()]);
+    pub fn new(scales: Thresholds, zones: Vec<String>) -> Self {
+        let (cohorts, known) = (vec![Cohort::Other; zones.len()], vec![Known::default(); zones.len()]);
         Self {
             scales,
             zones,
-            parts,
+            cohorts,
             known,
             turned: (None, None),
             before: Before::default(),
@@ -212,26 +224,26 @@
     }
 
     /// Whether enough has been seen for a time before.
-    pub fn has_before(&self) -> bool {
+    pub fn has_reference(&self) -> bool {
         self.turned.1.is_some()
     }
 
     /// A step begins, and what is then is what it is held against. What was known of others is forgotten.
-    pub fn begin(&mut self, now: Moment, parts: Vec<Part>) {
+    pub fn begin_step(&mut self, now: Moment, cohorts: Vec<Cohort>) {
         let before = self.look_back();
         if !before.types.is_empty() {
             self.before = before;
         }
         self.restart(now);
-        self.parts = parts;
+        self.cohorts = cohorts;
     }
 
     /// The comparison of a step begins: all have settled. One that was not begun here is held against what is known.
-    pub fn compare(&mut self, now: Moment, parts: Vec<Part>) {
+    pub fn begin_comparison(&mut self, now: Moment, cohorts: Vec<Cohort>) {
         if self.before.types.is_empty() {
             self.before = self.look_back();
         }
-        self.parts = parts;
+        self.cohorts = cohorts;
         self.restart(now);
     }
 
@@ -244,39 +256,39 @@
     }
 
     fn look_back(&self) -> Before {
-        let (mut all, mut listed) = (BTreeMap::<String, (Sums, f64)>::new(), BTreeMap::new());
+        let (mut all, mut listed) = (BTreeMap::<String, (ScanCounts, f64)>::new(), BTreeMap::new());
         for (mixer, known) in self.known.iter().enumerate() {
             let Some((last, _)) = &known.last else { continue };
-            listed.insert(mixer, last.listed);
+            listed.insert(mixer, last.searchers_listed);
             // Who could not be heard for a part of the time took as much then as else; for all of it, as ever.
             let heard_of_late = known.work.seconds > known.older.seconds;
             let then = if heard_of_late { &known.older } else { &Work::default() };
             let seconds = (known.work.seconds - then.seconds).max(1e-3);
             for (name, sums) in &known.work.types {
-                let more = sums.since(then.types.get(name).unwrap_or(&Sums::default()));
+                let more = sums.since(then.types.get(name).unwrap_or(&ScanCounts::default()));
                 let (pool, rate) = all.entry(name.clone()).or_default();
                 pool.add(&more);
                 *rate += more.taken as f64 / seconds;
             }
         }
-        let line = |(sums, rate): &(Sums, f64)| (1.0 - lost(sums), *rate, sums.quantile(USUAL));
+        let line = |(sums, rate): &(ScanCounts, f64)| (1.0 - lost(sums), *rate, sums.latency_quantile(USUAL));
         let seen = all.iter().filter(|(_, (sums, _))| sums.ended() > 0);
         Before { types: seen.map(|(name, known)| (name.clone(), line(known))).collect(), listed }
     }
 
     /// What a mixer told. Of another incarnation than before, what is compared begins from nothing.
-    pub fn hear(&mut self, now: Moment, mixer: usize, told: &Told) {
+    pub fn record_sample(&mut self, now: Moment, mixer: usize, told: &MetricsSample) {
         self.turn(now);
         let known = &mut self.known[mixer];
         let before = known.last.clone();
         known.note(now, told);
-        let same = |old: &(Told, Moment)| old.0.incarnation == told.incarnation;
+        let same = |old: &(MetricsSample, Moment)| old.0.incarnation == told.incarnation;
         let Some((before, at)) = before.filter(same) else { return };
-        if self.parts[mixer] != Part::New {
-            self.mind_list(mixer, told.listed);
+        if self.cohorts[mixer] != Cohort::Canary {
+            self.mind_list(mixer, told.searchers_listed);
         }
         for (name, sums) in &told.types {
-            let more = sums.since(before.types.get(name).unwrap_or(&Sums::default()));
+            let more = sums.since(before.types.get(name).unwrap_or(&ScanCounts::default()));
             // What it did while it was long unheard is not the load of now.
             self.taken += if now.since(at) < LOAD_SEEN { more.taken } else { 0 };
             self.pool(mixer, name, &more);
@@ -286,7 +298,7 @@
 
     /// Every so long the last turn becomes the one before it.
     fn turn(&mut self, now: Moment) {
-        let due = self.turned.0.is_none_or(|at| now.since(at) >= self.scales.before);
+        let due = self.turned.0.is_none_or(|at| now.since(at) >= self.scales.reference_window);
         if due {
             self.turned = (Some(now), self.turned.0);
             for known in &mut self.known {
@@ -313,17 +325,17 @@
         }
     }
 
-    fn pool(&mut self, mixer: usize, name: &str, more: &Sums) {
+    fn pool(&mut self, mixer: usize, name: &str, more: &ScanCounts) {
         let slow_past = self.before.types.get(name).and_then(|line| line.2);
         let served_before = self.before.types.get(name).map(|line| line.0);
         let whole = self.wholes.entry(name.to_owned()).or_default();
-        match self.parts[mixer] {
-            Part::Other => whole.others.add(more),
-            Part::New | Part::Twin => {
+        match self.cohorts[mixer] {
+            Cohort::Other => whole.others.add(more),
+            Cohort::Canary | Cohort::Baseline => {
                 let stratum = self.strata.entry((self.zones[mixer].clone(), name.to_owned())).or_default();
                 let pool = &mut stratum.open;
-                match self.parts[mixer] {
-                    Part::New => pool.new.add(more),
+                match self.cohorts[mixer] {
+                    Cohort::Canary => pool.new.add(more),
                     _ => pool.old.add(more),
                 }
                 if pool.new.ended() >= BLOCK && pool.old.ended() >= BLOCK {
@@ -331,7 +343,7 @@
                     compare(&self.scales, stratum, &block, slow_past);
                 }
                 // Where nobody stands beside them, all are who may fall.
-                if self.parts.contains(&Part::Other) {
+                if self.cohorts.contains(&Cohort::Other) {
                     return;
                 }
                 whole.others.add(more);
@@ -341,9 +353,10 @@
             let others = std::mem::take(&mut whole.others);
             let usual = 1.0 - served_before.unwrap_or(1.0);
             // Twice: the others have nobody beside them, and a burst of a zone's own is not to count for more.
-            let (fall, clip) = (self.scales.fall, (2.0 * self.scales.fall).max(CLIP));
+            let (fall, clip) =
+                (self.scales.overall_loss_increase, (2.0 * self.scales.overall_loss_increase).max(CLIP));
             let falls = clipped(lost(&others), usual, clip) - usual - fall;
-            whole.falls.note(falls, width(usual, clip) + fall);
+            whole.falls.observe(falls, width(usual, clip) + fall);
         }
     }
 
@@ -372,21 +385,21 @@
         if let Some(name) = self.wholes.keys().find(unseen) {
             return Some(format!("{name}: asked before the step, and not since"));
         }
-        let sure = 1.0 / self.scales.missed;
-        let unsure = |at: &Stratum| at.as_good.fortune() < sure || at.as_quick.fortune() < sure;
+        let sure = 1.0 / self.scales.missed_rate;
+        let unsure = |at: &Stratum| at.as_good.wealth() < sure || at.as_quick.wealth() < sure;
         let ((zone, name), at) = self.strata.iter().find(|(_, at)| unsure(at))?;
-        let seen = at.as_good.seen() as u64 * BLOCK;
+        let seen = at.as_good.observations() as u64 * BLOCK;
         Some(format!("{name} in zone {zone}: some {seen} scans of each side compared, not enough to go on"))
     }
 
     /// The mean of fair gamblers' fortunes is a fair gambler's: however many there are, all together are wrong no
     /// oftener than one.
     fn worse(&self, load_is_known: bool) -> Option<String> {
-        let sure = 1.0 / self.scales.false_stop;
+        let sure = 1.0 / self.scales.false_stop_rate;
         let bets = self.strata.iter().flat_map(|((zone, name), stratum)| {
-            let bet = |wager: &Wager, what: &str| {
+            let bet = |wager: &SequentialTest, what: &str| {
                 let by = wager.mean();
-                (wager.fortune(), format!("{name} in zone {zone}: {what} by some {by:.3}"))
+                (wager.wealth(), format!("{name} in zone {zone}: {what} by some {by:.3}"))
             };
             [bet(&stratum.lost, "more is not served,"), bet(&stratum.slower, "more is slow,")]
         });
@@ -396,11 +409,11 @@
         if let Some((_, what)) = worst.filter(|_| mean >= sure) {
             return Some(what);
         }
-        let falls = self.wholes.values().map(|whole| whole.falls.fortune());
+        let falls = self.wholes.values().map(|whole| whole.falls.wealth());
         let mean = falls.clone().sum::<f64>() / self.wholes.len().max(1) as f64;
-        let worst = self.wholes.iter().max_by(|a, b| a.1.falls.fortune().total_cmp(&b.1.falls.fortune()));
+        let worst = self.wholes.iter().max_by(|a, b| a.1.falls.wealth().total_cmp(&b.1.falls.wealth()));
         let told = |(name, whole): (&String, &Whole)| {
-            let by = whole.falls.mean() + self.scales.fall;
+            let by = whole.falls.mean() + self.scales.overall_loss_increase;
             format!("{name}: all mixers serve less than before the stage, by some {by:.3} of what is asked")
         };
         worst.filter(|_| mean >= sure && load_is_known).map(told)
@@ -408,21 +421,25 @@
 }
 
 /// One block of both sides.
-fn compare(scales: &Scales, stratum: &mut Stratum, block: &Pool, slow_past: Option<f64>) {
-    let (usual, clip_lost) = (stratum.usual, clip(scales.lost));
+fn compare(scales: &Thresholds, stratum: &mut Stratum, block: &Pool, slow_past: Option<f64>) {
+    let (usual, clip_lost) = (stratum.usual, clip(scales.loss_increase));
     let more = clipped(lost(&block.new), usual, clip_lost) - clipped(lost(&block.old), usual, clip_lost);
     // Half of what is worse is no reason to stop yet, and all of it no reason to go on.
-    stratum.lost.note(more - scales.lost / 2.0, width(usual, clip_lost) + scales.lost / 2.0);
-    let clip_good = clip_as_good(scales.lost);
+    stratum
+        .lost
+        .observe(more - scales.loss_increase / 2.0, width(usual, clip_lost) + scales.loss_increase / 2.0);
+    let clip_good = clip_as_good(scales.loss_increase);
     let more = clipped(lost(&block.new), usual, clip_good) - clipped(lost(&block.old), usual, clip_good);
-    stratum.as_good.note(scales.lost - more, width(usual, clip_good));
+    stratum.as_good.observe(scales.loss_increase - more, width(usual, clip_good));
     stratum.usual += (lost(&block.old) - usual) / 8.0;
     let Some(past) = slow_past else { return };
-    let slow = |sums: &Sums| 1.0 - sums.within(past) as f64 / sums.served.max(1) as f64;
-    let (usual, clip) = (1.0 - USUAL, clip(scales.slower));
+    let slow = |sums: &ScanCounts| 1.0 - sums.served_within(past) as f64 / sums.served.max(1) as f64;
+    let (usual, clip) = (1.0 - USUAL, clip(scales.slow_increase));
     let more = clipped(slow(&block.new), usual, clip) - clipped(slow(&block.old), usual, clip);
-    stratum.slower.note(more - scales.slower / 2.0, width(usual, clip) + scales.slower / 2.0);
-    let clip = clip_as_good(scales.slower);
+    stratum
+        .slower
+        .observe(more - scales.slow_increase / 2.0, width(usual, clip) + scales.slow_increase / 2.0);
+    let clip = clip_as_good(scales.slow_increase);
     let more = clipped(slow(&block.new), usual, clip) - clipped(slow(&block.old), usual, clip);
-    stratum.as_quick.note(scales.slower - more, width(usual, clip));
+    stratum.as_quick.observe(scales.slow_increase - more, width(usual, clip));
 }
--- a/crates/rollout/src/journal.rs
+++ b/crates/rollout/src/journal.rs
@@ -1,8 +1,8 @@
 //! What has been decided, one record a line, each with its checksum, written before what it says is done. Read again by
 //! a conductor that begins anew; a torn last line is cut, as what it would have said was never done.
 
-use crate::course::Side;
-use crate::told::Incarnation;
+use crate::metrics_sample::Incarnation;
+use crate::spec::Side;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -45,24 +45,24 @@
 
 /// A line in the middle that is not what was written: nothing after it can be trusted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Damaged {
+pub struct CorruptLine {
     pub line: usize,
-    pub what: String,
+    pub reason: String,
 }
 
-impl fmt::Display for Damaged {
+impl fmt::Display for CorruptLine {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             to,
             "line {} of the journal is damaged ({}): keep a copy and have a person look",
-            self.line, self.what
+            self.line, self.reason
         )
     }
 }
 
 impl Record {
     /// Its line, with its end.
-    pub fn line(&self) -> String {
+    pub fn to_line(&self) -> String {
         let text = serde_json::to_string(self).expect("a record has no map with odd keys");
         format!("{:08x} {text}\n", crc32c::crc32c(text.as_bytes()))
     }
@@ -79,7 +79,7 @@
 }
 
 /// All records, and how many bytes of the file hold them: what is after that is a torn line, to be cut.
-pub fn read(bytes: &[u8]) -> Result<(Vec<Record>, usize), Damaged> {
+pub fn read(bytes: &[u8]) -> Result<(Vec<Record>, usize), CorruptLine> {
     let (mut records, mut good) = (Vec::new(), 0);
     for (number, line) in bytes.split_inclusive(|byte| *byte == b'\n').enumerate() {
         let whole = line.strip_suffix(b"\n");
@@ -87,7 +87,7 @@
             Ok(record) => records.push(record),
             // Only the last may be torn: what was synced before it is whole.
             Err(_) if good + line.len() == bytes.len() => break,
-            Err(what) => return Err(Damaged { line: number + 1, what }),
+            Err(reason) => return Err(CorruptLine { line: number + 1, reason }),
         }
         good += line.len();
     }
@@ -95,7 +95,7 @@
 }
 
 /// The records of the last change, and whether it has ended; none where no change has ever begun.
-pub fn last(records: &[Record]) -> Option<(&[Record], bool)> {
+pub fn last_change(records: &[Record]) -> Option<(&[Record], bool)> {
     let began = records.iter().rposition(|record| matches!(record, Record::Begun { .. }))?;
     let ended = records[began..].iter().any(|record| matches!(record, Record::Ended { .. }));
     Some((&records[began..], ended))
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -13,10 +13,10 @@
 //!
 //! What empties each table: all are by mixer, or by zone and traffic type, and begin anew with each step.
 
-pub mod course;
+pub mod canary_analysis;
 pub mod journal;
-pub mod judge;
 pub mod machine;
+pub mod metrics_sample;
 pub mod plan;
-pub mod told;
-pub mod wager;
+pub mod sequential_test;
+pub mod spec;
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/machine.rs
@@ -2,9 +2,9 @@
 //! by what was ordered, so that a conductor that begins anew goes on where the truth stands. docs/rollout.md has the
 //! transition table; `tests/model.rs` walks it with crashes and lost facts anywhere.
 
-use crate::course::{Course, Means, Side};
 use crate::journal::Record;
-use crate::told::Incarnation;
+use crate::metrics_sample::Incarnation;
+use crate::spec::{ChangeMethod, RolloutSpec, Side};
 use fernglade::Moment;
 use std::sync::Arc;
 
@@ -116,12 +116,12 @@
 const MOST_STRAYED: u8 = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Change {
-    course: Arc<Course>,
+pub struct Rollout {
+    course: Arc<RolloutSpec>,
     pub step: usize,
-    pub stand: Stand,
+    pub state: Stand,
     /// Whether the way back has begun: there is none forward after it.
-    pub undone: Option<String>,
+    pub rollback_reason: Option<String>,
     /// What twins were when the step began; they have to be another by now.
     twins: Vec<(usize, Incarnation)>,
     /// The step stands in the journal.
@@ -133,15 +133,15 @@
 /// What goes out, in order.
 type Out = Vec<Effect>;
 
-impl Change {
+impl Rollout {
     /// From the beginning, or from what a journal tells.
-    pub fn new(course: Arc<Course>, records: &[Record], now: Moment) -> Self {
+    pub fn new(course: Arc<RolloutSpec>, records: &[Record], now: Moment) -> Self {
         let posts = vec![Post::default(); course.names.len()];
         let mut change = Self {
             course,
             step: 0,
-            stand: Stand::Surveying,
-            undone: None,
+            state: Stand::Surveying,
+            rollback_reason: None,
             twins: Vec::new(),
             begun: false,
             posts,
@@ -163,30 +163,30 @@
             Record::Passed { step } if step + 1 == self.course.steps.len() => {}
             Record::Passed { step } => (self.step, self.begun) = (step + 1, false),
             Record::Undo { why } => {
-                (self.undone, self.stand) = (Some(why.clone()), Stand::Surveying);
+                (self.rollback_reason, self.state) = (Some(why.clone()), Stand::Surveying);
             }
-            Record::Held { why, unsure: true } => self.stand = Stand::Held(Hold::Unsure(why.clone())),
-            Record::Held { why, unsure: false } => self.stand = Stand::Held(Hold::Stuck(why.clone())),
-            Record::Paused => self.stand = Stand::Paused,
-            Record::Resumed => self.stand = Stand::Surveying,
-            Record::Ended { side, .. } => self.stand = Stand::Done(*side),
+            Record::Held { why, unsure: true } => self.state = Stand::Held(Hold::Unsure(why.clone())),
+            Record::Held { why, unsure: false } => self.state = Stand::Held(Hold::Stuck(why.clone())),
+            Record::Paused => self.state = Stand::Paused,
+            Record::Resumed => self.state = Stand::Surveying,
+            Record::Ended { side, .. } => self.state = Stand::Done(*side),
         }
     }
 
-    pub fn is_over(&self) -> bool {
-        matches!(self.stand, Stand::Done(_))
+    pub fn is_finished(&self) -> bool {
+        matches!(self.state, Stand::Done(_))
     }
 
-    pub fn course(&self) -> &Course {
+    pub fn spec(&self) -> &RolloutSpec {
         &self.course
     }
 
     /// What a mixer is to run as things stand.
-    pub fn wanted(&self, mixer: usize) -> Side {
-        let of_step = self.begun && self.undone.is_none();
+    pub fn desired_side(&self, mixer: usize) -> Side {
+        let of_step = self.begun && self.rollback_reason.is_none();
         let before = self.step.checked_sub(1).map(|before| &self.course.steps[before].new);
         let new = match (of_step, before) {
-            _ if self.undone.is_some() => false,
+            _ if self.rollback_reason.is_some() => false,
             (true, _) => self.course.steps[self.step].new.contains(&mixer),
             (false, Some(before)) => before.contains(&mixer),
             (false, None) => false,
@@ -199,7 +199,7 @@
     }
 
     /// Away, or not to be reached: changing, gone, or long unheard.
-    pub fn away(&self, now: Moment) -> usize {
+    pub fn unavailable_count(&self, now: Moment) -> usize {
         (0..self.posts.len()).filter(|at| self.is_away(*at, now)).count()
     }
 
@@ -211,7 +211,7 @@
     }
 
     fn unheard(&self, mixer: usize, now: Moment) -> bool {
-        now.since(self.posts[mixer].heard.unwrap_or(self.began)) >= self.course.unheard_within
+        now.since(self.posts[mixer].heard.unwrap_or(self.began)) >= self.course.unreachable_after
     }
 
     fn runs(&self, mixer: usize) -> Option<Side> {
@@ -226,27 +226,28 @@
         else {
             return false;
         };
-        report.ready && report.side == Some(self.wanted(mixer)) && !self.is_stale_twin(mixer, report)
+        report.ready && report.side == Some(self.desired_side(mixer)) && !self.is_stale_twin(mixer, report)
     }
 
     fn is_stale_twin(&self, mixer: usize, report: &Report) -> bool {
-        let twin = self.begun && self.undone.is_none() && self.course.means == Means::Restart;
+        let twin =
+            self.begun && self.rollback_reason.is_none() && self.course.method == ChangeMethod::Restart;
         let before = self.twins.iter().find(|(at, _)| *at == mixer);
         twin && before.is_some_and(|(_, incarnation)| *incarnation == report.incarnation)
     }
 
     /// Takes an event in, and says what is to be done.
-    pub fn take(&mut self, now: Moment, event: Event) -> Out {
+    pub fn handle(&mut self, now: Moment, event: Event) -> Out {
         let mut out = Out::new();
-        if self.is_over() {
+        if self.is_finished() {
             return out;
         }
         match event {
             Event::Heard(mixer, report) => self.heard(now, mixer, report, &mut out),
             Event::Ended { mixer, crashed } => self.ended(now, mixer, crashed, &mut out),
             Event::Failed(mixer, why) => self.failed(mixer, &why, &mut out),
-            Event::Fine if matches!(self.stand, Stand::Judging(_)) => self.pass(&mut out),
-            Event::Worse(why) if matches!(self.stand, Stand::Judging(_) | Stand::Settling(_)) => {
+            Event::Fine if matches!(self.state, Stand::Judging(_)) => self.pass(&mut out),
+            Event::Worse(why) if matches!(self.state, Stand::Judging(_) | Stand::Settling(_)) => {
                 self.undo(why, &mut out)
             }
             Event::Unsure(why) => self.unsure(now, why, &mut out),
@@ -267,7 +268,7 @@
         let again = before.as_ref().is_some_and(|old| old.incarnation != report.incarnation);
         let (was, is) = (before.and_then(|old| old.side), report.side);
         let name = self.course.names[mixer].clone();
-        if again && was == Some(Side::New) && is == Some(Side::New) && self.undone.is_none() {
+        if again && was == Some(Side::New) && is == Some(Side::New) && self.rollback_reason.is_none() {
             return self.undo(format!("{name} has begun anew by itself, with the new"), out);
         }
         if again && is != was {
@@ -283,12 +284,12 @@
                 );
             }
         }
-        if is == Some(Side::New) && self.undone.is_none() {
+        if is == Some(Side::New) && self.rollback_reason.is_none() {
             let bad = match &report {
                 Report { wrong_sum: Some(what), .. } => {
                     Some(format!("{name}: its scans of {what} do not add up"))
                 }
-                Report { memory, .. } if *memory >= self.course.memory => {
+                Report { memory, .. } if *memory >= self.course.memory_limit => {
                     Some(format!("{name}: {memory} bytes of memory"))
                 }
                 Report { refused_settings: true, .. } => Some(format!("{name} refuses its settings")),
@@ -308,7 +309,7 @@
             self.failed(mixer, "it ended as soon as it was started", out);
         } else if post.order.is_some() {
             self.mind_order(now, mixer, out);
-        } else if crashed && was_new && self.undone.is_none() {
+        } else if crashed && was_new && self.rollback_reason.is_none() {
             self.undo(format!("{} has crashed", self.course.names[mixer]), out);
         }
     }
@@ -354,7 +355,7 @@
                         (order.from, order.since) = (Some(report.incarnation.clone()), now);
                         out.push(Effect::Stop(mixer, report.incarnation.clone()));
                     }
-                } else if passed >= course.stop_within {
+                } else if passed >= course.stop_timeout {
                     let from = order.from.clone().unwrap_or_default();
                     if killed {
                         post.order = None;
@@ -377,7 +378,7 @@
                     Some(report) if report.side.is_some() && report.side != Some(side) => {
                         "it came up with another program than it was started with"
                     }
-                    _ if passed >= course.ready_within => "it was not ready in time",
+                    _ if passed >= course.ready_timeout => "it was not ready in time",
                     _ => return,
                 };
                 self.failed(mixer, why, out);
@@ -386,7 +387,7 @@
                 let why = match report {
                     Some(report) if report.side == Some(side) => return post.order = None,
                     Some(report) if report.refused_settings => "it refuses its settings",
-                    _ if passed >= course.ready_within => "it did not take its settings up",
+                    _ if passed >= course.ready_timeout => "it did not take its settings up",
                     _ => return,
                 };
                 self.failed(mixer, why, out);
@@ -395,8 +396,8 @@
     }
 
     fn unsure(&mut self, now: Moment, why: String, out: &mut Out) {
-        if let Stand::Judging(since) = self.stand {
-            if now.since(since) >= self.course.patience {
+        if let Stand::Judging(since) = self.state {
+            if now.since(since) >= self.course.comparison_timeout {
                 self.hold(Hold::Unsure(why), out);
             }
         }
@@ -405,25 +406,25 @@
     fn time(&mut self, now: Moment, watched: bool, out: &mut Out) {
         (0..self.posts.len()).for_each(|mixer| self.mind_order(now, mixer, out));
         self.mind_gone(now, out);
-        match self.stand.clone() {
+        match self.state.clone() {
             Stand::Surveying => self.survey(now, watched, out),
-            Stand::Moving if self.all_as_wanted() => self.stand = Stand::Settling(now),
-            Stand::Settling(_) | Stand::Judging(_) if !self.all_as_wanted() => self.stand = Stand::Moving,
-            Stand::Settling(since) if now.since(since) >= self.course.settle => {
-                if self.course.steps[self.step].judged {
-                    self.stand = Stand::Judging(now);
+            Stand::Moving if self.all_as_wanted() => self.state = Stand::Settling(now),
+            Stand::Settling(_) | Stand::Judging(_) if !self.all_as_wanted() => self.state = Stand::Moving,
+            Stand::Settling(since) if now.since(since) >= self.course.settle_time => {
+                if self.course.steps[self.step].compared {
+                    self.state = Stand::Judging(now);
                     out.push(Effect::Compare(self.step));
                 } else {
                     self.pass(out);
                 }
             }
             Stand::Undoing if self.all_as_wanted() => {
-                let why = self.undone.clone().unwrap_or_default();
+                let why = self.rollback_reason.clone().unwrap_or_default();
                 self.end(Side::Old, why, out);
             }
             _ => {}
         }
-        if matches!(self.stand, Stand::Moving | Stand::Undoing) {
+        if matches!(self.state, Stand::Moving | Stand::Undoing) {
             self.order_next(now, out);
         }
     }
@@ -436,9 +437,9 @@
     fn mind_gone(&mut self, now: Moment, out: &mut Out) {
         for mixer in 0..self.posts.len() {
             let post = &self.posts[mixer];
-            let long = post.gone.is_some_and(|at| now.since(at) >= self.course.return_within);
+            let long = post.gone.is_some_and(|at| now.since(at) >= self.course.return_timeout);
             let was_new = post.report.as_ref().is_some_and(|report| report.side == Some(Side::New));
-            if long && post.order.is_none() && was_new && self.undone.is_none() {
+            if long && post.order.is_none() && was_new && self.rollback_reason.is_none() {
                 return self.undo(format!("{} has gone, and not come back", self.course.names[mixer]), out);
             }
         }
@@ -460,22 +461,22 @@
                 format!("{} runs neither the old nor the new: see what it is", self.course.names[mixer]);
             return self.hold(Hold::Stuck(what), out);
         }
-        if self.undone.is_some() {
-            self.stand = Stand::Undoing;
+        if self.rollback_reason.is_some() {
+            self.state = Stand::Undoing;
         } else if self.begun {
-            self.stand = Stand::Moving;
+            self.state = Stand::Moving;
         } else if watched {
             self.begin_step(out);
         }
     }
 
     fn begin_step(&mut self, out: &mut Out) {
-        let twins = self.course.steps[self.step].twins.iter();
+        let twins = self.course.steps[self.step].baseline.iter();
         let now_is = |at: &usize| Some((*at, self.posts[*at].report.as_ref()?.incarnation.clone()));
         self.twins = twins.filter_map(now_is).collect();
         self.begun = true;
         out.push(Effect::Write(Record::Step { step: self.step, twins: self.twins.clone() }));
-        self.stand = Stand::Moving;
+        self.state = Stand::Moving;
     }
 
     fn pass(&mut self, out: &mut Out) {
@@ -485,20 +486,20 @@
         if self.step == self.course.steps.len() {
             return self.end(Side::New, "every step has passed".into(), out);
         }
-        self.stand = Stand::Surveying;
+        self.state = Stand::Surveying;
     }
 
     fn end(&mut self, side: Side, why: String, out: &mut Out) {
         out.push(Effect::Write(Record::Ended { side, why: why.clone() }));
-        self.stand = Stand::Done(side);
+        self.state = Stand::Done(side);
         out.push(Effect::Tell(why));
     }
 
     fn undo(&mut self, why: String, out: &mut Out) {
-        if self.undone.is_none() {
+        if self.rollback_reason.is_none() {
             out.push(Effect::Write(Record::Undo { why: why.clone() }));
-            self.undone = Some(why);
-            self.stand = Stand::Undoing;
+            self.rollback_reason = Some(why);
+            self.state = Stand::Undoing;
         }
     }
 
@@ -509,7 +510,7 @@
         };
         out.push(Effect::Write(Record::Held { why: why.clone(), unsure }));
         out.push(Effect::Tell(why));
-        self.stand = Stand::Held(hold);
+        self.state = Stand::Held(hold);
     }
 
     /// Whether one is neither known to be gone nor heard; people are told which.
@@ -527,7 +528,11 @@
         if self.waits_for_lost(now, out) {
             return;
         }
-        let most = if self.undone.is_some() { self.course.undo_away } else { self.course.most_away };
+        let most = if self.rollback_reason.is_some() {
+            self.course.max_unavailable_in_rollback
+        } else {
+            self.course.max_unavailable
+        };
         let mut all: Vec<usize> = (0..self.posts.len()).collect();
         all.sort_by_key(|at| self.posts[*at].gone.is_none());
         for mixer in all {
@@ -535,9 +540,9 @@
                 continue;
             }
             let gone = self.posts[mixer].gone;
-            let waits =
-                gone.is_some_and(|at| now.since(at) < self.course.return_within) && self.undone.is_none();
-            if waits || (gone.is_none() && self.away(now) >= most) {
+            let waits = gone.is_some_and(|at| now.since(at) < self.course.return_timeout)
+                && self.rollback_reason.is_none();
+            if waits || (gone.is_none() && self.unavailable_count(now) >= most) {
                 continue;
             }
             self.order(now, mixer, out);
@@ -545,7 +550,7 @@
     }
 
     fn order(&mut self, now: Moment, mixer: usize, out: &mut Out) {
-        let (side, means) = (self.wanted(mixer), self.course.means);
+        let (side, method) = (self.desired_side(mixer), self.course.method);
         let post = &mut self.posts[mixer];
         let from = post.report.as_ref().map(|report| report.incarnation.clone());
         // One that begins by itself is not to be pushed: it is as wanted once it is ready.
@@ -554,10 +559,10 @@
             return;
         }
         out.push(Effect::Write(Record::Ordered { mixer, side, from: from.clone() }));
-        let (doing, effect) = match (post.gone, means) {
+        let (doing, effect) = match (post.gone, method) {
             (Some(_), _) => (Doing::Starting, Effect::Start(mixer, side)),
-            (None, Means::Hand) => (Doing::Handing, Effect::Hand(mixer, side)),
-            (None, Means::Restart) => {
+            (None, ChangeMethod::Reload) => (Doing::Handing, Effect::Hand(mixer, side)),
+            (None, ChangeMethod::Restart) => {
                 let from = from.clone().unwrap_or_default();
                 (Doing::Stopping { killed: false }, Effect::Stop(mixer, from))
             }
@@ -567,12 +572,12 @@
     }
 
     fn wished(&mut self, wish: Wish, out: &mut Out) {
-        match (wish, self.stand.clone()) {
+        match (wish, self.state.clone()) {
             (Wish::Undo, _) => self.undo("an operator asked for it".into(), out),
             (Wish::Pause, Stand::Paused | Stand::Held(_)) => {}
             (Wish::Pause, _) => {
                 out.push(Effect::Write(Record::Paused));
-                self.stand = Stand::Paused;
+                self.state = Stand::Paused;
             }
             (Wish::Resume, Stand::Held(Hold::Unsure(_))) => {
                 out.push(Effect::Write(Record::Resumed));
@@ -581,28 +586,28 @@
             (Wish::Resume, Stand::Paused | Stand::Held(Hold::Stuck(_))) => {
                 out.push(Effect::Write(Record::Resumed));
                 self.posts.iter_mut().for_each(|post| post.strayed = 0);
-                self.stand = Stand::Surveying;
+                self.state = Stand::Surveying;
             }
             (Wish::Resume, _) => {}
         }
     }
 
     /// For people: who runs what.
-    pub fn told(&self) -> String {
+    pub fn status_line(&self) -> String {
         let count = |side| (0..self.posts.len()).filter(|at| self.runs(*at) == Some(side)).count();
         let (new, old) = (count(Side::New), count(Side::Old));
         let rest = self.posts.len() - new - old;
-        let stand = match &self.stand {
+        let stand = match &self.state {
             Stand::Surveying => "looks".to_string(),
             Stand::Moving => "changes mixers".into(),
             Stand::Settling(_) => "lets them settle".into(),
             Stand::Judging(_) => "compares".into(),
-            Stand::Undoing => format!("goes back: {}", self.undone.as_deref().unwrap_or_default()),
+            Stand::Undoing => format!("goes back: {}", self.rollback_reason.as_deref().unwrap_or_default()),
             Stand::Paused => "paused".into(),
             Stand::Held(Hold::Unsure(why) | Hold::Stuck(why)) => format!("HELD: {why}"),
             Stand::Done(Side::New) => "done: all new".into(),
             Stand::Done(Side::Old) => {
-                format!("done: all old: {}", self.undone.as_deref().unwrap_or_default())
+                format!("done: all old: {}", self.rollback_reason.as_deref().unwrap_or_default())
             }
         };
         let steps = self.course.steps.len();
--- a/crates/rollout/src/told.rs
+++ b/crates/rollout/src/metrics_sample.rs
@@ -8,7 +8,7 @@
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
-pub struct Makes {
+pub struct BuildDigests {
     pub program: String,
     pub settings: String,
 }
@@ -21,7 +21,7 @@
 
 /// Scans of one traffic type since the mixer began. Each taken one is in exactly one of the other four.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sums {
+pub struct ScanCounts {
     pub taken: u64,
     pub served: u64,
     pub refused: u64,
@@ -29,11 +29,11 @@
     pub failed: u64,
     pub open: u64,
     /// Those served, by how long they took at most: seconds, and how many took no longer.
-    pub within: Vec<(f64, u64)>,
+    pub latency_buckets: Vec<(f64, u64)>,
 }
 
-impl Sums {
-    pub fn adds_up(&self) -> bool {
+impl ScanCounts {
+    pub fn is_consistent(&self) -> bool {
         self.taken == self.served + self.refused + self.failed + self.open
     }
 
@@ -42,89 +42,92 @@
     }
 
     /// How many were served within so long, by the nearest bound that is no shorter.
-    pub fn within(&self, seconds: f64) -> u64 {
-        let bound = self.within.iter().find(|(bound, _)| *bound >= seconds * 0.999);
+    pub fn served_within(&self, seconds: f64) -> u64 {
+        let bound = self.latency_buckets.iter().find(|(bound, _)| *bound >= seconds * 0.999);
         bound.map_or(self.served, |(_, count)| *count)
     }
 
     /// The bound under which at least this share of the served lies; none where nothing was served.
-    pub fn quantile(&self, share: f64) -> Option<f64> {
+    pub fn latency_quantile(&self, share: f64) -> Option<f64> {
         let wanted = (share * self.served as f64).ceil() as u64;
-        let found = self.within.iter().find(|(_, count)| *count >= wanted.max(1));
+        let found = self.latency_buckets.iter().find(|(_, count)| *count >= wanted.max(1));
         found.map(|(bound, _)| *bound)
     }
 
-    pub fn add(&mut self, other: &Sums) {
+    pub fn add(&mut self, other: &ScanCounts) {
         self.taken += other.taken;
         self.served += other.served;
         self.refused += other.refused;
         self.failed += other.failed;
         self.open += other.open;
-        if self.within.is_empty() {
-            self.within.clone_from(&other.within);
+        if self.latency_buckets.is_empty() {
+            self.latency_buckets.clone_from(&other.latency_buckets);
         } else {
-            self.within.iter_mut().zip(&other.within).for_each(|(mine, more)| mine.1 += more.1);
+            self.latency_buckets
+                .iter_mut()
+                .zip(&other.latency_buckets)
+                .for_each(|(mine, more)| mine.1 += more.1);
         }
     }
 
     /// What came since `before`, of the same incarnation: nothing of what is lower now than it was.
-    pub fn since(&self, before: &Sums) -> Sums {
+    pub fn since(&self, before: &ScanCounts) -> ScanCounts {
         let count = |share: &(f64, u64)| {
-            let old = before.within.iter().find(|(bound, _)| *bound == share.0);
+            let old = before.latency_buckets.iter().find(|(bound, _)| *bound == share.0);
             (share.0, share.1.saturating_sub(old.map_or(0, |(_, count)| *count)))
         };
-        Sums {
+        ScanCounts {
             taken: self.taken.saturating_sub(before.taken),
             served: self.served.saturating_sub(before.served),
             refused: self.refused.saturating_sub(before.refused),
             failed: self.failed.saturating_sub(before.failed),
             open: self.open,
-            within: self.within.iter().map(count).collect(),
+            latency_buckets: self.latency_buckets.iter().map(count).collect(),
         }
     }
 }
 
 /// All that a mixer tells when it is asked.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
-    pub makes: Makes,
+pub struct MetricsSample {
+    pub build: BuildDigests,
     pub version: String,
     pub incarnation: Incarnation,
-    pub process: u32,
+    pub pid: u32,
     /// It serves, and has not been told to end.
     pub ready: bool,
     /// Bytes resident.
-    pub memory: u64,
+    pub memory_bytes: u64,
     /// Searchers that its list has as ready.
-    pub listed: u64,
+    pub searchers_listed: u64,
     /// Parts relayed, first relays and later ones.
     pub relays: u64,
     /// Its settings file was refused when it was last read.
     pub refused_settings: bool,
-    pub types: BTreeMap<String, Sums>,
+    pub types: BTreeMap<String, ScanCounts>,
 }
 
 /// What is wrong with what a mixer said.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unread(pub String);
+pub struct SampleError(pub String);
 
-impl fmt::Display for Unread {
+impl fmt::Display for SampleError {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         to.write_str(&self.0)
     }
 }
 
 /// The most that is read of one answer, in bytes, and the most traffic types: a wrong address may say anything.
-pub const MOST_TOLD: usize = 1 << 20;
-const MOST_TYPES: usize = 256;
+pub const MAX_RESPONSE_BYTES: usize = 1 << 20;
+const MAX_TRAFFIC_TYPES: usize = 256;
 
-impl Told {
+impl MetricsSample {
     /// From the usual text form, as `GET /figures` has it.
-    pub fn read(text: &str) -> Result<Self, Unread> {
+    pub fn parse(text: &str) -> Result<Self, SampleError> {
         // Samples carry no time of their own; the parser's own way would ask the clock.
         let lines = text.lines().map(|line| Ok(line.to_owned()));
         let scrape = prometheus_parse::Scrape::parse_at(lines, DateTime::UNIX_EPOCH)
-            .map_err(|e| Unread(e.to_string()))?;
+            .map_err(|e| SampleError(e.to_string()))?;
         let mut told = Self::default();
         let mut known = false;
         for sample in scrape.samples {
@@ -135,8 +138,9 @@
                 | prometheus_parse::Value::Untyped(value) => value,
                 prometheus_parse::Value::Histogram(ref counts) => {
                     let sums = told.of(label("type"))?;
-                    sums.within = counts.iter().map(|count| (count.less_than, count.count as u64)).collect();
-                    sums.within.retain(|(bound, _)| bound.is_finite());
+                    sums.latency_buckets =
+                        counts.iter().map(|count| (count.less_than, count.count as u64)).collect();
+                    sums.latency_buckets.retain(|(bound, _)| bound.is_finite());
                     continue;
                 }
                 prometheus_parse::Value::Summary(_) => continue,
@@ -145,13 +149,13 @@
             match sample.metric.trim_start_matches("fernglade_").trim_end_matches("_total") {
                 "mixer_info" => {
                     known = true;
-                    told.makes = Makes { program: label("program"), settings: label("settings") };
+                    told.build = BuildDigests { program: label("program"), settings: label("settings") };
                     (told.version, told.incarnation) = (label("version"), Incarnation(label("incarnation")));
-                    told.process = label("process").parse().unwrap_or(0);
+                    told.pid = label("process").parse().unwrap_or(0);
                 }
                 "ready" => told.ready = whole == 1,
-                "memory_bytes" => told.memory = whole,
-                "searchers_listed" => told.listed = whole,
+                "memory_bytes" => told.memory_bytes = whole,
+                "searchers_listed" => told.searchers_listed = whole,
                 "relays" => told.relays = whole,
                 "settings_refused" => told.refused_settings = whole == 1,
                 "scans_taken" => told.of(label("type"))?.taken = whole,
@@ -170,19 +174,19 @@
         }
         match known && !told.incarnation.0.is_empty() {
             true => Ok(told),
-            false => Err(Unread("it does not say who it is: no fernglade_mixer_info".into())),
+            false => Err(SampleError("it does not say who it is: no fernglade_mixer_info".into())),
         }
     }
 
-    fn of(&mut self, name: String) -> Result<&mut Sums, Unread> {
-        if self.types.len() >= MOST_TYPES && !self.types.contains_key(&name) {
-            return Err(Unread(format!("more than {MOST_TYPES} traffic types")));
+    fn of(&mut self, name: String) -> Result<&mut ScanCounts, SampleError> {
+        if self.types.len() >= MAX_TRAFFIC_TYPES && !self.types.contains_key(&name) {
+            return Err(SampleError(format!("more than {MAX_TRAFFIC_TYPES} traffic types")));
         }
         Ok(self.types.entry(name).or_default())
     }
 
     /// The traffic type whose sum is wrong, if one is.
-    pub fn wrong_sum(&self) -> Option<&str> {
-        self.types.iter().find(|(_, sums)| !sums.adds_up()).map(|(name, _)| name.as_str())
+    pub fn inconsistent_type(&self) -> Option<&str> {
+        self.types.iter().find(|(_, sums)| !sums.is_consistent()).map(|(name, _)| name.as_str())
     }
 }
--- a/crates/rollout/src/wager.rs
+++ b/crates/rollout/src/sequential_test.rs
@@ -5,7 +5,7 @@
 
 /// One gambler. He never bets so much that he could lose all.
 #[derive(Clone, Debug)]
-pub struct Wager {
+pub struct SequentialTest {
     /// The logarithm of his fortune.
     fortune: f64,
     count: f64,
@@ -13,7 +13,7 @@
     squares: f64,
 }
 
-impl Wager {
+impl SequentialTest {
     /// `wide` is how far from nothing an observation usually may lie.
     pub fn new(wide: f64) -> Self {
         // As if one had been seen, as wide as that: he begins carefully.
@@ -28,7 +28,7 @@
     }
 
     /// What came; `least` is how far below nothing it could have lain, known before it came.
-    pub fn note(&mut self, came: f64, least: f64) {
+    pub fn observe(&mut self, came: f64, least: f64) {
         debug_assert!(came >= -least * 1.000_001, "{came} is under the bound of -{least}");
         let came = came.max(-least);
         self.fortune += (1.0 + self.bet(least) * came).ln();
@@ -38,11 +38,11 @@
     }
 
     /// His fortune; one to begin with.
-    pub fn fortune(&self) -> f64 {
+    pub fn wealth(&self) -> f64 {
         self.fortune.min(300.0).exp()
     }
 
-    pub fn seen(&self) -> usize {
+    pub fn observations(&self) -> usize {
         self.count as usize - 1
     }
 
--- a/crates/rollout/src/course.rs
+++ b/crates/rollout/src/spec.rs
@@ -1,7 +1,7 @@
 //! The way of a change: which mixers are changed in which step, and who is restarted beside them to be held against.
 
-use crate::judge::Part;
-use crate::told::Makes;
+use crate::canary_analysis::Cohort;
+use crate::metrics_sample::BuildDigests;
 use fernglade::Span;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,19 +15,19 @@
 
 /// How a mixer is changed; a plan's `by`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, serde::Deserialize)]
-pub enum Means {
+pub enum ChangeMethod {
     /// Told to end, waited for, started.
     #[default]
     #[serde(rename = "restart")]
     Restart,
     /// Its settings file replaced whole, and read again by it on SIGHUP.
     #[serde(rename = "hup")]
-    Hand,
+    Reload,
 }
 
 /// How much of each zone is new once a step is through.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Size {
+pub enum StageSize {
     Count(usize),
     Share(f64),
 }
@@ -37,49 +37,49 @@
     /// All that are new after it, those of the steps before among them.
     pub new: BTreeSet<usize>,
     /// Restarted with the old at the same time.
-    pub twins: BTreeSet<usize>,
+    pub baseline: BTreeSet<usize>,
     /// Whether somebody is left to compare with.
-    pub judged: bool,
+    pub compared: bool,
 }
 
 /// All that the machine goes by; nothing of it changes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Course {
+pub struct RolloutSpec {
     pub names: Vec<String>,
     pub zones: Vec<String>,
-    pub old: Makes,
-    pub new: Makes,
-    pub means: Means,
+    pub old: BuildDigests,
+    pub new: BuildDigests,
+    pub method: ChangeMethod,
     pub steps: Vec<Step>,
     /// How many may be away at once, those that nobody can reach among them; going on, and going back.
-    pub most_away: usize,
-    pub undo_away: usize,
-    pub stop_within: Span,
-    pub ready_within: Span,
+    pub max_unavailable: usize,
+    pub max_unavailable_in_rollback: usize,
+    pub stop_timeout: Span,
+    pub ready_timeout: Span,
     /// How long one that has gone by itself is waited for.
-    pub return_within: Span,
+    pub return_timeout: Span,
     /// How long one may say nothing before it counts as out of reach.
-    pub unheard_within: Span,
-    pub settle: Span,
-    pub patience: Span,
+    pub unreachable_after: Span,
+    pub settle_time: Span,
+    pub comparison_timeout: Span,
     /// Bytes resident at which a new one is too large.
-    pub memory: u64,
+    pub memory_limit: u64,
 }
 
-impl Course {
+impl RolloutSpec {
     /// Which of the two a mixer runs, if it is one of them.
-    pub fn side(&self, makes: &Makes) -> Option<Side> {
+    pub fn side(&self, makes: &BuildDigests) -> Option<Side> {
         let sides = [(Side::Old, &self.old), (Side::New, &self.new)];
         sides.into_iter().find(|(_, of)| *of == makes).map(|(side, _)| side)
     }
 
     /// What each mixer is to a step's comparison.
-    pub fn parts(&self, step: usize) -> Vec<Part> {
-        let (changed, twins) = (self.changed_in(step), &self.steps[step].twins);
-        let part = |mixer: usize| match (changed.contains(&mixer), twins.contains(&mixer)) {
-            (true, _) => Part::New,
-            (_, true) => Part::Twin,
-            _ => Part::Other,
+    pub fn cohorts(&self, step: usize) -> Vec<Cohort> {
+        let (changed, baseline) = (self.changed_in(step), &self.steps[step].baseline);
+        let part = |mixer: usize| match (changed.contains(&mixer), baseline.contains(&mixer)) {
+            (true, _) => Cohort::Canary,
+            (_, true) => Cohort::Baseline,
+            _ => Cohort::Other,
         };
         (0..self.names.len()).map(part).collect()
     }
@@ -93,24 +93,24 @@
 
 /// The steps of a change. In each zone mixers are changed in their order, and as many of the last ones that are still
 /// old are their twins. Where nobody would be left to be held against, one of each zone is kept for a last step.
-pub fn steps(zones: &[String], sizes: &[Size]) -> Vec<Step> {
+pub fn steps(zones: &[String], sizes: &[StageSize]) -> Vec<Step> {
     let mut by_zone: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
     zones.iter().enumerate().for_each(|(at, zone)| by_zone.entry(zone).or_default().push(at));
     let mut steps: Vec<Step> = Vec::new();
     for size in sizes {
-        let mut step = Step { judged: true, ..Step::default() };
+        let mut step = Step { compared: true, ..Step::default() };
         let before = steps.last().cloned().unwrap_or_default();
         for all in by_zone.values() {
             let wanted = match size {
-                Size::Count(count) => *count,
-                Size::Share(share) => (share * all.len() as f64).ceil() as usize,
+                StageSize::Count(count) => *count,
+                StageSize::Share(share) => (share * all.len() as f64).ceil() as usize,
             };
             // Who is alone in his zone has no twin and waits for the end.
             let count = wanted.min(all.len().saturating_sub(1));
             let had = all.iter().filter(|at| before.new.contains(at)).count();
             let count = count.max(had);
             step.new.extend(&all[..count]);
-            step.twins.extend(all[count..].iter().rev().take(count - had));
+            step.baseline.extend(all[count..].iter().rev().take(count - had));
         }
         if step.new != before.new {
             steps.push(step);
--- a/crates/rollout/tests/change.rs
+++ b/crates/rollout/tests/change.rs
@@ -1,40 +1,40 @@
 //! The change, story by story: what mixers say and what an operator wants come in, and what is ordered is looked at.
 
 use fernglade::{Moment, Span};
-use fernglade_rollout::course::{steps, Course, Means, Side, Size};
 use fernglade_rollout::journal::Record;
-use fernglade_rollout::machine::{Change, Effect, Event, Hold, Report, Stand, Wish};
-use fernglade_rollout::told::{Incarnation, Makes};
+use fernglade_rollout::machine::{Effect, Event, Hold, Report, Rollout, Stand, Wish};
+use fernglade_rollout::metrics_sample::{BuildDigests, Incarnation};
+use fernglade_rollout::spec::{steps, ChangeMethod, RolloutSpec, Side, StageSize};
 use std::sync::Arc;
 use test_case::test_case;
 
-fn course(means: Means) -> Arc<Course> {
+fn course(method: ChangeMethod) -> Arc<RolloutSpec> {
     let zones: Vec<String> = ["a", "a", "a", "b", "b", "b"].map(String::from).to_vec();
     let names = (0..6).map(|at| format!("m{at}")).collect();
-    let makes = |program: &str| Makes { program: program.into(), settings: "-".into() };
+    let makes = |program: &str| BuildDigests { program: program.into(), settings: "-".into() };
     let span = Span::of_millis;
-    Arc::new(Course {
+    Arc::new(RolloutSpec {
         names,
-        steps: steps(&zones, &[Size::Count(1), Size::Share(1.0)]),
+        steps: steps(&zones, &[StageSize::Count(1), StageSize::Share(1.0)]),
         zones,
         old: makes("old"),
         new: makes("new"),
-        means,
-        most_away: 1,
-        undo_away: 2,
-        stop_within: span(3_000),
-        ready_within: span(5_000),
-        return_within: span(2_000),
-        unheard_within: span(2_000),
-        settle: span(1_000),
-        patience: span(60_000),
-        memory: 100 << 20,
+        method,
+        max_unavailable: 1,
+        max_unavailable_in_rollback: 2,
+        stop_timeout: span(3_000),
+        ready_timeout: span(5_000),
+        return_timeout: span(2_000),
+        unreachable_after: span(2_000),
+        settle_time: span(1_000),
+        comparison_timeout: span(60_000),
+        memory_limit: 100 << 20,
     })
 }
 
 /// Mixers that do as they are told, unless a story says otherwise.
 struct Fleet {
-    change: Change,
+    change: Rollout,
     now: Moment,
     /// Which side each runs and in which life; none while it is not there.
     run: Vec<Option<(Side, u32)>>,
@@ -44,14 +44,14 @@
     stillborn: bool,
     journal: Vec<Record>,
     orders: Vec<Effect>,
-    most_away: usize,
+    max_unavailable: usize,
 }
 
 impl Fleet {
-    fn new(means: Means) -> Self {
-        let (now, course) = (Moment::at_micros(1_000_000), course(means));
+    fn new(method: ChangeMethod) -> Self {
+        let (now, course) = (Moment::at_micros(1_000_000), course(method));
         Self {
-            change: Change::new(course, &[], now),
+            change: Rollout::new(course, &[], now),
             now,
             run: (0..6).map(|at| Some((Side::Old, at))).collect(),
             lives: 10,
@@ -60,7 +60,7 @@
             stillborn: false,
             journal: vec![],
             orders: vec![],
-            most_away: 0,
+            max_unavailable: 0,
         }
     }
 
@@ -72,7 +72,7 @@
     }
 
     fn take(&mut self, event: Event) {
-        for effect in self.change.take(self.now, event) {
+        for effect in self.change.handle(self.now, event) {
             match &effect {
                 Effect::Write(record) => self.journal.push(record.clone()),
                 Effect::Stop(mixer, _) if self.deaf.contains(mixer) => {}
@@ -92,7 +92,7 @@
                 self.orders.push(effect);
             }
         }
-        self.most_away = self.most_away.max(self.run.iter().filter(|run| run.is_none()).count());
+        self.max_unavailable = self.max_unavailable.max(self.run.iter().filter(|run| run.is_none()).count());
     }
 
     /// A turn of the conductor's: everybody is asked, and a quarter of a second has passed.
@@ -110,12 +110,12 @@
 
     fn until(&mut self, stands: impl Fn(&Stand) -> bool) {
         for _ in 0..400 {
-            if stands(&self.change.stand) {
+            if stands(&self.change.state) {
                 return;
             }
             self.turn();
         }
-        panic!("never: {}\n{:#?}", self.change.told(), self.journal);
+        panic!("never: {}\n{:#?}", self.change.status_line(), self.journal);
     }
 
     fn judging(&mut self) {
@@ -129,35 +129,38 @@
 
 #[test]
 fn steps_keep_one_of_each_zone_to_be_held_against_until_the_last() {
-    let course = course(Means::Restart);
+    let course = course(ChangeMethod::Restart);
     let new: Vec<usize> = course.steps.iter().map(|step| step.new.len()).collect();
     assert_eq!(new, [2, 4, 6]);
-    assert_eq!(course.steps[0].twins, [2, 5].into());
-    assert!(course.steps[1].judged && !course.steps[2].judged);
+    assert_eq!(course.steps[0].baseline, [2, 5].into());
+    assert!(course.steps[1].compared && !course.steps[2].compared);
     assert_eq!(course.changed_in(1), [1, 4].into());
 }
 
-#[test_case(Means::Restart)]
-#[test_case(Means::Hand)]
-fn a_good_change_goes_through_with_as_many_away_as_may_be(means: Means) {
-    let mut fleet = Fleet::new(means);
+#[test_case(ChangeMethod::Restart)]
+#[test_case(ChangeMethod::Reload)]
+fn a_good_change_goes_through_with_as_many_away_as_may_be(method: ChangeMethod) {
+    let mut fleet = Fleet::new(method);
     for _ in 0..2 {
         fleet.judging();
         fleet.take(Event::Fine);
-        assert!(!matches!(fleet.change.stand, Stand::Judging(_)), "one verdict is for one step");
+        assert!(!matches!(fleet.change.state, Stand::Judging(_)), "one verdict is for one step");
     }
     fleet.until(|stand| *stand == Stand::Done(Side::New));
     assert_eq!(fleet.side(Side::New), 6);
-    assert!(fleet.most_away <= 1);
+    assert!(fleet.max_unavailable <= 1);
     // In the first step the twins of both zones began anew too.
     let starts =
         |side| fleet.orders.iter().filter(|o| matches!(o, Effect::Start(_, of) if *of == side)).count();
-    assert_eq!((starts(Side::New), starts(Side::Old)), if means == Means::Restart { (6, 4) } else { (0, 0) });
+    assert_eq!(
+        (starts(Side::New), starts(Side::Old)),
+        if method == ChangeMethod::Restart { (6, 4) } else { (0, 0) }
+    );
 }
 
 #[test]
 fn a_worse_step_is_undone_and_no_other_mixer_is_touched() {
-    let mut fleet = Fleet::new(Means::Restart);
+    let mut fleet = Fleet::new(ChangeMethod::Restart);
     fleet.judging();
     assert_eq!(fleet.side(Side::New), 2);
     fleet.take(Event::Worse("slower".into()));
@@ -169,13 +172,13 @@
 
 #[test]
 fn no_verdict_means_wait_then_hold_and_never_go_on() {
-    let mut fleet = Fleet::new(Means::Restart);
+    let mut fleet = Fleet::new(ChangeMethod::Restart);
     fleet.judging();
     for _ in 0..300 {
         fleet.take(Event::Unsure("too little".into()));
         fleet.turn();
     }
-    assert_eq!(fleet.change.stand, Stand::Held(Hold::Unsure("too little".into())));
+    assert_eq!(fleet.change.state, Stand::Held(Hold::Unsure("too little".into())));
     assert_eq!(fleet.side(Side::New), 2);
     fleet.take(Event::Wished(Wish::Resume));
     fleet.judging();
@@ -184,7 +187,7 @@
 
 #[test]
 fn who_is_out_of_reach_stops_all_orders_and_blames_nobody() {
-    let mut fleet = Fleet::new(Means::Restart);
+    let mut fleet = Fleet::new(ChangeMethod::Restart);
     fleet.judging();
     fleet.silent = vec![1, 4];
     (0..20).for_each(|_| fleet.turn());
@@ -192,7 +195,7 @@
     fleet.take(Event::Fine);
     (0..40).for_each(|_| fleet.turn());
     assert_eq!(fleet.orders.len(), orders, "no fact is not a bad fact, and nothing is ordered on it");
-    assert!(fleet.change.undone.is_none());
+    assert!(fleet.change.rollback_reason.is_none());
     fleet.silent.clear();
     fleet.judging();
     assert_eq!(fleet.side(Side::New), 4);
@@ -201,12 +204,12 @@
 /// A time before with a mixer missing is no time before.
 #[test]
 fn no_step_begins_while_one_is_out_of_reach_and_people_are_told_which() {
-    let mut fleet = Fleet::new(Means::Restart);
+    let mut fleet = Fleet::new(ChangeMethod::Restart);
     fleet.take(Event::Time { watched: false });
     (0..6).for_each(|at| fleet.take(Event::Heard(at, fleet.report(at).unwrap())));
     fleet.now = fleet.now + Span::of_millis(2_500);
     (0..5).for_each(|at| fleet.take(Event::Heard(at, fleet.report(at).unwrap())));
-    let out = fleet.change.take(fleet.now, Event::Time { watched: true });
+    let out = fleet.change.handle(fleet.now, Event::Time { watched: true });
     assert_eq!(out, [Effect::Tell("m5 is out of reach: nothing is ordered".into())]);
     fleet.judging();
     assert_eq!(fleet.side(Side::New), 2);
@@ -214,73 +217,77 @@
 
 #[test]
 fn a_new_one_that_crashes_is_the_end_of_the_change_at_once() {
-    let mut fleet = Fleet::new(Means::Restart);
+    let mut fleet = Fleet::new(ChangeMethod::Restart);
     fleet.judging();
     fleet.run[0] = None;
     fleet.take(Event::Ended { mixer: 0, crashed: true });
-    assert_eq!(fleet.change.stand, Stand::Undoing);
+    assert_eq!(fleet.change.state, Stand::Undoing);
     fleet.until(|stand| *stand == Stand::Done(Side::Old));
 }
 
 #[test]
 fn a_machine_that_restarts_with_the_old_program_is_changed_again() {
-    let mut fleet = Fleet::new(Means::Restart);
+    let mut fleet = Fleet::new(ChangeMethod::Restart);
     fleet.judging();
     fleet.run[0] = None;
     fleet.take(Event::Ended { mixer: 0, crashed: false });
     fleet.turn();
     fleet.run[0] = Some((Side::Old, 77));
     fleet.judging();
-    assert!(fleet.change.undone.is_none());
+    assert!(fleet.change.rollback_reason.is_none());
     assert_eq!(fleet.run[0].map(|run| run.0), Some(Side::New));
 }
 
 #[test]
 fn one_that_comes_back_wrong_again_and_again_is_a_persons_affair() {
-    let mut fleet = Fleet::new(Means::Restart);
+    let mut fleet = Fleet::new(ChangeMethod::Restart);
     for life in 100..110 {
-        if matches!(fleet.change.stand, Stand::Held(_)) {
+        if matches!(fleet.change.state, Stand::Held(_)) {
             break;
         }
         fleet.until(|stand| matches!(stand, Stand::Judging(_) | Stand::Held(_)));
         fleet.run[0] = Some((Side::Old, life));
         fleet.turn();
     }
-    assert!(matches!(&fleet.change.stand, Stand::Held(Hold::Stuck(why)) if why.contains("m0")));
+    assert!(matches!(&fleet.change.state, Stand::Held(Hold::Stuck(why)) if why.contains("m0")));
 }
 
 #[test]
 fn one_that_does_not_end_is_killed_and_one_that_is_never_ready_ends_the_change() {
-    let mut fleet = Fleet::new(Means::Restart);
+    let mut fleet = Fleet::new(ChangeMethod::Restart);
     fleet.deaf = vec![0];
     fleet.judging();
     assert!(fleet.orders.iter().any(|order| matches!(order, Effect::Kill(0, _))));
-    let mut fleet = Fleet::new(Means::Restart);
+    let mut fleet = Fleet::new(ChangeMethod::Restart);
     fleet.stillborn = true;
     fleet.until(|stand| *stand == Stand::Done(Side::Old));
     assert_eq!(fleet.side(Side::Old), 6);
-    assert!(fleet.change.undone.as_ref().is_some_and(|why| why.contains("not ready in time")));
+    assert!(fleet.change.rollback_reason.as_ref().is_some_and(|why| why.contains("not ready in time")));
 }
 
 #[test_case(|report: &mut Report| report.memory = 200 << 20, "memory"; "memory at its limit")]
 #[test_case(|report: &mut Report| report.wrong_sum = Some("look".into()), "add up"; "a sum that does not add up")]
 #[test_case(|report: &mut Report| report.refused_settings = true, "settings"; "settings refused")]
 fn what_needs_no_statistics_stops_at_once(spoil: fn(&mut Report), says: &str) {
-    let mut fleet = Fleet::new(Means::Restart);
+    let mut fleet = Fleet::new(ChangeMethod::Restart);
     fleet.judging();
     let mut report = fleet.report(3).unwrap();
     spoil(&mut report);
     let mut of_old = fleet.report(1).unwrap();
     spoil(&mut of_old);
     fleet.take(Event::Heard(1, of_old));
-    assert!(fleet.change.undone.is_none(), "the old ones are not what is changed");
+    assert!(fleet.change.rollback_reason.is_none(), "the old ones are not what is changed");
     fleet.take(Event::Heard(3, report));
-    assert!(fleet.change.undone.as_ref().is_some_and(|why| why.contains(says)), "{:?}", fleet.change.undone);
+    assert!(
+        fleet.change.rollback_reason.as_ref().is_some_and(|why| why.contains(says)),
+        "{:?}",
+        fleet.change.rollback_reason
+    );
 }
 
 #[test]
 fn an_operators_undo_in_the_middle_of_a_step_goes_back_and_a_pause_orders_nothing() {
-    let mut fleet = Fleet::new(Means::Restart);
+    let mut fleet = Fleet::new(ChangeMethod::Restart);
     fleet.until(|stand| *stand == Stand::Moving);
     fleet.turn();
     fleet.take(Event::Wished(Wish::Pause));
@@ -296,17 +303,17 @@
 
 #[test]
 fn a_conductor_that_begins_anew_at_any_record_comes_to_the_same_end() {
-    let mut whole = Fleet::new(Means::Restart);
+    let mut whole = Fleet::new(ChangeMethod::Restart);
     for _ in 0..2 {
         whole.judging();
         whole.take(Event::Fine);
     }
     whole.until(|stand| *stand == Stand::Done(Side::New));
     for cut in 1..whole.journal.len() {
-        let mut fleet = Fleet::new(Means::Restart);
+        let mut fleet = Fleet::new(ChangeMethod::Restart);
         let mut passed = 0;
         while fleet.journal.len() < cut {
-            if matches!(fleet.change.stand, Stand::Judging(_)) {
+            if matches!(fleet.change.state, Stand::Judging(_)) {
                 fleet.take(Event::Fine);
                 passed += 1;
             } else {
@@ -315,14 +322,14 @@
         }
         // What it knew is gone; what was written, and what mixers run, is all there is.
         fleet.journal.truncate(cut);
-        fleet.change = Change::new(course(Means::Restart), &fleet.journal, fleet.now);
-        while !fleet.change.is_over() {
+        fleet.change = Rollout::new(course(ChangeMethod::Restart), &fleet.journal, fleet.now);
+        while !fleet.change.is_finished() {
             fleet.until(|stand| matches!(stand, Stand::Judging(_) | Stand::Done(_)));
             fleet.take(Event::Fine);
             passed += 1;
             assert!(passed < 9, "cut at {cut}");
         }
         assert_eq!(fleet.side(Side::New), 6, "cut at {cut}");
-        assert!(fleet.most_away <= 1, "cut at {cut}: {}", fleet.most_away);
+        assert!(fleet.max_unavailable <= 1, "cut at {cut}: {}", fleet.max_unavailable);
     }
 }
--- a/crates/rollout/tests/journal.rs
+++ b/crates/rollout/tests/journal.rs
@@ -1,8 +1,8 @@
 //! The journal: whatever it is cut or spoilt at, nothing is read that was not written.
 
-use fernglade_rollout::course::Side;
-use fernglade_rollout::journal::{last, read, Record};
-use fernglade_rollout::told::Incarnation;
+use fernglade_rollout::journal::{last_change, read, Record};
+use fernglade_rollout::metrics_sample::Incarnation;
+use fernglade_rollout::spec::Side;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -28,7 +28,7 @@
 
     #[test]
     fn cut_anywhere_it_is_read_up_to_the_last_whole_line(records in prop::collection::vec(record(), 1..8), at in 0.0f64..1.0) {
-        let bytes: Vec<u8> = records.iter().flat_map(|record| record.line().into_bytes()).collect();
+        let bytes: Vec<u8> = records.iter().flat_map(|record| record.to_line().into_bytes()).collect();
         let cut = (at * bytes.len() as f64) as usize;
         let (found, good) = read(&bytes[..cut]).unwrap();
         prop_assert!(good <= cut && records.starts_with(&found));
@@ -38,7 +38,7 @@
 
     #[test]
     fn a_bit_that_turned_is_found(records in prop::collection::vec(record(), 2..6), at in 0.0f64..1.0, bit in 0u8..8) {
-        let mut bytes: Vec<u8> = records.iter().flat_map(|record| record.line().into_bytes()).collect();
+        let mut bytes: Vec<u8> = records.iter().flat_map(|record| record.to_line().into_bytes()).collect();
         let at = (at * bytes.len() as f64) as usize;
         bytes[at] ^= 1 << bit;
         match read(&bytes) {
@@ -53,8 +53,8 @@
 fn the_last_change_is_what_counts() {
     let begun = |name: &str| Record::Begun { change: name.into(), plan: "p".into() };
     let ended = Record::Ended { side: Side::New, why: String::new() };
-    assert_eq!(last(&[]), None);
+    assert_eq!(last_change(&[]), None);
     let records = [begun("a"), ended.clone(), begun("b"), Record::Paused];
-    assert_eq!(last(&records), Some((&records[2..], false)));
-    assert!(last(&records[..2]).unwrap().1);
+    assert_eq!(last_change(&records), Some((&records[2..], false)));
+    assert!(last_change(&records[..2]).unwrap().1);
 }
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -3,10 +3,10 @@
 //! surroundings have to be found.
 
 use fernglade::{Moment, Span};
-use fernglade_rollout::course::{steps, Course, Means, Side, Size};
 use fernglade_rollout::journal::Record;
-use fernglade_rollout::machine::{Change, Effect, Event, Report, Stand};
-use fernglade_rollout::told::{Incarnation, Makes};
+use fernglade_rollout::machine::{Effect, Event, Report, Rollout, Stand};
+use fernglade_rollout::metrics_sample::{BuildDigests, Incarnation};
+use fernglade_rollout::spec::{steps, ChangeMethod, RolloutSpec, Side, StageSize};
 use stateright::{Checker, Model, Property};
 use std::sync::Arc;
 
@@ -28,7 +28,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    change: Change,
+    change: Rollout,
     turn: u32,
     /// Which side each runs and in which life.
     run: [Option<(Side, u32)>; MIXERS],
@@ -61,33 +61,33 @@
     faults: u8,
 }
 
-fn course(planted: Planted) -> Arc<Course> {
+fn course(planted: Planted) -> Arc<RolloutSpec> {
     let zones: Vec<String> = ["a", "a", "b", "b"].map(String::from).to_vec();
-    let makes = |program: &str| Makes { program: program.into(), settings: "-".into() };
+    let makes = |program: &str| BuildDigests { program: program.into(), settings: "-".into() };
     let span = |seconds: u64| Span::of_millis(1_000 * seconds);
-    Arc::new(Course {
+    Arc::new(RolloutSpec {
         names: (0..MIXERS).map(|at| format!("m{at}")).collect(),
-        steps: steps(&zones, &[Size::Count(1)]),
+        steps: steps(&zones, &[StageSize::Count(1)]),
         zones,
         old: makes("old"),
         new: makes("new"),
-        means: Means::Restart,
-        most_away: if planted == Planted::Impatient { MIXERS } else { 1 },
-        undo_away: 2,
-        stop_within: span(3),
-        ready_within: span(3),
-        return_within: span(2),
-        unheard_within: span(2),
-        settle: span(1),
-        patience: span(20),
-        memory: 1 << 30,
+        method: ChangeMethod::Restart,
+        max_unavailable: if planted == Planted::Impatient { MIXERS } else { 1 },
+        max_unavailable_in_rollback: 2,
+        stop_timeout: span(3),
+        ready_timeout: span(3),
+        return_timeout: span(2),
+        unreachable_after: span(2),
+        settle_time: span(1),
+        comparison_timeout: span(20),
+        memory_limit: 1 << 30,
     })
 }
 
 impl Way {
     fn take(&self, world: &mut World, event: Event, stillborn: bool) {
         let now = Moment::at_micros(1_000_000 * u64::from(world.turn + 1));
-        for effect in world.change.take(now, event) {
+        for effect in world.change.handle(now, event) {
             match effect {
                 Effect::Write(record) => {
                     if let Record::Step { step, .. } = record {
@@ -132,11 +132,11 @@
                         Record::Step { step, .. } => Some(*step),
                         _ => None,
                     });
-                    let count = world.change.course().steps.len();
+                    let count = world.change.spec().steps.len();
                     records.extend(step.filter(|at| at + 1 < count).map(|step| Record::Passed { step }));
                 }
                 let now = Moment::at_micros(1_000_000 * u64::from(world.turn + 1));
-                world.change = Change::new(course(self.planted), &records, now);
+                world.change = Rollout::new(course(self.planted), &records, now);
             }
             Fault::Worse => self.take(world, Event::Worse("it is".into()), false),
         }
@@ -162,7 +162,7 @@
             };
             self.take(world, event, stillborn);
         }
-        if matches!(world.change.stand, Stand::Judging(_)) {
+        if matches!(world.change.state, Stand::Judging(_)) {
             self.take(world, Event::Fine, stillborn);
         }
         self.take(world, Event::Time { watched: true }, stillborn);
@@ -177,7 +177,7 @@
         let start = Moment::at_micros(1_000_000);
         let journal = vec![Record::Begun { change: "c".into(), plan: "p".into() }];
         vec![World {
-            change: Change::new(course(self.planted), &journal, start),
+            change: Rollout::new(course(self.planted), &journal, start),
             turn: 0,
             run: [0, 1, 2, 3].map(|life| Some((Side::Old, life))),
             lives: 9,
@@ -191,7 +191,7 @@
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Fault>) {
-        if world.turn >= TURNS || world.change.is_over() {
+        if world.turn >= TURNS || world.change.is_finished() {
             return;
         }
         actions.push(Fault::None);
@@ -223,22 +223,22 @@
                 !world.skipped
             }),
             Property::always("nobody is new before his step", |_, world: &World| {
-                let step = &world.change.course().steps
-                    [world.change.step.min(world.change.course().steps.len() - 1)];
+                let step =
+                    &world.change.spec().steps[world.change.step.min(world.change.spec().steps.len() - 1)];
                 let new = |at: usize| matches!(world.run[at], Some((Side::New, _)));
                 (0..MIXERS).all(|at| !new(at) || step.new.contains(&at))
             }),
             Property::always("an end, or held with a reason", |_, world: &World| {
-                let settled = matches!(world.change.stand, Stand::Done(_) | Stand::Held(_));
+                let settled = matches!(world.change.state, Stand::Done(_) | Stand::Held(_));
                 world.turn < TURNS || settled
             }),
-            Property::always("all of one side at the end", |_, world: &World| match world.change.stand {
+            Property::always("all of one side at the end", |_, world: &World| match world.change.state {
                 Stand::Done(side) => world.run.iter().flatten().all(|(runs, _)| *runs == side),
                 _ => true,
             }),
-            Property::sometimes("all new", |_, world: &World| world.change.stand == Stand::Done(Side::New)),
+            Property::sometimes("all new", |_, world: &World| world.change.state == Stand::Done(Side::New)),
             Property::sometimes("all old again", |_, world: &World| {
-                world.change.stand == Stand::Done(Side::Old)
+                world.change.state == Stand::Done(Side::Old)
             }),
         ]
     }
--- a/crates/rollout/tests/plan.rs
+++ b/crates/rollout/tests/plan.rs
@@ -1,24 +1,24 @@
 //! Plans: the shipped one is read whole, and wrong ones say what is wrong and where.
 
+use fernglade_rollout::metrics_sample::BuildDigests;
 use fernglade_rollout::plan::Plan;
-use fernglade_rollout::told::Makes;
 use test_case::test_case;
 
 const SHIPPED: &str = include_str!("../../../deploy/rollout-plan.json5");
 
-fn makes(program: &str) -> Makes {
-    Makes { program: program.into(), settings: "-".into() }
+fn makes(program: &str) -> BuildDigests {
+    BuildDigests { program: program.into(), settings: "-".into() }
 }
 
 #[test]
 fn the_shipped_plan_is_read_with_what_stands_in_its_comments() {
-    let plan = Plan::read(SHIPPED).unwrap();
-    let course = plan.course(makes("a"), makes("b")).unwrap();
+    let plan = Plan::parse(SHIPPED).unwrap();
+    let course = plan.spec(makes("a"), makes("b")).unwrap();
     // One of each zone, then nobody more as a quarter is no more than one, then all but one, then those.
     assert_eq!(course.steps.iter().map(|step| step.new.len()).collect::<Vec<_>>(), [2, 4]);
-    assert!(plan.course(makes("a"), makes("a")).is_err(), "nothing would change");
+    assert!(plan.spec(makes("a"), makes("a")).is_err(), "nothing would change");
     let on: String = SHIPPED.lines().map(|line| line.replacen("//: ", "", 1) + "\n").collect();
-    assert!(Plan::read(&on).unwrap().commands.is_some_and(|commands| commands.hand.is_some()));
+    assert!(Plan::parse(&on).unwrap().commands.is_some_and(|commands| commands.reload.is_some()));
 }
 
 #[test_case("stages: [1, \"25%\", \"100%\"]", "stages: []", "stages"; "no stage")]
@@ -34,6 +34,6 @@
 fn a_wrong_plan_says_what_is_wrong(from: &str, to: &str, says: &str) {
     let text = SHIPPED.replacen(from, to, 1);
     assert_ne!(text, SHIPPED);
-    let wrong = Plan::read(&text).unwrap_err();
+    let wrong = Plan::parse(&text).unwrap_err();
     assert!(wrong.0.contains(says), "{wrong}");
 }
