--- a/crates/rollout/src/canary_analysis.rs
+++ b/crates/rollout/src/canary_analysis.rs
@@ -1,59 +1,69 @@
-//! Whether the new ones do worse: against twins of the same zone and traffic type at the same time, which were restarted
-//! when they were; and whether all do worse than before the stage, as new ones may harm the old through the searchers
-//! that both use. Pure: what mixers told comes in, a ruling goes out.
+//! Canary analysis: decides whether the changed mixers perform worse than the unchanged ones. Pure: metrics
+//! come in, a ruling comes out.
 //!
-//! What is compared comes in blocks: as soon as both sides have ended so many scans, the shares of the two are held
-//! against each other. Shares are clipped near to what the old ones had of late, the same way on both sides, so that one
-//! bad block of a few scans does not count for hundreds of good ones, and a gambler may bet high (docs/rollout.md).
+//! Two comparisons are made. Canaries are compared with baseline mixers of the same zone and traffic type
+//! over the same time; the baseline was restarted with the old build when the canaries were changed. And all
+//! mixers are compared with the time before the step, as the new build may harm the old mixers through the
+//! searchers that both use.
+//!
+//! Observations are made in blocks: once both cohorts have completed a fixed number of scans, their shares
+//! are compared. Shares are clipped to a range around the recent share of the baseline, in the same way for
+//! both cohorts. A single bad block of a few scans then does not outweigh hundreds of good ones, and the
+//! sequential test can bet higher (docs/rollout.md).
 
 use crate::metrics_sample::{MetricsSample, ScanCounts};
 use crate::sequential_test::SequentialTest;
 use fernglade::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// Ended scans of each side that make a block: fewer, and nearly all blocks say nothing; more, and each is bet on less.
-const BLOCK: u64 = 20;
+/// Completed scans of each cohort in a block. With fewer, nearly all blocks are uninformative; with more, the
+/// bets on each block are smaller.
+const BLOCK_SCANS: u64 = 20;
 
-/// How far from the old ones' usual share a block's may lie: two scans of a block of twenty; and three times what is
-/// looked for, or a clipped block could not show it.
-const CLIP: f64 = 0.1;
+/// Minimum distance from the typical share at which a block's share is clipped: two scans of a block of
+/// twenty.
+const MIN_CLIP: f64 = 0.1;
 
-fn clip(looked_for: f64) -> f64 {
-    (3.0 * looked_for).max(CLIP)
+/// Clipping distance of the tests for harm: three times the effect to detect, or a clipped block could not
+/// show it.
+fn clip_for_harm(effect: f64) -> f64 {
+    (3.0 * effect).max(MIN_CLIP)
 }
 
-/// To show that the new ones are as good a block need show no more than what is looked for, and a little; then bets
-/// are higher, and it is known sooner.
-fn clip_as_good(looked_for: f64) -> f64 {
-    (1.25 * looked_for).max(CLIP)
+/// Clipping distance of the tests for the absence of harm. A block need show only slightly more than the
+/// effect to detect; the narrower range allows higher bets and an earlier decision.
+fn clip_for_no_harm(effect: f64) -> f64 {
+    (1.25 * effect).max(MIN_CLIP)
 }
 
-/// Slow is who takes longer than this share of the old ones' scans did before: far enough from both ends that a shift
-/// of all times by a twentieth moves many across.
-const USUAL: f64 = 0.7;
+/// A scan is slow if it takes longer than this quantile of the latencies in the reference window. The
+/// quantile is far enough from both ends that a shift of all latencies by 5% moves many scans across it.
+const SLOW_QUANTILE: f64 = 0.7;
 
-/// How long scans are counted until they tell a load; what all lose is not judged before that.
-const LOAD_SEEN: Span = Span::of_millis(5_000);
+/// Time over which scans are counted before the rate is taken as the load. The overall loss is not judged
+/// before that.
+const LOAD_WINDOW: Span = Span::of_millis(5_000);
 
-/// How much worse is worse, and how sure one has to be. A plan's `compare`, with these defaults.
+/// The differences to detect and the error rates allowed: `compare` in a plan, with these defaults.
 #[derive(Clone, Copy, Debug, serde::Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Thresholds {
-    /// More of the scans not served: that share of all.
+    /// Increase in the share of scans not served.
     #[serde(rename = "lost")]
     pub loss_increase: f64,
-    /// More of the served ones slower than the old ones usually are: that share of them.
+    /// Increase in the share of served scans that are slow.
     #[serde(rename = "slower")]
     pub slow_increase: f64,
-    /// All do worse than before the stage, by that share of all scans.
+    /// Increase in the share of scans not served by any mixer, compared with the time before the step.
     #[serde(rename = "fall")]
     pub overall_loss_increase: f64,
-    /// The chance that a change no worse is stopped, and that one as bad as that goes on.
+    /// Probability that a change that is not worse is stopped.
     #[serde(rename = "false_stop")]
     pub false_stop_rate: f64,
+    /// Probability that a change that is worse by these amounts goes on.
     #[serde(rename = "missed")]
     pub missed_rate: f64,
-    /// How long the time before a stage is.
+    /// Length of the reference window before a step.
     #[serde(rename = "before", deserialize_with = "crate::plan::deserialize_span")]
     pub reference_window: Span,
 }
@@ -72,374 +82,419 @@
     }
 }
 
-/// What a mixer is to the step that is judged.
+/// The role of a mixer in the comparison of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cohort {
     /// Changed in this step.
     Canary,
-    /// Restarted with the old, at the same time.
+    /// Restarted with the old build at the same time, as the control group.
     Baseline,
-    /// Neither.
+    /// Not touched in this step.
     Other,
 }
 
+/// The result of the comparison so far. The text is the reason.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ruling {
-    /// Too little is known.
+    /// Not enough observations.
     Wait(String),
-    /// Something else is wrong, which neither stops nor lets on.
+    /// Another cause disturbs the comparison; it neither stops the change nor lets it go on.
     Disturbed(String),
     Fine,
     Worse(String),
 }
 
+/// Scan counts of both cohorts that do not make a full block yet.
 #[derive(Clone, Debug, Default)]
-struct Pool {
-    new: ScanCounts,
-    old: ScanCounts,
+struct CohortCounts {
+    canary: ScanCounts,
+    baseline: ScanCounts,
 }
 
-/// One zone's scans of one traffic type.
+/// The comparison of one traffic type in one zone.
 #[derive(Clone, Debug)]
 struct Stratum {
-    open: Pool,
-    /// What the old ones lose usually; known before the next block.
-    usual: f64,
-    /// Bets that the new ones are worse, and bets that they are not.
-    lost: SequentialTest,
-    slower: SequentialTest,
-    as_good: SequentialTest,
-    as_quick: SequentialTest,
+    pending: CohortCounts,
+    /// Moving average of the baseline's loss, from the blocks before the current one.
+    typical_loss: f64,
+    /// Tests that the canaries are worse, and tests that they are not.
+    more_loss: SequentialTest,
+    more_slow: SequentialTest,
+    no_more_loss: SequentialTest,
+    no_more_slow: SequentialTest,
 }
 
 impl Default for Stratum {
     fn default() -> Self {
-        let bet = || SequentialTest::new(CLIP);
-        let (open, usual) = (Pool::default(), 0.0);
-        Self { open, usual, lost: bet(), slower: bet(), as_good: bet(), as_quick: bet() }
+        let test = || SequentialTest::new(MIN_CLIP);
+        let (pending, typical_loss) = (CohortCounts::default(), 0.0);
+        Self {
+            pending,
+            typical_loss,
+            more_loss: test(),
+            more_slow: test(),
+            no_more_loss: test(),
+            no_more_slow: test(),
+        }
     }
 }
 
-/// One traffic type over all zones: whether all fall.
+/// One traffic type over all zones, to detect a loss common to all mixers.
 #[derive(Clone, Debug)]
-struct Whole {
-    others: ScanCounts,
-    falls: SequentialTest,
+struct TypeTotals {
+    counts: ScanCounts,
+    loss_test: SequentialTest,
 }
 
-impl Default for Whole {
+impl Default for TypeTotals {
     fn default() -> Self {
-        Self { others: ScanCounts::default(), falls: SequentialTest::new(CLIP) }
+        Self { counts: ScanCounts::default(), loss_test: SequentialTest::new(MIN_CLIP) }
     }
 }
 
-/// How it was before the stage.
+/// What was measured in the reference window before the step.
 #[derive(Clone, Debug, Default)]
-struct Before {
-    /// By traffic type: the share served, scans taken a second, and the time under which most were served.
+struct Reference {
+    /// By traffic type: the share served, scans per second, and the latency above which a scan is slow, in
+    /// seconds.
     types: BTreeMap<String, (f64, f64, Option<f64>)>,
-    /// What each mixer's list had ready.
+    /// The number of ready searchers on each mixer's list.
     listed: BTreeMap<usize, u64>,
 }
 
-/// What a mixer did in all its lives, and for how long it was heard meanwhile.
+/// Scans of a mixer over all its incarnations, and the seconds over which they were observed.
 #[derive(Clone, Debug, Default)]
-struct Work {
+struct ObservedWork {
     types: BTreeMap<String, ScanCounts>,
     seconds: f64,
 }
 
-/// What each mixer told last, and its work by now and by the two last turns of the time before.
+/// The last sample of a mixer, its total work, and the totals at the last two snapshots. The reference window
+/// starts at the earlier snapshot.
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct MixerHistory {
     last: Option<(MetricsSample, Moment)>,
-    work: Work,
-    newer: Work,
-    older: Work,
+    total: ObservedWork,
+    last_snapshot: ObservedWork,
+    previous_snapshot: ObservedWork,
 }
 
-impl Known {
-    /// Takes in what it told. What it did since it was last heard counts, in a new life too, or a conductor that begins
-    /// anew while mixers are changed takes the load for less than it is; not so where it was long unheard.
-    fn note(&mut self, now: Moment, told: &MetricsSample) {
-        let Some((before, at)) = self.last.replace((told.clone(), now)) else { return };
+impl MixerHistory {
+    /// Records a sample. Scans since the previous sample count even if the mixer was restarted in between:
+    /// otherwise a conductor restarted while mixers are being changed would underestimate the load. They do
+    /// not count if the mixer was unreachable for long.
+    fn record(&mut self, now: Moment, sample: &MetricsSample) {
+        let Some((before, at)) = self.last.replace((sample.clone(), now)) else { return };
         let gap = now.since(at);
-        if gap >= LOAD_SEEN {
+        if gap >= LOAD_WINDOW {
             return;
         }
-        self.work.seconds += gap.as_f64() / 1e6;
-        for (name, sums) in &told.types {
-            let same = before.incarnation == told.incarnation;
-            let begun = before.types.get(name).filter(|_| same).cloned().unwrap_or_default();
-            self.work.types.entry(name.clone()).or_default().add(&sums.since(&begun));
+        self.total.seconds += gap.as_f64() / 1e6;
+        for (name, counts) in &sample.types {
+            let same = before.incarnation == sample.incarnation;
+            let start = before.types.get(name).filter(|_| same).cloned().unwrap_or_default();
+            self.total.types.entry(name.clone()).or_default().add(&counts.since(&start));
         }
     }
 }
 
+/// The comparison of the current step, and the measurements that it needs.
 pub struct CanaryAnalysis {
-    scales: Thresholds,
+    thresholds: Thresholds,
     zones: Vec<String>,
     cohorts: Vec<Cohort>,
-    known: Vec<Known>,
-    turned: (Option<Moment>, Option<Moment>),
-    before: Before,
+    history: Vec<MixerHistory>,
+    snapshot_times: (Option<Moment>, Option<Moment>),
+    reference: Reference,
     strata: BTreeMap<(String, String), Stratum>,
-    wholes: BTreeMap<String, Whole>,
-    /// Taken by all since the step began, and since when; for the load.
-    taken: u64,
-    since: Moment,
-    disturbed: Option<String>,
+    totals: BTreeMap<String, TypeTotals>,
+    /// Scans taken by all mixers since `started_at`, to measure the load.
+    scans_taken: u64,
+    started_at: Moment,
+    disturbance: Option<String>,
 }
 
-/// The same clip for both sides, about what is usual.
-fn clipped(share: f64, usual: f64, clip: f64) -> f64 {
-    share.clamp((usual - clip).max(0.0), (usual + clip).min(1.0))
+/// Limits a share to the clipping distance around `center`.
+fn clip_share(share: f64, center: f64, clip: f64) -> f64 {
+    share.clamp((center - clip).max(0.0), (center + clip).min(1.0))
 }
 
-fn width(usual: f64, clip: f64) -> f64 {
-    (usual + clip).min(1.0) - (usual - clip).max(0.0)
+/// Width of the range that `clip_share` allows.
+fn clip_range(center: f64, clip: f64) -> f64 {
+    (center + clip).min(1.0) - (center - clip).max(0.0)
 }
 
-fn lost(sums: &ScanCounts) -> f64 {
-    1.0 - sums.served as f64 / sums.ended().max(1) as f64
+/// The share of completed scans that were not served.
+fn loss_share(counts: &ScanCounts) -> f64 {
+    1.0 - counts.served as f64 / counts.ended().max(1) as f64
 }
 
 impl CanaryAnalysis {
-    /// The zones of all mixers, in their order.
-    pub fn new(scales: Thresholds, zones: Vec<String>) -> Self {
-        let (cohorts, known) = (vec![Cohort::Other; zones.len()], vec![Known::default(); zones.len()]);
+    /// `zones` holds the zone of each mixer, in the order of the plan.
+    pub fn new(thresholds: Thresholds, zones: Vec<String>) -> Self {
+        let (cohorts, history) =
+            (vec![Cohort::Other; zones.len()], vec![MixerHistory::default(); zones.len()]);
         Self {
-            scales,
+            thresholds,
             zones,
             cohorts,
-            known,
-            turned: (None, None),
-            before: Before::default(),
+            history,
+            snapshot_times: (None, None),
+            reference: Reference::default(),
             strata: BTreeMap::new(),
-            wholes: BTreeMap::new(),
-            taken: 0,
-            since: Moment::default(),
-            disturbed: None,
+            totals: BTreeMap::new(),
+            scans_taken: 0,
+            started_at: Moment::default(),
+            disturbance: None,
         }
     }
 
-    /// Whether enough has been seen for a time before.
+    /// Whether a full reference window has been observed.
     pub fn has_reference(&self) -> bool {
-        self.turned.1.is_some()
+        self.snapshot_times.1.is_some()
     }
 
-    /// A step begins, and what is then is what it is held against. What was known of others is forgotten.
+    /// Starts a step: takes the reference from the time before it and discards the previous step's
+    /// comparison.
     pub fn begin_step(&mut self, now: Moment, cohorts: Vec<Cohort>) {
-        let before = self.look_back();
-        if !before.types.is_empty() {
-            self.before = before;
+        let reference = self.measure_reference();
+        if !reference.types.is_empty() {
+            self.reference = reference;
         }
-        self.restart(now);
+        self.reset_comparison(now);
         self.cohorts = cohorts;
     }
 
-    /// The comparison of a step begins: all have settled. One that was not begun here is held against what is known.
+    /// Starts the comparison of a step, after the changed mixers have settled. If the step was started by an
+    /// earlier run of the conductor, the reference is taken from what has been observed since.
     pub fn begin_comparison(&mut self, now: Moment, cohorts: Vec<Cohort>) {
-        if self.before.types.is_empty() {
-            self.before = self.look_back();
+        if self.reference.types.is_empty() {
+            self.reference = self.measure_reference();
         }
         self.cohorts = cohorts;
-        self.restart(now);
+        self.reset_comparison(now);
     }
 
-    /// What is compared is compared from here on.
-    fn restart(&mut self, now: Moment) {
-        (self.strata, self.wholes) = (BTreeMap::new(), BTreeMap::new());
-        (self.taken, self.since, self.disturbed) = (0, now, None);
-        // A traffic type that was there before has to be seen.
-        self.wholes = self.before.types.keys().map(|name| (name.clone(), Whole::default())).collect();
+    /// Discards all observations of the comparison.
+    fn reset_comparison(&mut self, now: Moment) {
+        (self.strata, self.totals) = (BTreeMap::new(), BTreeMap::new());
+        (self.scans_taken, self.started_at, self.disturbance) = (0, now, None);
+        // Each traffic type in the reference has to be observed again before the step can pass.
+        self.totals = self.reference.types.keys().map(|name| (name.clone(), TypeTotals::default())).collect();
     }
 
-    fn look_back(&self) -> Before {
+    /// Summarizes the reference window.
+    fn measure_reference(&self) -> Reference {
         let (mut all, mut listed) = (BTreeMap::<String, (ScanCounts, f64)>::new(), BTreeMap::new());
-        for (mixer, known) in self.known.iter().enumerate() {
-            let Some((last, _)) = &known.last else { continue };
+        for (mixer, history) in self.history.iter().enumerate() {
+            let Some((last, _)) = &history.last else { continue };
             listed.insert(mixer, last.searchers_listed);
-            // Who could not be heard for a part of the time took as much then as else; for all of it, as ever.
-            let heard_of_late = known.work.seconds > known.older.seconds;
-            let then = if heard_of_late { &known.older } else { &Work::default() };
-            let seconds = (known.work.seconds - then.seconds).max(1e-3);
-            for (name, sums) in &known.work.types {
-                let more = sums.since(then.types.get(name).unwrap_or(&ScanCounts::default()));
-                let (pool, rate) = all.entry(name.clone()).or_default();
-                pool.add(&more);
-                *rate += more.taken as f64 / seconds;
+            // For a mixer that was unreachable for part of the window, the rate is that of the rest of the
+            // window; if it was unreachable for all of it, the rate over its whole history.
+            let heard_in_window = history.total.seconds > history.previous_snapshot.seconds;
+            let window_start =
+                if heard_in_window { &history.previous_snapshot } else { &ObservedWork::default() };
+            let seconds = (history.total.seconds - window_start.seconds).max(1e-3);
+            for (name, counts) in &history.total.types {
+                let delta = counts.since(window_start.types.get(name).unwrap_or(&ScanCounts::default()));
+                let (sum, rate) = all.entry(name.clone()).or_default();
+                sum.add(&delta);
+                *rate += delta.taken as f64 / seconds;
             }
         }
-        let line = |(sums, rate): &(ScanCounts, f64)| (1.0 - lost(sums), *rate, sums.latency_quantile(USUAL));
-        let seen = all.iter().filter(|(_, (sums, _))| sums.ended() > 0);
-        Before { types: seen.map(|(name, known)| (name.clone(), line(known))).collect(), listed }
+        let summary = |(counts, rate): &(ScanCounts, f64)| {
+            (1.0 - loss_share(counts), *rate, counts.latency_quantile(SLOW_QUANTILE))
+        };
+        let observed = all.iter().filter(|(_, (counts, _))| counts.ended() > 0);
+        Reference { types: observed.map(|(name, sums)| (name.clone(), summary(sums))).collect(), listed }
     }
 
-    /// What a mixer told. Of another incarnation than before, what is compared begins from nothing.
-    pub fn record_sample(&mut self, now: Moment, mixer: usize, told: &MetricsSample) {
-        self.turn(now);
-        let known = &mut self.known[mixer];
-        let before = known.last.clone();
-        known.note(now, told);
-        let same = |old: &(MetricsSample, Moment)| old.0.incarnation == told.incarnation;
+    /// Records a mixer's metrics. The first sample of an incarnation is only the starting point of the
+    /// comparison.
+    pub fn record_sample(&mut self, now: Moment, mixer: usize, sample: &MetricsSample) {
+        self.rotate_snapshots(now);
+        let history = &mut self.history[mixer];
+        let before = history.last.clone();
+        history.record(now, sample);
+        let same = |old: &(MetricsSample, Moment)| old.0.incarnation == sample.incarnation;
         let Some((before, at)) = before.filter(same) else { return };
         if self.cohorts[mixer] != Cohort::Canary {
-            self.mind_list(mixer, told.searchers_listed);
+            self.check_searcher_list(mixer, sample.searchers_listed);
         }
-        for (name, sums) in &told.types {
-            let more = sums.since(before.types.get(name).unwrap_or(&ScanCounts::default()));
-            // What it did while it was long unheard is not the load of now.
-            self.taken += if now.since(at) < LOAD_SEEN { more.taken } else { 0 };
-            self.pool(mixer, name, &more);
+        for (name, counts) in &sample.types {
+            let delta = counts.since(before.types.get(name).unwrap_or(&ScanCounts::default()));
+            // Scans from a long time without contact say nothing about the current load.
+            self.scans_taken += if now.since(at) < LOAD_WINDOW { delta.taken } else { 0 };
+            self.add_counts(mixer, name, &delta);
         }
-        self.mind_load(now);
+        self.check_load(now);
     }
 
-    /// Every so long the last turn becomes the one before it.
-    fn turn(&mut self, now: Moment) {
-        let due = self.turned.0.is_none_or(|at| now.since(at) >= self.scales.reference_window);
+    /// Takes a new snapshot of each mixer's total work once per reference window.
+    fn rotate_snapshots(&mut self, now: Moment) {
+        let due = self.snapshot_times.0.is_none_or(|at| now.since(at) >= self.thresholds.reference_window);
         if due {
-            self.turned = (Some(now), self.turned.0);
-            for known in &mut self.known {
-                known.older = std::mem::replace(&mut known.newer, known.work.clone());
+            self.snapshot_times = (Some(now), self.snapshot_times.0);
+            for mixer in &mut self.history {
+                mixer.previous_snapshot = std::mem::replace(&mut mixer.last_snapshot, mixer.total.clone());
             }
         }
     }
 
-    fn mind_list(&mut self, mixer: usize, listed: u64) {
-        let before = self.before.listed.get(&mixer).copied().unwrap_or(listed);
+    /// Reports a disturbance if fewer searchers are ready than in the reference window.
+    fn check_searcher_list(&mut self, mixer: usize, listed: u64) {
+        let before = self.reference.listed.get(&mixer).copied().unwrap_or(listed);
         if listed < before {
-            let what = format!("searchers have left the list: {listed} where {before} were");
-            self.disturbed = Some(what);
+            let reason = format!("searchers have left the list: {listed} where {before} were");
+            self.disturbance = Some(reason);
         }
     }
 
-    /// A third more than before is another day.
-    fn mind_load(&mut self, now: Moment) {
-        let seconds = now.since(self.since).as_f64() / 1e6;
-        let before: f64 = self.before.types.values().map(|line| line.1).sum();
-        let rate = self.taken as f64 / seconds.max(1e-3);
-        if now.since(self.since) >= LOAD_SEEN && before > 0.0 && rate > before * 4.0 / 3.0 {
-            self.disturbed = Some(format!("{rate:.0} scans a second where {before:.0} were"));
+    /// Reports a disturbance if the load is more than a third above the reference: the loss would not be
+    /// comparable.
+    fn check_load(&mut self, now: Moment) {
+        let seconds = now.since(self.started_at).as_f64() / 1e6;
+        let before: f64 = self.reference.types.values().map(|summary| summary.1).sum();
+        let rate = self.scans_taken as f64 / seconds.max(1e-3);
+        if now.since(self.started_at) >= LOAD_WINDOW && before > 0.0 && rate > before * 4.0 / 3.0 {
+            self.disturbance = Some(format!("{rate:.0} scans a second where {before:.0} were"));
         }
     }
 
-    fn pool(&mut self, mixer: usize, name: &str, more: &ScanCounts) {
-        let slow_past = self.before.types.get(name).and_then(|line| line.2);
-        let served_before = self.before.types.get(name).map(|line| line.0);
-        let whole = self.wholes.entry(name.to_owned()).or_default();
+    /// Adds scans of one mixer and traffic type, and makes an observation once a block is full.
+    fn add_counts(&mut self, mixer: usize, name: &str, delta: &ScanCounts) {
+        let slow_bound = self.reference.types.get(name).and_then(|summary| summary.2);
+        let served_before = self.reference.types.get(name).map(|summary| summary.0);
+        let total = self.totals.entry(name.to_owned()).or_default();
         match self.cohorts[mixer] {
-            Cohort::Other => whole.others.add(more),
+            Cohort::Other => total.counts.add(delta),
             Cohort::Canary | Cohort::Baseline => {
                 let stratum = self.strata.entry((self.zones[mixer].clone(), name.to_owned())).or_default();
-                let pool = &mut stratum.open;
+                let pending = &mut stratum.pending;
                 match self.cohorts[mixer] {
-                    Cohort::Canary => pool.new.add(more),
-                    _ => pool.old.add(more),
+                    Cohort::Canary => pending.canary.add(delta),
+                    _ => pending.baseline.add(delta),
                 }
-                if pool.new.ended() >= BLOCK && pool.old.ended() >= BLOCK {
-                    let block = std::mem::take(pool);
-                    compare(&self.scales, stratum, &block, slow_past);
+                if pending.canary.ended() >= BLOCK_SCANS && pending.baseline.ended() >= BLOCK_SCANS {
+                    let block = std::mem::take(pending);
+                    compare_block(&self.thresholds, stratum, &block, slow_bound);
                 }
-                // Where nobody stands beside them, all are who may fall.
+                // With no untouched mixers, the overall loss is measured on the compared ones.
                 if self.cohorts.contains(&Cohort::Other) {
                     return;
                 }
-                whole.others.add(more);
+                total.counts.add(delta);
             }
         }
-        if whole.others.ended() >= BLOCK {
-            let others = std::mem::take(&mut whole.others);
-            let usual = 1.0 - served_before.unwrap_or(1.0);
-            // Twice: the others have nobody beside them, and a burst of a zone's own is not to count for more.
-            let (fall, clip) =
-                (self.scales.overall_loss_increase, (2.0 * self.scales.overall_loss_increase).max(CLIP));
-            let falls = clipped(lost(&others), usual, clip) - usual - fall;
-            whole.falls.observe(falls, width(usual, clip) + fall);
+        if total.counts.ended() >= BLOCK_SCANS {
+            let counts = std::mem::take(&mut total.counts);
+            let typical_loss = 1.0 - served_before.unwrap_or(1.0);
+            // Only twice the threshold: these mixers have no control group, and a burst in one zone must not
+            // weigh more.
+            let (threshold, clip) = (
+                self.thresholds.overall_loss_increase,
+                (2.0 * self.thresholds.overall_loss_increase).max(MIN_CLIP),
+            );
+            let excess = clip_share(loss_share(&counts), typical_loss, clip) - typical_loss - threshold;
+            total.loss_test.observe(excess, clip_range(typical_loss, clip) + threshold);
         }
     }
 
-    /// What is to be said now. A disturbance is told once, and what was seen in it is thrown away.
+    /// The current result. A disturbance is reported once, and the observations made during it are discarded.
     pub fn ruling(&mut self, now: Moment) -> Ruling {
-        if let Some(what) = self.disturbed.take() {
-            self.restart(now);
-            return Ruling::Disturbed(what);
+        if let Some(reason) = self.disturbance.take() {
+            self.reset_comparison(now);
+            return Ruling::Disturbed(reason);
         }
-        if let Some(what) = self.worse(now.since(self.since) >= LOAD_SEEN) {
-            return Ruling::Worse(what);
+        if let Some(reason) = self.regression_reason(now.since(self.started_at) >= LOAD_WINDOW) {
+            return Ruling::Worse(reason);
         }
-        match self.unsure() {
-            Some(what) => Ruling::Wait(what),
+        match self.inconclusive_reason() {
+            Some(reason) => Ruling::Wait(reason),
             None => Ruling::Fine,
         }
     }
 
-    /// Where it is not known yet that the new ones are as good: each zone and traffic type has to be, or what one zone
-    /// loses hides behind the others.
-    fn unsure(&self) -> Option<String> {
+    /// Why the canaries are not known to be as good yet, if so. Each zone and traffic type has to be shown
+    /// separately, or a loss in one zone would be hidden by the others.
+    fn inconclusive_reason(&self) -> Option<String> {
         if self.strata.is_empty() {
             return Some("no scan has been compared".into());
         }
         let unseen = |name: &&String| !self.strata.keys().any(|(_, seen)| seen == *name);
-        if let Some(name) = self.wholes.keys().find(unseen) {
+        if let Some(name) = self.totals.keys().find(unseen) {
             return Some(format!("{name}: asked before the step, and not since"));
         }
-        let sure = 1.0 / self.scales.missed_rate;
-        let unsure = |at: &Stratum| at.as_good.wealth() < sure || at.as_quick.wealth() < sure;
-        let ((zone, name), at) = self.strata.iter().find(|(_, at)| unsure(at))?;
-        let seen = at.as_good.observations() as u64 * BLOCK;
+        let required_wealth = 1.0 / self.thresholds.missed_rate;
+        let is_inconclusive = |stratum: &Stratum| {
+            stratum.no_more_loss.wealth() < required_wealth || stratum.no_more_slow.wealth() < required_wealth
+        };
+        let ((zone, name), stratum) = self.strata.iter().find(|(_, stratum)| is_inconclusive(stratum))?;
+        let seen = stratum.no_more_loss.observations() as u64 * BLOCK_SCANS;
         Some(format!("{name} in zone {zone}: some {seen} scans of each side compared, not enough to go on"))
     }
 
-    /// The mean of fair gamblers' fortunes is a fair gambler's: however many there are, all together are wrong no
-    /// oftener than one.
-    fn worse(&self, load_is_known: bool) -> Option<String> {
-        let sure = 1.0 / self.scales.false_stop_rate;
-        let bets = self.strata.iter().flat_map(|((zone, name), stratum)| {
-            let bet = |wager: &SequentialTest, what: &str| {
-                let by = wager.mean();
-                (wager.wealth(), format!("{name} in zone {zone}: {what} by some {by:.3}"))
+    /// Why the change is worse, if it is. The mean wealth of several tests is itself a valid test statistic,
+    /// so the error rate does not grow with the number of zones and traffic types.
+    fn regression_reason(&self, load_is_known: bool) -> Option<String> {
+        let required_wealth = 1.0 / self.thresholds.false_stop_rate;
+        let results = self.strata.iter().flat_map(|((zone, name), stratum)| {
+            let result = |test: &SequentialTest, reason: &str| {
+                let by = test.mean();
+                (test.wealth(), format!("{name} in zone {zone}: {reason} by some {by:.3}"))
             };
-            [bet(&stratum.lost, "more is not served,"), bet(&stratum.slower, "more is slow,")]
+            [result(&stratum.more_loss, "more is not served,"), result(&stratum.more_slow, "more is slow,")]
         });
-        let bets: Vec<(f64, String)> = bets.collect();
-        let mean = bets.iter().map(|bet| bet.0).sum::<f64>() / bets.len().max(1) as f64;
-        let worst = bets.into_iter().max_by(|a, b| a.0.total_cmp(&b.0));
-        if let Some((_, what)) = worst.filter(|_| mean >= sure) {
-            return Some(what);
+        let results: Vec<(f64, String)> = results.collect();
+        let mean = results.iter().map(|result| result.0).sum::<f64>() / results.len().max(1) as f64;
+        let worst = results.into_iter().max_by(|a, b| a.0.total_cmp(&b.0));
+        if let Some((_, reason)) = worst.filter(|_| mean >= required_wealth) {
+            return Some(reason);
         }
-        let falls = self.wholes.values().map(|whole| whole.falls.wealth());
-        let mean = falls.clone().sum::<f64>() / self.wholes.len().max(1) as f64;
-        let worst = self.wholes.iter().max_by(|a, b| a.1.falls.wealth().total_cmp(&b.1.falls.wealth()));
-        let told = |(name, whole): (&String, &Whole)| {
-            let by = whole.falls.mean() + self.scales.overall_loss_increase;
+        let wealths = self.totals.values().map(|total| total.loss_test.wealth());
+        let mean = wealths.clone().sum::<f64>() / self.totals.len().max(1) as f64;
+        let worst =
+            self.totals.iter().max_by(|a, b| a.1.loss_test.wealth().total_cmp(&b.1.loss_test.wealth()));
+        let reason = |(name, total): (&String, &TypeTotals)| {
+            let by = total.loss_test.mean() + self.thresholds.overall_loss_increase;
             format!("{name}: all mixers serve less than before the stage, by some {by:.3} of what is asked")
         };
-        worst.filter(|_| mean >= sure && load_is_known).map(told)
+        worst.filter(|_| mean >= required_wealth && load_is_known).map(reason)
     }
 }
 
-/// One block of both sides.
-fn compare(scales: &Thresholds, stratum: &mut Stratum, block: &Pool, slow_past: Option<f64>) {
-    let (usual, clip_lost) = (stratum.usual, clip(scales.loss_increase));
-    let more = clipped(lost(&block.new), usual, clip_lost) - clipped(lost(&block.old), usual, clip_lost);
-    // Half of what is worse is no reason to stop yet, and all of it no reason to go on.
-    stratum
-        .lost
-        .observe(more - scales.loss_increase / 2.0, width(usual, clip_lost) + scales.loss_increase / 2.0);
-    let clip_good = clip_as_good(scales.loss_increase);
-    let more = clipped(lost(&block.new), usual, clip_good) - clipped(lost(&block.old), usual, clip_good);
-    stratum.as_good.observe(scales.loss_increase - more, width(usual, clip_good));
-    stratum.usual += (lost(&block.old) - usual) / 8.0;
-    let Some(past) = slow_past else { return };
-    let slow = |sums: &ScanCounts| 1.0 - sums.served_within(past) as f64 / sums.served.max(1) as f64;
-    let (usual, clip) = (1.0 - USUAL, clip(scales.slow_increase));
-    let more = clipped(slow(&block.new), usual, clip) - clipped(slow(&block.old), usual, clip);
-    stratum
-        .slower
-        .observe(more - scales.slow_increase / 2.0, width(usual, clip) + scales.slow_increase / 2.0);
-    let clip = clip_as_good(scales.slow_increase);
-    let more = clipped(slow(&block.new), usual, clip) - clipped(slow(&block.old), usual, clip);
-    stratum.as_quick.observe(scales.slow_increase - more, width(usual, clip));
+/// Feeds one full block of both cohorts to the tests of a stratum.
+fn compare_block(
+    thresholds: &Thresholds,
+    stratum: &mut Stratum,
+    block: &CohortCounts,
+    slow_bound: Option<f64>,
+) {
+    let (typical_loss, clip_harm) = (stratum.typical_loss, clip_for_harm(thresholds.loss_increase));
+    let increase = clip_share(loss_share(&block.canary), typical_loss, clip_harm)
+        - clip_share(loss_share(&block.baseline), typical_loss, clip_harm);
+    // The tests for harm look for more than half of the threshold; the tests for no harm need less than all
+    // of it.
+    stratum.more_loss.observe(
+        increase - thresholds.loss_increase / 2.0,
+        clip_range(typical_loss, clip_harm) + thresholds.loss_increase / 2.0,
+    );
+    let clip_no_harm = clip_for_no_harm(thresholds.loss_increase);
+    let increase = clip_share(loss_share(&block.canary), typical_loss, clip_no_harm)
+        - clip_share(loss_share(&block.baseline), typical_loss, clip_no_harm);
+    stratum.no_more_loss.observe(thresholds.loss_increase - increase, clip_range(typical_loss, clip_no_harm));
+    stratum.typical_loss += (loss_share(&block.baseline) - typical_loss) / 8.0;
+    let Some(bound) = slow_bound else { return };
+    let slow = |counts: &ScanCounts| 1.0 - counts.served_within(bound) as f64 / counts.served.max(1) as f64;
+    let (typical_slow, clip) = (1.0 - SLOW_QUANTILE, clip_for_harm(thresholds.slow_increase));
+    let increase = clip_share(slow(&block.canary), typical_slow, clip)
+        - clip_share(slow(&block.baseline), typical_slow, clip);
+    stratum.more_slow.observe(
+        increase - thresholds.slow_increase / 2.0,
+        clip_range(typical_slow, clip) + thresholds.slow_increase / 2.0,
+    );
+    let clip = clip_for_no_harm(thresholds.slow_increase);
+    let increase = clip_share(slow(&block.canary), typical_slow, clip)
+        - clip_share(slow(&block.baseline), typical_slow, clip);
+    stratum.no_more_slow.observe(thresholds.slow_increase - increase, clip_range(typical_slow, clip));
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,17 +1,20 @@
-//! A rolling change of program or settings in stages, stopped when a stage does worse. Pure: no sockets, clock, files or
-//! processes; what mixers told, what ended and how late it is come in, and what is to be done goes out.
+//! Rolling change of a fleet of mixers to a new program or new settings, in steps, with automatic rollback
+//! when a step performs worse. The library is pure: it uses no sockets, clock, files or processes. Metrics,
+//! process exits and elapsed time come in as events, and the actions to carry out are returned.
 //!
-//! Called by `crates/conductor` (the program `fernglade-rollout`), and by `tests/model.rs`, which walks the same functions
-//! with crashes and lost facts anywhere. The design, with what was weighed, is docs/rollout.md.
+//! It is driven by `crates/conductor` (the program `fernglade-rollout`). `tests/model.rs` model-checks the
+//! same functions with crashes and lost messages at any point. The design and its trade-offs are in
+//! docs/rollout.md.
 //!
-//! - [`plan`]: the operator's file
-//! - [`course`]: the steps, and who is restarted beside the new ones to be held against
-//! - [`machine`]: the change; events in, effects out
-//! - [`judge`]: whether the new ones do worse, or all do; [`wager`] is the test under it
-//! - [`told`]: what mixers tell of themselves
-//! - [`journal`]: what has been decided, to go on from
+//! - [`plan`]: the operator's plan file
+//! - [`spec`]: the steps of a rollout, and which mixers form the canary and baseline cohorts of each
+//! - [`machine`]: the state machine; events in, effects out
+//! - [`canary_analysis`]: compares canary and baseline, and all mixers with the time before the step;
+//!   [`sequential_test`] is the statistical test it uses
+//! - [`metrics_sample`]: the metrics of one mixer
+//! - [`journal`]: the durable record of decisions, from which an interrupted rollout continues
 //!
-//! What empties each table: all are by mixer, or by zone and traffic type, and begin anew with each step.
+//! Every table is keyed by mixer, or by zone and traffic type, and starts anew with each step.
 
 pub mod canary_analysis;
 pub mod journal;
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/machine.rs
@@ -1,6 +1,8 @@
-//! The change itself: what has come is taken in, what is to be done goes out. It goes by what mixers say they run, not
-//! by what was ordered, so that a conductor that begins anew goes on where the truth stands. docs/rollout.md has the
-//! transition table; `tests/model.rs` walks it with crashes and lost facts anywhere.
+//! State machine of a rollout: it consumes events and returns the effects to carry out.
+//!
+//! Decisions depend on what the mixers report to be running, not on what was ordered, so a restarted
+//! conductor continues from the actual state of the fleet. docs/rollout.md has the transition table;
+//! `tests/model.rs` model-checks the machine with crashes and lost messages at any point.
 
 use crate::journal::Record;
 use crate::metrics_sample::Incarnation;
@@ -8,20 +10,20 @@
 use fernglade::Moment;
 use std::sync::Arc;
 
-/// What the machine needs of what a mixer told.
+/// The part of a mixer's metrics that the state machine needs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Report {
-    /// None where it runs neither the old nor the new.
+    /// None if the mixer runs neither the old nor the new build.
     pub side: Option<Side>,
     pub incarnation: Incarnation,
     pub ready: bool,
     pub memory: u64,
-    /// A sum of its that is wrong.
+    /// The traffic type whose scan counters do not add up, if any.
     pub wrong_sum: Option<String>,
     pub refused_settings: bool,
 }
 
-/// What an operator asks for.
+/// A command from the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Wish {
@@ -30,138 +32,160 @@
     Undo,
 }
 
+/// An input to the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
+    /// A mixer answered with its metrics.
     Heard(usize, Report),
-    /// Its process has ended, or nobody listens where it was; `crashed` where it is known that it ended badly.
+    /// The mixer's process has ended, or nothing listens on its address. `crashed` is set only if the exit
+    /// status is known and was a failure.
     Ended {
         mixer: usize,
         crashed: bool,
     },
-    /// It could not be started or told.
+    /// The mixer could not be started, stopped or told to reload.
     Failed(usize, String),
-    /// Time has passed; `watched` once enough is known of the time before.
+    /// Periodic tick. `watched` is set once the reference window has been observed.
     Time {
         watched: bool,
     },
-    /// The comparison of the step, and what is to be said of it.
+    /// Results of the step's comparison; the text is the reason.
     Fine,
     Worse(String),
     Unsure(String),
     Wished(Wish),
 }
 
+/// An action for the caller to carry out, in the order returned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
-    /// To be on the disk before anything after it is done.
+    /// Must be durable before any later effect is carried out.
     Write(Record),
     Stop(usize, Incarnation),
     Kill(usize, Incarnation),
     Start(usize, Side),
+    /// Replace the settings file of a running mixer and have it reloaded.
     Hand(usize, Side),
-    /// The comparison of this step begins, or begins anew.
+    /// Start, or restart, the comparison of this step.
     Compare(usize),
+    /// Show a message to the operator.
     Tell(String),
 }
 
+/// The state of the rollout. The `Moment` is when the state was entered.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Stand {
-    /// Hears everybody, and watches for the time before.
+    /// Waits until every mixer has reported and the reference window has been observed.
     Surveying,
+    /// Changes mixers until all of them run what the step requires.
     Moving,
+    /// Waits for the changed mixers to warm up.
     Settling(Moment),
+    /// Compares the canaries with the baseline.
     Judging(Moment),
+    /// Returns all mixers to the old side.
     Undoing,
     Paused,
-    /// Nothing goes on until a person says so.
+    /// Waits for an operator's command.
     Held(Hold),
-    /// The end: all of one side.
+    /// Finished: every mixer runs this side.
     Done(Side),
 }
 
+/// Why the rollout waits for an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Hold {
-    /// The comparison could not come to an end; to resume is to take the step as passed.
+    /// The comparison was inconclusive; resuming takes the step as passed.
     Unsure(String),
-    /// Anything else; to resume is to try again.
+    /// Any other reason; resuming tries again.
     Stuck(String),
 }
 
+/// How far a pending order has progressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Doing {
+enum OrderPhase {
     Stopping { killed: bool },
     Starting,
-    Handing,
+    Reloading,
 }
 
+/// An order that the mixer has not completed yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Order {
+struct PendingOrder {
     side: Side,
+    /// The incarnation that ran when the order was given.
     from: Option<Incarnation>,
+    /// Start of the current phase.
     since: Moment,
-    doing: Doing,
+    phase: OrderPhase,
 }
 
+/// What is known of one mixer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Post {
+struct MixerState {
     report: Option<Report>,
-    heard: Option<Moment>,
-    gone: Option<Moment>,
-    order: Option<Order>,
-    /// How often it came back with what it is not to run.
-    strayed: u8,
+    last_heard: Option<Moment>,
+    /// When its process was found to have ended; none while it runs.
+    gone_since: Option<Moment>,
+    order: Option<PendingOrder>,
+    /// How many times it restarted by itself with a different side than before.
+    wrong_restarts: u8,
 }
 
-/// Who comes back with the wrong program so often is not to be chased any longer.
-const MOST_STRAYED: u8 = 3;
+/// A mixer that restarts with the wrong program more often than this puts the rollout on hold: something else
+/// keeps starting it, and changing it again would not help.
+const MAX_WRONG_RESTARTS: u8 = 3;
 
+/// The state machine of one rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Rollout {
-    course: Arc<RolloutSpec>,
+    spec: Arc<RolloutSpec>,
     pub step: usize,
     pub state: Stand,
-    /// Whether the way back has begun: there is none forward after it.
+    /// Why the rollout is being rolled back, if it is. A rollback is never reversed.
     pub rollback_reason: Option<String>,
-    /// What twins were when the step began; they have to be another by now.
-    twins: Vec<(usize, Incarnation)>,
-    /// The step stands in the journal.
-    begun: bool,
-    posts: Vec<Post>,
-    began: Moment,
+    /// The incarnations of the baseline mixers when the step began. They must be restarted, so each has to
+    /// report another incarnation.
+    baseline_before: Vec<(usize, Incarnation)>,
+    /// The start of the step is recorded in the journal.
+    step_begun: bool,
+    mixers: Vec<MixerState>,
+    started_at: Moment,
 }
 
-/// What goes out, in order.
-type Out = Vec<Effect>;
+/// Effects in the order in which they must be carried out.
+type Effects = Vec<Effect>;
 
 impl Rollout {
-    /// From the beginning, or from what a journal tells.
-    pub fn new(course: Arc<RolloutSpec>, records: &[Record], now: Moment) -> Self {
-        let posts = vec![Post::default(); course.names.len()];
-        let mut change = Self {
-            course,
+    /// Starts a new rollout, or restores one from the journal's records.
+    pub fn new(spec: Arc<RolloutSpec>, records: &[Record], now: Moment) -> Self {
+        let mixers = vec![MixerState::default(); spec.names.len()];
+        let mut rollout = Self {
+            spec,
             step: 0,
             state: Stand::Surveying,
             rollback_reason: None,
-            twins: Vec::new(),
-            begun: false,
-            posts,
-            began: now,
+            baseline_before: Vec::new(),
+            step_begun: false,
+            mixers,
+            started_at: now,
         };
-        records.iter().for_each(|record| change.remember(record));
-        change
+        records.iter().for_each(|record| rollout.replay(record));
+        rollout
     }
 
-    /// What was ordered is not taken for done: only where the change stood.
-    fn remember(&mut self, record: &Record) {
+    /// Restores the progress of the rollout. Orders are not replayed, as an order may not have been carried
+    /// out.
+    fn replay(&mut self, record: &Record) {
         match record {
             Record::Begun { .. } | Record::Ordered { .. } => {}
             Record::Step { step, twins } => {
-                (self.step, self.begun) = (*step, true);
-                self.twins.clone_from(twins);
+                (self.step, self.step_begun) = (*step, true);
+                self.baseline_before.clone_from(twins);
             }
-            // The last one passes again: what is left of it is to say that all is over.
-            Record::Passed { step } if step + 1 == self.course.steps.len() => {}
-            Record::Passed { step } => (self.step, self.begun) = (step + 1, false),
+            // The last step is passed again, which writes the missing `Ended` record.
+            Record::Passed { step } if step + 1 == self.spec.steps.len() => {}
+            Record::Passed { step } => (self.step, self.step_begun) = (step + 1, false),
             Record::Undo { why } => {
                 (self.rollback_reason, self.state) = (Some(why.clone()), Stand::Surveying);
             }
@@ -173,21 +197,22 @@
         }
     }
 
+    /// Whether every mixer runs one side and nothing is left to do.
     pub fn is_finished(&self) -> bool {
         matches!(self.state, Stand::Done(_))
     }
 
     pub fn spec(&self) -> &RolloutSpec {
-        &self.course
+        &self.spec
     }
 
-    /// What a mixer is to run as things stand.
+    /// The side that a mixer should run in the current state.
     pub fn desired_side(&self, mixer: usize) -> Side {
-        let of_step = self.begun && self.rollback_reason.is_none();
-        let before = self.step.checked_sub(1).map(|before| &self.course.steps[before].new);
-        let new = match (of_step, before) {
+        let step_active = self.step_begun && self.rollback_reason.is_none();
+        let before = self.step.checked_sub(1).map(|before| &self.spec.steps[before].new);
+        let new = match (step_active, before) {
             _ if self.rollback_reason.is_some() => false,
-            (true, _) => self.course.steps[self.step].new.contains(&mixer),
+            (true, _) => self.spec.steps[self.step].new.contains(&mixer),
             (false, Some(before)) => before.contains(&mixer),
             (false, None) => false,
         };
@@ -198,406 +223,424 @@
         }
     }
 
-    /// Away, or not to be reached: changing, gone, or long unheard.
+    /// The number of mixers that are restarting, have ended or are unreachable.
     pub fn unavailable_count(&self, now: Moment) -> usize {
-        (0..self.posts.len()).filter(|at| self.is_away(*at, now)).count()
+        (0..self.mixers.len()).filter(|at| self.is_unavailable(*at, now)).count()
     }
 
-    fn is_away(&self, mixer: usize, now: Moment) -> bool {
-        let post = &self.posts[mixer];
-        post.gone.is_some()
-            || post.order.as_ref().is_some_and(|o| o.doing != Doing::Handing)
-            || self.unheard(mixer, now)
+    fn is_unavailable(&self, mixer: usize, now: Moment) -> bool {
+        let mixer_state = &self.mixers[mixer];
+        mixer_state.gone_since.is_some()
+            || mixer_state.order.as_ref().is_some_and(|o| o.phase != OrderPhase::Reloading)
+            || self.is_unreachable(mixer, now)
     }
 
-    fn unheard(&self, mixer: usize, now: Moment) -> bool {
-        now.since(self.posts[mixer].heard.unwrap_or(self.began)) >= self.course.unreachable_after
+    fn is_unreachable(&self, mixer: usize, now: Moment) -> bool {
+        now.since(self.mixers[mixer].last_heard.unwrap_or(self.started_at)) >= self.spec.unreachable_after
     }
 
-    fn runs(&self, mixer: usize) -> Option<Side> {
-        let post = &self.posts[mixer];
-        post.report.as_ref().filter(|_| post.gone.is_none()).and_then(|report| report.side)
+    fn running_side(&self, mixer: usize) -> Option<Side> {
+        let mixer_state = &self.mixers[mixer];
+        mixer_state
+            .report
+            .as_ref()
+            .filter(|_| mixer_state.gone_since.is_none())
+            .and_then(|report| report.side)
     }
 
-    /// It runs what it is to run, serves, and, as a twin, has begun anew.
-    fn is_as_wanted(&self, mixer: usize) -> bool {
-        let post = &self.posts[mixer];
-        let Some(report) = post.report.as_ref().filter(|_| post.gone.is_none() && post.order.is_none())
+    /// Whether the mixer runs the desired side, is ready and, if it is in the baseline, has been restarted.
+    fn is_as_desired(&self, mixer: usize) -> bool {
+        let mixer_state = &self.mixers[mixer];
+        let Some(report) = mixer_state
+            .report
+            .as_ref()
+            .filter(|_| mixer_state.gone_since.is_none() && mixer_state.order.is_none())
         else {
             return false;
         };
-        report.ready && report.side == Some(self.desired_side(mixer)) && !self.is_stale_twin(mixer, report)
+        report.ready
+            && report.side == Some(self.desired_side(mixer))
+            && !self.is_baseline_not_restarted(mixer, report)
     }
 
-    fn is_stale_twin(&self, mixer: usize, report: &Report) -> bool {
-        let twin =
-            self.begun && self.rollback_reason.is_none() && self.course.method == ChangeMethod::Restart;
-        let before = self.twins.iter().find(|(at, _)| *at == mixer);
-        twin && before.is_some_and(|(_, incarnation)| *incarnation == report.incarnation)
+    fn is_baseline_not_restarted(&self, mixer: usize, report: &Report) -> bool {
+        let must_restart =
+            self.step_begun && self.rollback_reason.is_none() && self.spec.method == ChangeMethod::Restart;
+        let before = self.baseline_before.iter().find(|(at, _)| *at == mixer);
+        must_restart && before.is_some_and(|(_, incarnation)| *incarnation == report.incarnation)
     }
 
-    /// Takes an event in, and says what is to be done.
-    pub fn handle(&mut self, now: Moment, event: Event) -> Out {
-        let mut out = Out::new();
+    /// Handles an event and returns the resulting effects.
+    pub fn handle(&mut self, now: Moment, event: Event) -> Effects {
+        let mut effects = Effects::new();
         if self.is_finished() {
-            return out;
+            return effects;
         }
         match event {
-            Event::Heard(mixer, report) => self.heard(now, mixer, report, &mut out),
-            Event::Ended { mixer, crashed } => self.ended(now, mixer, crashed, &mut out),
-            Event::Failed(mixer, why) => self.failed(mixer, &why, &mut out),
-            Event::Fine if matches!(self.state, Stand::Judging(_)) => self.pass(&mut out),
+            Event::Heard(mixer, report) => self.on_report(now, mixer, report, &mut effects),
+            Event::Ended { mixer, crashed } => self.on_ended(now, mixer, crashed, &mut effects),
+            Event::Failed(mixer, why) => self.fail_order(mixer, &why, &mut effects),
+            Event::Fine if matches!(self.state, Stand::Judging(_)) => self.pass_step(&mut effects),
             Event::Worse(why) if matches!(self.state, Stand::Judging(_) | Stand::Settling(_)) => {
-                self.undo(why, &mut out)
+                self.roll_back(why, &mut effects)
             }
-            Event::Unsure(why) => self.unsure(now, why, &mut out),
+            Event::Unsure(why) => self.on_unsure(now, why, &mut effects),
             Event::Fine | Event::Worse(_) => {}
-            Event::Time { watched } => self.time(now, watched, &mut out),
-            Event::Wished(wish) => self.wished(wish, &mut out),
+            Event::Time { watched } => self.on_time(now, watched, &mut effects),
+            Event::Wished(wish) => self.on_wish(wish, &mut effects),
         }
-        out
+        effects
     }
 
-    fn heard(&mut self, now: Moment, mixer: usize, report: Report, out: &mut Out) {
-        let post = &mut self.posts[mixer];
-        let before = post.report.replace(report.clone());
-        (post.gone, post.heard) = (None, Some(now));
-        if post.order.is_some() {
-            return self.mind_order(now, mixer, out);
+    fn on_report(&mut self, now: Moment, mixer: usize, report: Report, effects: &mut Effects) {
+        let mixer_state = &mut self.mixers[mixer];
+        let before = mixer_state.report.replace(report.clone());
+        (mixer_state.gone_since, mixer_state.last_heard) = (None, Some(now));
+        if mixer_state.order.is_some() {
+            return self.advance_order(now, mixer, effects);
         }
-        let again = before.as_ref().is_some_and(|old| old.incarnation != report.incarnation);
+        let restarted = before.as_ref().is_some_and(|old| old.incarnation != report.incarnation);
         let (was, is) = (before.and_then(|old| old.side), report.side);
-        let name = self.course.names[mixer].clone();
-        if again && was == Some(Side::New) && is == Some(Side::New) && self.rollback_reason.is_none() {
-            return self.undo(format!("{name} has begun anew by itself, with the new"), out);
+        let name = self.spec.names[mixer].clone();
+        if restarted && was == Some(Side::New) && is == Some(Side::New) && self.rollback_reason.is_none() {
+            return self.roll_back(format!("{name} has begun anew by itself, with the new"), effects);
         }
-        if again && is != was {
-            let post = &mut self.posts[mixer];
-            post.strayed = post.strayed.saturating_add(1);
-            out.push(Effect::Tell(format!("{name} came back with what it is not to run")));
-            if post.strayed > MOST_STRAYED {
+        if restarted && is != was {
+            let mixer_state = &mut self.mixers[mixer];
+            mixer_state.wrong_restarts = mixer_state.wrong_restarts.saturating_add(1);
+            effects.push(Effect::Tell(format!("{name} came back with what it is not to run")));
+            if mixer_state.wrong_restarts > MAX_WRONG_RESTARTS {
                 return self.hold(
                     Hold::Stuck(format!(
                         "{name} keeps coming back with the wrong program: see what starts it"
                     )),
-                    out,
+                    effects,
                 );
             }
         }
         if is == Some(Side::New) && self.rollback_reason.is_none() {
-            let bad = match &report {
+            let reason = match &report {
                 Report { wrong_sum: Some(what), .. } => {
                     Some(format!("{name}: its scans of {what} do not add up"))
                 }
-                Report { memory, .. } if *memory >= self.course.memory_limit => {
+                Report { memory, .. } if *memory >= self.spec.memory_limit => {
                     Some(format!("{name}: {memory} bytes of memory"))
                 }
                 Report { refused_settings: true, .. } => Some(format!("{name} refuses its settings")),
                 _ => None,
             };
-            bad.into_iter().for_each(|why| self.undo(why, out));
+            reason.into_iter().for_each(|why| self.roll_back(why, effects));
         }
     }
 
-    fn ended(&mut self, now: Moment, mixer: usize, crashed: bool, out: &mut Out) {
-        let was_new = self.runs(mixer) == Some(Side::New);
-        let post = &mut self.posts[mixer];
-        post.gone.get_or_insert(now);
-        post.heard = Some(now);
-        let starting = post.order.as_ref().is_some_and(|order| order.doing == Doing::Starting);
+    fn on_ended(&mut self, now: Moment, mixer: usize, crashed: bool, effects: &mut Effects) {
+        let was_new = self.running_side(mixer) == Some(Side::New);
+        let mixer_state = &mut self.mixers[mixer];
+        mixer_state.gone_since.get_or_insert(now);
+        mixer_state.last_heard = Some(now);
+        let starting = mixer_state.order.as_ref().is_some_and(|order| order.phase == OrderPhase::Starting);
         if crashed && starting {
-            self.failed(mixer, "it ended as soon as it was started", out);
-        } else if post.order.is_some() {
-            self.mind_order(now, mixer, out);
+            self.fail_order(mixer, "it ended as soon as it was started", effects);
+        } else if mixer_state.order.is_some() {
+            self.advance_order(now, mixer, effects);
         } else if crashed && was_new && self.rollback_reason.is_none() {
-            self.undo(format!("{} has crashed", self.course.names[mixer]), out);
+            self.roll_back(format!("{} has crashed", self.spec.names[mixer]), effects);
         }
     }
 
-    fn failed(&mut self, mixer: usize, why: &str, out: &mut Out) {
-        if let Some(order) = self.posts[mixer].order.take() {
-            self.spoilt(mixer, order.side, why, out);
+    fn fail_order(&mut self, mixer: usize, why: &str, effects: &mut Effects) {
+        if let Some(order) = self.mixers[mixer].order.take() {
+            self.on_order_failure(mixer, order.side, why, effects);
         }
     }
 
-    /// What was ordered can't be had: with the new that ends the change, with the old somebody has to look.
-    fn spoilt(&mut self, mixer: usize, side: Side, why: &str, out: &mut Out) {
-        let name = &self.course.names[mixer];
+    /// Handles an order that failed. A failure of the new side rolls the change back; a failure of the old
+    /// side needs an operator.
+    fn on_order_failure(&mut self, mixer: usize, side: Side, why: &str, effects: &mut Effects) {
+        let name = &self.spec.names[mixer];
         match side {
-            Side::New => self.undo(format!("{name}: {why}"), out),
+            Side::New => self.roll_back(format!("{name}: {why}"), effects),
             Side::Old => {
                 let what = format!("{name}: {why}, with the old: start it by hand, then resume");
-                self.hold(Hold::Stuck(what), out);
+                self.hold(Hold::Stuck(what), effects);
             }
         }
     }
 
-    /// How far an order has come.
-    fn mind_order(&mut self, now: Moment, mixer: usize, out: &mut Out) {
-        let course = self.course.clone();
-        let post = &mut self.posts[mixer];
-        let Some(order) = &mut post.order else { return };
-        let (side, passed) = (order.side, now.since(order.since));
-        let report = post.report.as_ref().filter(|_| post.gone.is_none());
-        let another = report.filter(|report| order.from.as_ref() != Some(&report.incarnation));
-        match order.doing {
-            Doing::Stopping { killed } => {
-                if post.gone.is_some() {
-                    (order.doing, order.since, post.gone) = (Doing::Starting, now, Some(now));
-                    out.push(Effect::Start(mixer, side));
-                } else if let Some(report) = another {
-                    // Somebody else started it meanwhile.
+    /// Advances the mixer's pending order according to its last report and the time elapsed.
+    fn advance_order(&mut self, now: Moment, mixer: usize, effects: &mut Effects) {
+        let spec = self.spec.clone();
+        let mixer_state = &mut self.mixers[mixer];
+        let Some(order) = &mut mixer_state.order else { return };
+        let (side, elapsed) = (order.side, now.since(order.since));
+        let report = mixer_state.report.as_ref().filter(|_| mixer_state.gone_since.is_none());
+        let restarted = report.filter(|report| order.from.as_ref() != Some(&report.incarnation));
+        match order.phase {
+            OrderPhase::Stopping { killed } => {
+                if mixer_state.gone_since.is_some() {
+                    (order.phase, order.since, mixer_state.gone_since) =
+                        (OrderPhase::Starting, now, Some(now));
+                    effects.push(Effect::Start(mixer, side));
+                } else if let Some(report) = restarted {
+                    // It was restarted from outside in the meantime.
                     if report.side == Some(side) {
                         if report.ready {
-                            post.order = None;
+                            mixer_state.order = None;
                         }
                     } else {
                         (order.from, order.since) = (Some(report.incarnation.clone()), now);
-                        out.push(Effect::Stop(mixer, report.incarnation.clone()));
+                        effects.push(Effect::Stop(mixer, report.incarnation.clone()));
                     }
-                } else if passed >= course.stop_timeout {
+                } else if elapsed >= spec.stop_timeout {
                     let from = order.from.clone().unwrap_or_default();
                     if killed {
-                        post.order = None;
-                        let what =
-                            format!("{} does not end: end it by hand, then resume", course.names[mixer]);
-                        return self.hold(Hold::Stuck(what), out);
+                        mixer_state.order = None;
+                        let what = format!("{} does not end: end it by hand, then resume", spec.names[mixer]);
+                        return self.hold(Hold::Stuck(what), effects);
                     }
-                    (order.doing, order.since) = (Doing::Stopping { killed: true }, now);
-                    out.push(Effect::Tell(format!(
+                    (order.phase, order.since) = (OrderPhase::Stopping { killed: true }, now);
+                    effects.push(Effect::Tell(format!(
                         "{} has not ended in time, and is killed",
-                        course.names[mixer]
+                        spec.names[mixer]
                     )));
-                    out.push(Effect::Kill(mixer, from));
+                    effects.push(Effect::Kill(mixer, from));
                 }
             }
-            Doing::Starting => {
-                let why = match another {
-                    Some(report) if report.side == Some(side) && report.ready => return post.order = None,
+            OrderPhase::Starting => {
+                let why = match restarted {
+                    Some(report) if report.side == Some(side) && report.ready => {
+                        return mixer_state.order = None
+                    }
                     Some(report) if report.refused_settings => "it refuses its settings",
                     Some(report) if report.side.is_some() && report.side != Some(side) => {
                         "it came up with another program than it was started with"
                     }
-                    _ if passed >= course.ready_timeout => "it was not ready in time",
+                    _ if elapsed >= spec.ready_timeout => "it was not ready in time",
                     _ => return,
                 };
-                self.failed(mixer, why, out);
+                self.fail_order(mixer, why, effects);
             }
-            Doing::Handing => {
+            OrderPhase::Reloading => {
                 let why = match report {
-                    Some(report) if report.side == Some(side) => return post.order = None,
+                    Some(report) if report.side == Some(side) => return mixer_state.order = None,
                     Some(report) if report.refused_settings => "it refuses its settings",
-                    _ if passed >= course.ready_timeout => "it did not take its settings up",
+                    _ if elapsed >= spec.ready_timeout => "it did not take its settings up",
                     _ => return,
                 };
-                self.failed(mixer, why, out);
+                self.fail_order(mixer, why, effects);
             }
         }
     }
 
-    fn unsure(&mut self, now: Moment, why: String, out: &mut Out) {
+    fn on_unsure(&mut self, now: Moment, why: String, effects: &mut Effects) {
         if let Stand::Judging(since) = self.state {
-            if now.since(since) >= self.course.comparison_timeout {
-                self.hold(Hold::Unsure(why), out);
+            if now.since(since) >= self.spec.comparison_timeout {
+                self.hold(Hold::Unsure(why), effects);
             }
         }
     }
 
-    fn time(&mut self, now: Moment, watched: bool, out: &mut Out) {
-        (0..self.posts.len()).for_each(|mixer| self.mind_order(now, mixer, out));
-        self.mind_gone(now, out);
+    fn on_time(&mut self, now: Moment, watched: bool, effects: &mut Effects) {
+        (0..self.mixers.len()).for_each(|mixer| self.advance_order(now, mixer, effects));
+        self.check_gone(now, effects);
         match self.state.clone() {
-            Stand::Surveying => self.survey(now, watched, out),
-            Stand::Moving if self.all_as_wanted() => self.state = Stand::Settling(now),
-            Stand::Settling(_) | Stand::Judging(_) if !self.all_as_wanted() => self.state = Stand::Moving,
-            Stand::Settling(since) if now.since(since) >= self.course.settle_time => {
-                if self.course.steps[self.step].compared {
+            Stand::Surveying => self.survey(now, watched, effects),
+            Stand::Moving if self.all_as_desired() => self.state = Stand::Settling(now),
+            Stand::Settling(_) | Stand::Judging(_) if !self.all_as_desired() => self.state = Stand::Moving,
+            Stand::Settling(since) if now.since(since) >= self.spec.settle_time => {
+                if self.spec.steps[self.step].compared {
                     self.state = Stand::Judging(now);
-                    out.push(Effect::Compare(self.step));
+                    effects.push(Effect::Compare(self.step));
                 } else {
-                    self.pass(out);
+                    self.pass_step(effects);
                 }
             }
-            Stand::Undoing if self.all_as_wanted() => {
+            Stand::Undoing if self.all_as_desired() => {
                 let why = self.rollback_reason.clone().unwrap_or_default();
-                self.end(Side::Old, why, out);
+                self.finish(Side::Old, why, effects);
             }
             _ => {}
         }
         if matches!(self.state, Stand::Moving | Stand::Undoing) {
-            self.order_next(now, out);
+            self.issue_orders(now, effects);
         }
     }
 
-    fn all_as_wanted(&self) -> bool {
-        (0..self.posts.len()).all(|mixer| self.is_as_wanted(mixer))
+    fn all_as_desired(&self) -> bool {
+        (0..self.mixers.len()).all(|mixer| self.is_as_desired(mixer))
     }
 
-    /// Who has gone by himself and does not come back.
-    fn mind_gone(&mut self, now: Moment, out: &mut Out) {
-        for mixer in 0..self.posts.len() {
-            let post = &self.posts[mixer];
-            let long = post.gone.is_some_and(|at| now.since(at) >= self.course.return_timeout);
-            let was_new = post.report.as_ref().is_some_and(|report| report.side == Some(Side::New));
-            if long && post.order.is_none() && was_new && self.rollback_reason.is_none() {
-                return self.undo(format!("{} has gone, and not come back", self.course.names[mixer]), out);
+    /// Rolls back if a new mixer has ended without an order and did not return in time.
+    fn check_gone(&mut self, now: Moment, effects: &mut Effects) {
+        for mixer in 0..self.mixers.len() {
+            let mixer_state = &self.mixers[mixer];
+            let overdue = mixer_state.gone_since.is_some_and(|at| now.since(at) >= self.spec.return_timeout);
+            let was_new = mixer_state.report.as_ref().is_some_and(|report| report.side == Some(Side::New));
+            if overdue && mixer_state.order.is_none() && was_new && self.rollback_reason.is_none() {
+                return self
+                    .roll_back(format!("{} has gone, and not come back", self.spec.names[mixer]), effects);
             }
         }
     }
 
-    /// Everybody has to be heard before anything is ordered: no fact is not a bad fact.
-    fn survey(&mut self, now: Moment, watched: bool, out: &mut Out) {
-        if self.waits_for_lost(now, out) {
+    /// Waits until every mixer has reported or is known to have ended: no order is given on missing
+    /// information.
+    fn survey(&mut self, now: Moment, watched: bool, effects: &mut Effects) {
+        if self.waits_for_unreachable(now, effects) {
             return;
         }
-        let known = |post: &Post| post.report.is_some() || post.gone.is_some();
-        if !self.posts.iter().all(known) {
+        let is_known =
+            |mixer_state: &MixerState| mixer_state.report.is_some() || mixer_state.gone_since.is_some();
+        if !self.mixers.iter().all(is_known) {
             return;
         }
-        let strange =
-            |post: &Post| post.gone.is_none() && post.report.as_ref().is_some_and(|r| r.side.is_none());
-        if let Some(mixer) = self.posts.iter().position(strange) {
-            let what =
-                format!("{} runs neither the old nor the new: see what it is", self.course.names[mixer]);
-            return self.hold(Hold::Stuck(what), out);
+        let runs_neither = |mixer_state: &MixerState| {
+            mixer_state.gone_since.is_none() && mixer_state.report.as_ref().is_some_and(|r| r.side.is_none())
+        };
+        if let Some(mixer) = self.mixers.iter().position(runs_neither) {
+            let what = format!("{} runs neither the old nor the new: see what it is", self.spec.names[mixer]);
+            return self.hold(Hold::Stuck(what), effects);
         }
         if self.rollback_reason.is_some() {
             self.state = Stand::Undoing;
-        } else if self.begun {
+        } else if self.step_begun {
             self.state = Stand::Moving;
         } else if watched {
-            self.begin_step(out);
+            self.begin_step(effects);
         }
     }
 
-    fn begin_step(&mut self, out: &mut Out) {
-        let twins = self.course.steps[self.step].baseline.iter();
-        let now_is = |at: &usize| Some((*at, self.posts[*at].report.as_ref()?.incarnation.clone()));
-        self.twins = twins.filter_map(now_is).collect();
-        self.begun = true;
-        out.push(Effect::Write(Record::Step { step: self.step, twins: self.twins.clone() }));
+    fn begin_step(&mut self, effects: &mut Effects) {
+        let baseline = self.spec.steps[self.step].baseline.iter();
+        let current_incarnation =
+            |at: &usize| Some((*at, self.mixers[*at].report.as_ref()?.incarnation.clone()));
+        self.baseline_before = baseline.filter_map(current_incarnation).collect();
+        self.step_begun = true;
+        effects.push(Effect::Write(Record::Step { step: self.step, twins: self.baseline_before.clone() }));
         self.state = Stand::Moving;
     }
 
-    fn pass(&mut self, out: &mut Out) {
-        out.push(Effect::Write(Record::Passed { step: self.step }));
+    fn pass_step(&mut self, effects: &mut Effects) {
+        effects.push(Effect::Write(Record::Passed { step: self.step }));
         self.step += 1;
-        self.begun = false;
-        if self.step == self.course.steps.len() {
-            return self.end(Side::New, "every step has passed".into(), out);
+        self.step_begun = false;
+        if self.step == self.spec.steps.len() {
+            return self.finish(Side::New, "every step has passed".into(), effects);
         }
         self.state = Stand::Surveying;
     }
 
-    fn end(&mut self, side: Side, why: String, out: &mut Out) {
-        out.push(Effect::Write(Record::Ended { side, why: why.clone() }));
+    fn finish(&mut self, side: Side, why: String, effects: &mut Effects) {
+        effects.push(Effect::Write(Record::Ended { side, why: why.clone() }));
         self.state = Stand::Done(side);
-        out.push(Effect::Tell(why));
+        effects.push(Effect::Tell(why));
     }
 
-    fn undo(&mut self, why: String, out: &mut Out) {
+    fn roll_back(&mut self, why: String, effects: &mut Effects) {
         if self.rollback_reason.is_none() {
-            out.push(Effect::Write(Record::Undo { why: why.clone() }));
+            effects.push(Effect::Write(Record::Undo { why: why.clone() }));
             self.rollback_reason = Some(why);
             self.state = Stand::Undoing;
         }
     }
 
-    fn hold(&mut self, hold: Hold, out: &mut Out) {
+    fn hold(&mut self, hold: Hold, effects: &mut Effects) {
         let (why, unsure) = match &hold {
             Hold::Unsure(why) => (why.clone(), true),
             Hold::Stuck(why) => (why.clone(), false),
         };
-        out.push(Effect::Write(Record::Held { why: why.clone(), unsure }));
-        out.push(Effect::Tell(why));
+        effects.push(Effect::Write(Record::Held { why: why.clone(), unsure }));
+        effects.push(Effect::Tell(why));
         self.state = Stand::Held(hold);
     }
 
-    /// Whether one is neither known to be gone nor heard; people are told which.
-    fn waits_for_lost(&self, now: Moment, out: &mut Out) -> bool {
-        let lost = (0..self.posts.len()).find(|at| self.posts[*at].gone.is_none() && self.unheard(*at, now));
-        let told =
-            lost.map(|mixer| format!("{} is out of reach: nothing is ordered", self.course.names[mixer]));
-        let waits = told.is_some();
-        out.extend(told.map(Effect::Tell));
+    /// Whether some mixer is unreachable without being known to have ended. The operator is told which one.
+    fn waits_for_unreachable(&self, now: Moment, effects: &mut Effects) -> bool {
+        let unreachable = (0..self.mixers.len())
+            .find(|at| self.mixers[*at].gone_since.is_none() && self.is_unreachable(*at, now));
+        let message = unreachable
+            .map(|mixer| format!("{} is out of reach: nothing is ordered", self.spec.names[mixer]));
+        let waits = message.is_some();
+        effects.extend(message.map(Effect::Tell));
         waits
     }
 
-    /// As many as may be away; those that are gone first, as they are away already.
-    fn order_next(&mut self, now: Moment, out: &mut Out) {
-        if self.waits_for_lost(now, out) {
+    /// Gives orders up to the limit of unavailable mixers. Mixers that have ended come first, as changing
+    /// them makes no further mixer unavailable.
+    fn issue_orders(&mut self, now: Moment, effects: &mut Effects) {
+        if self.waits_for_unreachable(now, effects) {
             return;
         }
-        let most = if self.rollback_reason.is_some() {
-            self.course.max_unavailable_in_rollback
+        let limit = if self.rollback_reason.is_some() {
+            self.spec.max_unavailable_in_rollback
         } else {
-            self.course.max_unavailable
+            self.spec.max_unavailable
         };
-        let mut all: Vec<usize> = (0..self.posts.len()).collect();
-        all.sort_by_key(|at| self.posts[*at].gone.is_none());
-        for mixer in all {
-            if self.is_as_wanted(mixer) || self.posts[mixer].order.is_some() {
+        let mut candidates: Vec<usize> = (0..self.mixers.len()).collect();
+        candidates.sort_by_key(|at| self.mixers[*at].gone_since.is_none());
+        for mixer in candidates {
+            if self.is_as_desired(mixer) || self.mixers[mixer].order.is_some() {
                 continue;
             }
-            let gone = self.posts[mixer].gone;
-            let waits = gone.is_some_and(|at| now.since(at) < self.course.return_timeout)
+            let gone = self.mixers[mixer].gone_since;
+            let awaiting_return = gone.is_some_and(|at| now.since(at) < self.spec.return_timeout)
                 && self.rollback_reason.is_none();
-            if waits || (gone.is_none() && self.unavailable_count(now) >= most) {
+            if awaiting_return || (gone.is_none() && self.unavailable_count(now) >= limit) {
                 continue;
             }
-            self.order(now, mixer, out);
+            self.issue_order(now, mixer, effects);
         }
     }
 
-    fn order(&mut self, now: Moment, mixer: usize, out: &mut Out) {
-        let (side, method) = (self.desired_side(mixer), self.course.method);
-        let post = &mut self.posts[mixer];
-        let from = post.report.as_ref().map(|report| report.incarnation.clone());
-        // One that begins by itself is not to be pushed: it is as wanted once it is ready.
-        let begins = post.report.as_ref().is_some_and(|r| r.side == Some(side) && !r.ready);
-        if post.gone.is_none() && begins {
+    fn issue_order(&mut self, now: Moment, mixer: usize, effects: &mut Effects) {
+        let (side, method) = (self.desired_side(mixer), self.spec.method);
+        let mixer_state = &mut self.mixers[mixer];
+        let from = mixer_state.report.as_ref().map(|report| report.incarnation.clone());
+        // It is already starting with the desired side and needs no order, only time to become ready.
+        let is_starting = mixer_state.report.as_ref().is_some_and(|r| r.side == Some(side) && !r.ready);
+        if mixer_state.gone_since.is_none() && is_starting {
             return;
         }
-        out.push(Effect::Write(Record::Ordered { mixer, side, from: from.clone() }));
-        let (doing, effect) = match (post.gone, method) {
-            (Some(_), _) => (Doing::Starting, Effect::Start(mixer, side)),
-            (None, ChangeMethod::Reload) => (Doing::Handing, Effect::Hand(mixer, side)),
+        effects.push(Effect::Write(Record::Ordered { mixer, side, from: from.clone() }));
+        let (phase, effect) = match (mixer_state.gone_since, method) {
+            (Some(_), _) => (OrderPhase::Starting, Effect::Start(mixer, side)),
+            (None, ChangeMethod::Reload) => (OrderPhase::Reloading, Effect::Hand(mixer, side)),
             (None, ChangeMethod::Restart) => {
                 let from = from.clone().unwrap_or_default();
-                (Doing::Stopping { killed: false }, Effect::Stop(mixer, from))
+                (OrderPhase::Stopping { killed: false }, Effect::Stop(mixer, from))
             }
         };
-        post.order = Some(Order { side, from, since: now, doing });
-        out.push(effect);
+        mixer_state.order = Some(PendingOrder { side, from, since: now, phase });
+        effects.push(effect);
     }
 
-    fn wished(&mut self, wish: Wish, out: &mut Out) {
+    fn on_wish(&mut self, wish: Wish, effects: &mut Effects) {
         match (wish, self.state.clone()) {
-            (Wish::Undo, _) => self.undo("an operator asked for it".into(), out),
+            (Wish::Undo, _) => self.roll_back("an operator asked for it".into(), effects),
             (Wish::Pause, Stand::Paused | Stand::Held(_)) => {}
             (Wish::Pause, _) => {
-                out.push(Effect::Write(Record::Paused));
+                effects.push(Effect::Write(Record::Paused));
                 self.state = Stand::Paused;
             }
             (Wish::Resume, Stand::Held(Hold::Unsure(_))) => {
-                out.push(Effect::Write(Record::Resumed));
-                self.pass(out);
+                effects.push(Effect::Write(Record::Resumed));
+                self.pass_step(effects);
             }
             (Wish::Resume, Stand::Paused | Stand::Held(Hold::Stuck(_))) => {
-                out.push(Effect::Write(Record::Resumed));
-                self.posts.iter_mut().for_each(|post| post.strayed = 0);
+                effects.push(Effect::Write(Record::Resumed));
+                self.mixers.iter_mut().for_each(|mixer_state| mixer_state.wrong_restarts = 0);
                 self.state = Stand::Surveying;
             }
             (Wish::Resume, _) => {}
         }
     }
 
-    /// For people: who runs what.
+    /// One line for the operator: how many mixers run which side, and the state of the rollout.
     pub fn status_line(&self) -> String {
-        let count = |side| (0..self.posts.len()).filter(|at| self.runs(*at) == Some(side)).count();
+        let count = |side| (0..self.mixers.len()).filter(|at| self.running_side(*at) == Some(side)).count();
         let (new, old) = (count(Side::New), count(Side::Old));
-        let rest = self.posts.len() - new - old;
-        let stand = match &self.state {
+        let rest = self.mixers.len() - new - old;
+        let state = match &self.state {
             Stand::Surveying => "looks".to_string(),
             Stand::Moving => "changes mixers".into(),
             Stand::Settling(_) => "lets them settle".into(),
@@ -610,7 +653,7 @@
                 format!("done: all old: {}", self.rollback_reason.as_deref().unwrap_or_default())
             }
         };
-        let steps = self.course.steps.len();
-        format!("step {}/{steps}, {new} new, {old} old, {rest} away: {stand}", (self.step + 1).min(steps))
+        let steps = self.spec.steps.len();
+        format!("step {}/{steps}, {new} new, {old} old, {rest} away: {state}", (self.step + 1).min(steps))
     }
 }
