--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,4 +1,4 @@
-//! The operator's plan of a change, from JSON5, whole or not at all.
+//! The operator's plan of a rollout, parsed from JSON5. Any error rejects the whole plan.
 
 use crate::canary_analysis::Thresholds;
 use crate::metrics_sample::BuildDigests;
@@ -9,55 +9,58 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// A plan file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// For people and the journal.
+    /// Name of the rollout, shown to the operator and written to the journal.
     pub change: String,
-    /// Where the journal lies; one change at a time.
+    /// Path of the journal. It holds one rollout at a time.
     pub journal: PathBuf,
     pub mixers: Vec<Mixer>,
     pub old: Build,
     pub new: Build,
     #[serde(default, rename = "by")]
     pub method: ChangeMethod,
-    /// How much of each zone is new after each stage, as a number of mixers or a share like "25%".
+    /// How much of each zone runs the new build after each stage: a number of mixers, or a share like "25%".
     pub stages: Vec<Stage>,
     #[serde(default)]
     pub limits: Limits,
     #[serde(default)]
     pub compare: Thresholds,
-    /// In place of children of the conductor's own.
+    /// Used instead of running the mixers as child processes of the conductor.
     pub commands: Option<Commands>,
 }
 
+/// One mixer of the fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Mixer {
     pub name: String,
     pub zone: String,
-    /// Where it listens, and tells its figures.
+    /// The address on which it listens and serves its metrics.
     #[serde(rename = "at")]
     pub address: SocketAddr,
-    /// What it is started with, beside the program: the platform's orders.
+    /// The configuration file that it is started with (`ROUTER_CONFIG`).
     #[serde(default, rename = "orders")]
     pub config: PathBuf,
-    /// Its operator's file, which a change of settings replaces.
+    /// Its operator's settings file, which a change of settings replaces.
     pub operator: Option<PathBuf>,
 }
 
-/// What a mixer is to run.
+/// A program and its settings.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Build {
     pub program: PathBuf,
-    /// The program that it ends up as, where `program` starts that: its digest is what a mixer tells.
+    /// The program that finally runs, if `program` only starts it. Mixers report this program's digest.
     #[serde(rename = "told_as")]
     pub reported_program: Option<PathBuf>,
-    /// The text of the operator's file; none where it has none.
+    /// The file with the operator's settings; none if the build has none.
     pub operator: Option<PathBuf>,
 }
 
+/// The size of a stage, in each zone.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 pub enum Stage {
@@ -65,6 +68,7 @@
     Share(String),
 }
 
+/// Limits and timeouts; [`RolloutSpec`] describes them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
@@ -104,21 +108,21 @@
     }
 }
 
-/// Programs and their arguments; `{name}`, `{zone}`, `{at}`, `{process}`, `{side}`, `{program}`, `{settings}`, `{orders}`
-/// and `{operator}` stand for what is meant. No shell is between.
+/// Programs with their arguments, run without a shell. The placeholders `{name}`, `{zone}`, `{at}`,
+/// `{process}`, `{side}`, `{program}`, `{settings}`, `{orders}` and `{operator}` are replaced.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Commands {
     pub start: Vec<String>,
     pub stop: Vec<String>,
-    /// Ends one that does not end by itself.
+    /// Kills a mixer that does not stop.
     pub kill: Vec<String>,
-    /// Replaces the settings and has them read again.
+    /// Replaces the settings file and has it reloaded.
     #[serde(rename = "hand")]
     pub reload: Option<Vec<String>>,
 }
 
-/// What is wrong with a plan, and where.
+/// An error in a plan, and where it is.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanError(pub String);
 
@@ -129,6 +133,7 @@
 }
 
 impl Plan {
+    /// Parses and checks a plan.
     pub fn parse(text: &str) -> Result<Self, PlanError> {
         let mut reader = json5::Deserializer::from_str(text);
         let plan: Self = serde_path_to_error::deserialize(&mut reader)
@@ -138,33 +143,31 @@
     }
 
     fn check(&self) -> Result<(), PlanError> {
-        let wrong = |what: String| Err(PlanError(what));
+        let fail = |what: String| Err(PlanError(what));
         if self.mixers.is_empty() || self.mixers.len() > 4_096 {
-            return wrong("mixers: expected 1 to 4096".into());
+            return fail("mixers: expected 1 to 4096".into());
         }
         for (at, mixer) in self.mixers.iter().enumerate() {
-            let same = |other: &Mixer| other.name == mixer.name || other.address == mixer.address;
-            if self.mixers[..at].iter().any(same) {
-                return wrong(format!("mixers[{at}]: another has its name or its address"));
+            let conflicts = |other: &Mixer| other.name == mixer.name || other.address == mixer.address;
+            if self.mixers[..at].iter().any(conflicts) {
+                return fail(format!("mixers[{at}]: another mixer has the same name or address"));
             }
             if self.method == ChangeMethod::Reload && mixer.operator.is_none() {
-                return wrong(format!(
-                    "mixers[{at}].operator: a change of settings needs the file that it reads"
-                ));
+                return fail(format!("mixers[{at}].operator: required by \"hup\", which replaces this file"));
             }
         }
         if self.method == ChangeMethod::Reload
             && (self.new.operator.is_none() || self.old.program != self.new.program)
         {
-            return wrong("new: by \"hup\" the settings change, and nothing else".into());
+            return fail("new: by \"hup\" only the settings change, and nothing else".into());
         }
         if self.method == ChangeMethod::Reload
             && self.commands.as_ref().is_some_and(|commands| commands.reload.is_none())
         {
-            return wrong("commands.hand: expected, by \"hup\"".into());
+            return fail("commands.hand: required by \"hup\"".into());
         }
         if self.stages.is_empty() {
-            return wrong("stages: expected one at least".into());
+            return fail("stages: expected at least one".into());
         }
         for (at, stage) in self.stages.iter().enumerate() {
             stage.size().map_err(|what| PlanError(format!("stages[{at}]: {what}")))?;
@@ -175,8 +178,8 @@
             || max_unavailable_in_rollback == 0
             || (count > 1 && max_unavailable.max(max_unavailable_in_rollback) >= count)
         {
-            return wrong(format!(
-                "limits: most_away and undo_away are 1 to {}, never all",
+            return fail(format!(
+                "limits: most_away and undo_away must be 1 to {}, never all mixers",
                 count.max(2) - 1
             ));
         }
@@ -188,15 +191,15 @@
             self.compare.missed_rate,
         ];
         if shares.iter().any(|share| !(0.000_1..0.5).contains(share)) {
-            return wrong("compare: each share is from 0.0001 to 0.5".into());
+            return fail("compare: each share must be at least 0.0001 and below 0.5".into());
         }
         Ok(())
     }
 
-    /// The way of the change, between what the two sides make of a mixer.
+    /// Builds the input of the state machine from the plan and the digests of the two builds.
     pub fn spec(&self, old: BuildDigests, new: BuildDigests) -> Result<RolloutSpec, PlanError> {
         if old == new {
-            return Err(PlanError("old and new are the same: nothing would change".into()));
+            return Err(PlanError("old and new are identical: nothing would change".into()));
         }
         let zones: Vec<String> = self.mixers.iter().map(|mixer| mixer.zone.clone()).collect();
         let sizes: Result<Vec<StageSize>, String> = self.stages.iter().map(Stage::size).collect();
@@ -225,22 +228,23 @@
     fn size(&self) -> Result<StageSize, String> {
         match self {
             Self::Count(count) if *count > 0 => Ok(StageSize::Count(*count)),
-            Self::Count(_) => Err("expected a number above 0".into()),
+            Self::Count(_) => Err("expected a number of mixers above 0".into()),
             Self::Share(text) => {
                 let share = text.strip_suffix('%').and_then(|number| number.trim().parse::<f64>().ok());
                 let share = share.filter(|share| *share > 0.0 && *share <= 100.0);
                 share
                     .map(|share| StageSize::Share(share / 100.0))
-                    .ok_or_else(|| format!("{text:?} is no share such as \"25%\""))
+                    .ok_or_else(|| format!("{text:?} is not a share such as \"25%\""))
             }
         }
     }
 }
 
-/// A length of time as it is said: "250ms", "2s".
+/// Deserializes a duration such as "250ms" or "2s".
 pub(crate) fn deserialize_span<'de, D: Deserializer<'de>>(from: D) -> Result<Span, D::Error> {
     let text = String::deserialize(from)?;
     let time = humantime::parse_duration(&text);
-    time.map(|time| Span::of_micros(time.as_micros() as u64))
-        .map_err(|_| serde::de::Error::custom(format!("{text:?} is no time such as \"250ms\" or \"2s\"")))
+    time.map(|time| Span::of_micros(time.as_micros() as u64)).map_err(|_| {
+        serde::de::Error::custom(format!("{text:?} is not a duration such as \"250ms\" or \"2s\""))
+    })
 }
