--- a/crates/conductor/src/main.rs
+++ b/crates/conductor/src/main.rs
@@ -1,108 +1,112 @@
-//! `fernglade-rollout`: a change of program or settings over a fleet of mixers, in stages, stopped where a stage does
-//! worse. What is decided is in `fernglade-rollout` the library; here it is carried out.
+//! `fernglade-rollout`: rolls a new program or new settings out over a fleet of mixers in stages, and rolls
+//! back when a stage performs worse. The library crate `fernglade-rollout` makes the decisions; this program
+//! carries them out.
 
-mod ask;
-mod conduct;
-mod hands;
-mod paper;
+mod control_loop;
+mod journal_store;
+mod metrics_client;
+mod mixer_control;
 
 use clap::{Parser, Subcommand};
-use conduct::End;
+use control_loop::Outcome;
 use fernglade_orders::digest;
 use fernglade_rollout::machine::Wish;
 use fernglade_rollout::plan::Plan;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// A rolling change of a fleet of mixers, by an operator's plan (JSON5): docs/rollout.md.
+/// Rolls a change out over a fleet of mixers, following an operator's plan (JSON5). See docs/rollout.md.
 ///
-/// Ends with 0 where all is new, 3 where all is old again, 4 where it is held for a person, 2 where nothing could be
-/// done; check: 1 where not all is well.
+/// Exit codes: 0 if all mixers run the new build, 3 if all were rolled back to the old build, 4 if the
+/// rollout is held for an operator, 2 on an error. For check: 1 if any mixer is not as expected.
 #[derive(Parser)]
 #[command(version)]
-struct Call {
+struct Cli {
     #[command(subcommand)]
-    what: Ask,
+    command: Action,
 }
 
 #[derive(Subcommand)]
-enum Ask {
-    /// Say what would be changed when, and touch nothing.
+enum Action {
+    /// Print the steps of the plan without changing anything.
     Plan { plan: PathBuf },
-    /// Read the plan, ask every mixer what it runs, and touch nothing.
+    /// Read the plan and check what every mixer runs, without changing anything.
     Check { plan: PathBuf },
-    /// Begin the change, or go on with it where its journal and the mixers say that it stands.
+    /// Start the rollout, or continue it from the state in the journal and of the mixers.
     Run {
         plan: PathBuf,
-        /// End, with 4, where a person has to look; without it, wait for `resume` or `undo`.
+        /// Exit with 4 when the rollout is held for an operator, instead of waiting for `resume` or `undo`.
         #[arg(long)]
         stop_when_held: bool,
     },
-    /// How it stands.
+    /// Show the state of the rollout.
     Status { plan: PathBuf },
-    /// Order nothing further; what has been ordered is finished.
+    /// Give no further orders. Orders already given are completed.
     Pause { plan: PathBuf },
-    /// Go on after a pause, or after a hold: an undecided step is then taken as passed, anything else tried again.
+    /// Continue after a pause or a hold. A step held as inconclusive is taken as passed; anything else is
+    /// tried again.
     Resume { plan: PathBuf },
-    /// Back to the old, in stages.
+    /// Roll all mixers back to the old build, in stages.
     Undo { plan: PathBuf },
 }
 
 fn main() -> ExitCode {
-    match answer(Call::parse().what) {
+    match execute(Cli::parse().command) {
         Ok(code) => ExitCode::from(code),
-        Err(what) => {
-            eprintln!("fernglade-rollout: {what}");
+        Err(error) => {
+            eprintln!("fernglade-rollout: {error}");
             ExitCode::from(2)
         }
     }
 }
 
-/// The plan, and the digest of its text, by which a change is known again.
-fn read(path: &Path) -> Result<(Plan, String), String> {
-    let within = |what: String| format!("{}: {what}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|error| within(error.to_string()))?;
-    let plan = Plan::parse(&text).map_err(|wrong| within(wrong.to_string()))?;
+/// Reads a plan. Also returns the digest of its text, which identifies the rollout in the journal.
+fn read_plan(path: &Path) -> Result<(Plan, String), String> {
+    let with_path = |what: String| format!("{}: {what}", path.display());
+    let text = std::fs::read_to_string(path).map_err(|error| with_path(error.to_string()))?;
+    let plan = Plan::parse(&text).map_err(|error| with_path(error.to_string()))?;
     Ok((plan, digest(Some(text.as_bytes()))))
 }
 
-fn answer(ask: Ask) -> Result<u8, String> {
-    match ask {
-        Ask::Plan { plan } => {
-            let (plan, _) = read(&plan)?;
-            print!("{}:\n{}", plan.change, conduct::steps(&conduct::course(&plan)?));
+/// Runs a subcommand and returns the exit code.
+fn execute(action: Action) -> Result<u8, String> {
+    match action {
+        Action::Plan { plan } => {
+            let (plan, _) = read_plan(&plan)?;
+            print!("{}:\n{}", plan.change, control_loop::describe_steps(&control_loop::load_spec(&plan)?));
             Ok(0)
         }
-        Ask::Check { plan } => {
-            let (plan, _) = read(&plan)?;
-            let (text, well) = conduct::survey(&plan, &conduct::course(&plan)?);
+        Action::Check { plan } => {
+            let (plan, _) = read_plan(&plan)?;
+            let (text, healthy) = control_loop::check_mixers(&plan, &control_loop::load_spec(&plan)?);
             print!("{text}");
-            Ok(u8::from(!well))
+            Ok(u8::from(!healthy))
         }
-        Ask::Run { plan, stop_when_held } => {
-            let (plan, digest) = read(&plan)?;
-            Ok(match conduct::run(&plan, &digest, stop_when_held)? {
-                End::AllNew => 0,
-                End::AllOld => 3,
-                End::Held => 4,
+        Action::Run { plan, stop_when_held } => {
+            let (plan, digest) = read_plan(&plan)?;
+            Ok(match control_loop::run(&plan, &digest, stop_when_held)? {
+                Outcome::AllNew => 0,
+                Outcome::AllOld => 3,
+                Outcome::Held => 4,
             })
         }
-        Ask::Status { plan } => {
-            let (plan, _) = read(&plan)?;
-            let stands =
-                paper::status(&plan.journal).map_err(|error| format!("no change has been run: {error}"))?;
-            print!("{}: {stands}", plan.change);
+        Action::Status { plan } => {
+            let (plan, _) = read_plan(&plan)?;
+            let status = journal_store::read_status(&plan.journal)
+                .map_err(|error| format!("no rollout has been started: {error}"))?;
+            print!("{}: {status}", plan.change);
             Ok(0)
         }
-        Ask::Pause { plan } => wish(&plan, Wish::Pause),
-        Ask::Resume { plan } => wish(&plan, Wish::Resume),
-        Ask::Undo { plan } => wish(&plan, Wish::Undo),
+        Action::Pause { plan } => request(&plan, Wish::Pause),
+        Action::Resume { plan } => request(&plan, Wish::Resume),
+        Action::Undo { plan } => request(&plan, Wish::Undo),
     }
 }
 
-fn wish(path: &Path, wish: Wish) -> Result<u8, String> {
-    let (plan, _) = read(path)?;
-    paper::leave_wish(&plan.journal, wish).map_err(|error| error.to_string())?;
+/// Leaves a command for the running conductor.
+fn request(path: &Path, wish: Wish) -> Result<u8, String> {
+    let (plan, _) = read_plan(path)?;
+    journal_store::submit_wish(&plan.journal, wish).map_err(|error| error.to_string())?;
     println!("left for the running conductor; status tells when it has taken it up");
     Ok(0)
 }
