--- a/crates/conductor/tests/disk.rs
+++ b/crates/conductor/tests/disk.rs
@@ -1,4 +1,4 @@
-//! A disk that is full or fails for a moment, under the built conductor.
+//! The built conductor with a disk that is full or fails for a short time.
 
 use fernglade_standins::child::free_address;
 use std::path::PathBuf;
@@ -8,23 +8,23 @@
 
 struct Conductor {
     child: Child,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
 impl Drop for Conductor {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-/// Begins a change of three mixers that nobody runs, with a system call that fails for a while.
-fn begins(name: &str, call: &str, error: &str, when: &str) -> Conductor {
-    let folder = std::env::temp_dir().join(format!("fernglade-disk-{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+/// Starts a rollout of three mixers that do not run, with a system call that fails for a while.
+fn start_rollout(name: &str, call: &str, error: &str, when: &str) -> Conductor {
+    let directory = std::env::temp_dir().join(format!("fernglade-disk-{name}-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("a temporary directory");
     let file = |name: &str, text: &str| {
-        let path = folder.join(name);
+        let path = directory.join(name);
         std::fs::write(&path, text).expect("a file");
         path.display().to_string()
     };
@@ -37,7 +37,7 @@
     let text = format!(
         "{{ change: 'test', journal: '{}', mixers: [{}, {}, {}], old: {{ program: '{program}', operator: '{old}' }},
            new: {{ program: '{program}', operator: '{new}' }}, stages: [1, '100%'] }}",
-        folder.join("journal").display(),
+        directory.join("journal").display(),
         mixer(0),
         mixer(1),
         mixer(2),
@@ -47,27 +47,30 @@
     command.args(["-D", "-f", "-qq", "--seccomp-bpf", "-o", "/dev/null", "-e", &format!("trace={call}")]);
     command.args(["-e", &format!("inject={call}:error={error}:when={when}")]);
     command.args([program, "run", &plan]).stdin(Stdio::null()).stdout(Stdio::null());
-    Conductor { child: command.spawn().expect("strace is installed"), folder }
+    Conductor { child: command.spawn().expect("strace is installed"), directory }
 }
 
-/// What was to be on the disk gets there once there is room, and the conductor goes on meanwhile.
+/// A record is written once the disk accepts it, and the conductor does not exit in the meantime.
 #[test_case("sync", "fdatasync", "EIO", "1..3")]
 #[test_case("full", "fdatasync", "ENOSPC", "1..3")]
-fn a_journal_that_can_not_be_written_for_a_moment_is_written_then(
+fn a_failing_write_to_the_journal_is_retried_until_it_succeeds(
     name: &str,
     call: &str,
     error: &str,
     when: &str,
 ) {
-    let mut conductor = begins(name, call, error, when);
-    let journal = conductor.folder.join("journal");
-    let began = Instant::now();
-    let written = || std::fs::read_to_string(&journal).unwrap_or_default();
-    while !written().contains("begun") && began.elapsed() < Duration::from_secs(5) {
+    let mut conductor = start_rollout(name, call, error, when);
+    let journal = conductor.directory.join("journal");
+    let started = Instant::now();
+    let journal_text = || std::fs::read_to_string(&journal).unwrap_or_default();
+    while !journal_text().contains("begun") && started.elapsed() < Duration::from_secs(5) {
         std::thread::sleep(Duration::from_millis(20));
     }
     std::thread::sleep(Duration::from_secs(1));
-    assert!(conductor.child.try_wait().expect("it was started").is_none(), "it goes on");
-    let lines = written().lines().filter(|line| line.contains("begun")).count();
-    assert_eq!(lines, 1, "{}", written());
+    assert!(
+        conductor.child.try_wait().expect("the conductor was started").is_none(),
+        "the conductor still runs"
+    );
+    let lines = journal_text().lines().filter(|line| line.contains("begun")).count();
+    assert_eq!(lines, 1, "{}", journal_text());
 }
--- a/crates/conductor/tests/rollout.rs
+++ b/crates/conductor/tests/rollout.rs
@@ -1,5 +1,6 @@
-//! A change over several processes of the built mixer, under load and with faults on their links, by the built conductor.
-//! Judged by the rules, by how the conductor ended, and by wide ratios of what was served.
+//! Rollouts by the built conductor over several processes of the built mixer, under load and with faults on
+//! their links. Checked are the rules of the stand-ins, the exit code of the conductor, and the share of
+//! scans served within wide margins.
 
 use fernglade_standins::child::file;
 use fernglade_standins::fleet::play::{cast, Cast, Conducted, Field};
@@ -12,7 +13,7 @@
 
 const OLD_SETTINGS: &str = "{ figures: { to: ['127.0.0.0/8'] } }";
 
-/// The mixer as it was built beside this test.
+/// The mixer binary built next to this test.
 fn mixer() -> PathBuf {
     let conductor = PathBuf::from(env!("CARGO_BIN_EXE_fernglade-rollout"));
     let built = conductor.with_file_name("fernglade-mixer");
@@ -20,36 +21,36 @@
     built
 }
 
-/// Files of one test, gone with it.
-struct Bench {
-    folder: PathBuf,
+/// Temporary files of one test, removed at its end.
+struct TestFiles {
+    directory: PathBuf,
 }
 
-impl Drop for Bench {
+impl Drop for TestFiles {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-impl Bench {
+impl TestFiles {
     fn new() -> Self {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let name =
             format!("fernglade-rollout-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
-        let folder = std::env::temp_dir().join(name);
-        std::fs::create_dir_all(&folder).unwrap();
-        Self { folder }
+        let directory = std::env::temp_dir().join(name);
+        std::fs::create_dir_all(&directory).unwrap();
+        Self { directory }
     }
 
     fn write(&self, name: &str, text: &str) -> PathBuf {
-        let path = self.folder.join(name);
+        let path = self.directory.join(name);
         std::fs::write(&path, text).unwrap();
         path
     }
 
-    /// The same program with another digest: what lies behind an ELF file's end is not read.
-    fn rebuilt(&self) -> PathBuf {
-        let path = self.folder.join("mixer-new");
+    /// The same program with another digest: bytes appended to an ELF file are ignored.
+    fn rebuilt_mixer(&self) -> PathBuf {
+        let path = self.directory.join("mixer-new");
         let mut bytes = std::fs::read(mixer()).unwrap();
         bytes.extend_from_slice(b"a build later");
         std::fs::write(&path, bytes).unwrap();
@@ -57,34 +58,34 @@
         path
     }
 
-    /// A program that starts another by way of a shell.
+    /// A shell script that starts another program.
     fn script(&self, text: &str) -> PathBuf {
         let path = self.write("start-new.sh", &format!("#!/bin/sh\n{text}\n"));
         std::fs::set_permissions(&path, std::fs::Permissions::from_mode(0o755)).unwrap();
         path
     }
 
-    /// A new build that a script starts.
+    /// A new build that is started by a script.
     fn started_by(&self, script: &str) -> String {
-        let (built, settings) = (self.rebuilt(), self.write("new.json5", OLD_SETTINGS));
+        let (built, settings) = (self.rebuilt_mixer(), self.write("new.json5", OLD_SETTINGS));
         let start = self.script(&script.replace("MIXER", &built.display().to_string()));
         let (start, built, settings) = (start.display(), built.display(), settings.display());
         format!("{{ program: '{start}', told_as: '{built}', operator: '{settings}' }}")
     }
 
-    fn plan(&self, field: &Field, zones: usize, new: &str, more: &str) -> PathBuf {
+    fn plan(&self, field: &Field, zones: usize, new: &str, more_settings: &str) -> PathBuf {
         let old = self.write("old.json5", OLD_SETTINGS);
         let mixers: Vec<String> = (0..field.doors.len())
             .map(|at| {
                 let (orders, operator) = (field.orders[at].display(), field.operators[at].display());
-                let (zone, door) = (at % zones, field.doors[at]);
-                format!("{{ name: 'm{at}', zone: 'z{zone}', at: '{door}', orders: '{orders}', operator: '{operator}' }}")
+                let (zone, address) = (at % zones, field.doors[at]);
+                format!("{{ name: 'm{at}', zone: 'z{zone}', at: '{address}', orders: '{orders}', operator: '{operator}' }}")
             })
             .collect();
         let text = format!(
             "{{ change: 'test', journal: '{}', mixers: [{}], old: {{ program: '{}', operator: '{}' }}, new: {new},
-               stages: [1, '100%'], {more} }}",
-            self.folder.join("journal").display(),
+               stages: [1, '100%'], {more_settings} }}",
+            self.directory.join("journal").display(),
             mixers.join(", "),
             mixer().display(),
             old.display()
@@ -93,14 +94,15 @@
     }
 }
 
-/// Short times, and coarse scales: a machine that builds at the same time is slow, and all mixers are on it.
-const SHORT: &str = "limits: { settle: '1s', ready_within: '6s', stop_within: '5s', return_within: '2s', \
+/// Short timeouts and coarse thresholds: all mixers share one machine, which may be slowed by a build.
+const FAST_LIMITS: &str =
+    "limits: { settle: '1s', ready_within: '6s', stop_within: '5s', return_within: '2s', \
     unheard_within: '3s', patience: '60s' }, \
     compare: { before: '3s', lost: 0.08, slower: 0.3, fall: 0.3, false_stop: 0.01, missed: 0.1 }";
 
-/// How long a day is on which a good change goes through: a comparison may take its patience, a minute, where the
-/// machine has much else to do, and two steps have to fit beside it.
-const LONG: u32 = 90;
+/// Length in seconds of a day on which a good change completes. On a busy machine a comparison may take its
+/// full patience of a minute, and two steps have to fit in as well.
+const LONG_DAY_SECONDS: u32 = 90;
 
 fn day(lasts: u32, mixers: usize, rate: u32, troubles: &str) -> Day {
     let text = format!(
@@ -115,7 +117,7 @@
     Day::read(&text).unwrap()
 }
 
-struct Ran {
+struct RunResult {
     figures: Figures,
     breaches: Vec<Breach>,
     conducted: Conducted,
@@ -123,18 +125,18 @@
     log: String,
 }
 
-impl Ran {
-    fn shows(&self) -> String {
+impl RunResult {
+    fn describe(&self) -> String {
         let Self { figures, breaches, conducted, journal, log } = self;
         format!("{breaches:?}\n{}\n{journal}\n{log}\n{figures}", conducted.says)
     }
 }
 
-fn run(bench: &Bench, day: &Day, zones: usize, new: &str, more: &str, how: &str) -> Ran {
+fn run(files: &TestFiles, day: &Day, zones: usize, new: &str, more_settings: &str, how: &str) -> RunResult {
     let settings =
-        file(&format!("{}.json5", bench.folder.file_name().unwrap().to_string_lossy()), OLD_SETTINGS);
+        file(&format!("{}.json5", files.directory.file_name().unwrap().to_string_lossy()), OLD_SETTINGS);
     let begin = |field: &Field| {
-        let plan = bench.plan(field, zones, new, more);
+        let plan = files.plan(field, zones, new, more_settings);
         let mut command = Command::new("sh");
         command.args(["-c", how]).arg(env!("CARGO_BIN_EXE_fernglade-rollout")).arg(plan);
         Ok(command)
@@ -143,9 +145,9 @@
     let all = Cast { program: &program, beside: None, operator, begin: Some(&begin) };
     let (played, conducted) = cast(day, 7, &all).unwrap();
     let _ = std::fs::remove_file(settings);
-    let wrote = |name: &str| std::fs::read_to_string(bench.folder.join(name)).unwrap_or_default();
-    let (journal, log) = (wrote("journal"), wrote("journal.log"));
-    Ran { figures: played.figures, breaches: played.breaches, conducted, journal, log }
+    let read = |name: &str| std::fs::read_to_string(files.directory.join(name)).unwrap_or_default();
+    let (journal, log) = (read("journal"), read("journal.log"));
+    RunResult { figures: played.figures, breaches: played.breaches, conducted, journal, log }
 }
 
 const RUN: &str = "exec \"$0\" run \"$1\"";
@@ -157,112 +159,131 @@
 #[test_case("", RUN; "calm")]
 #[test_case("{ what: 'reset', at: '8s', mixers: 0.5 }, { what: 'lag', at: '6s', lasts: '9s', by: '5ms', searchers: 0.3 }", RUN; "links are reset and some are slow")]
 #[test_case("", "for t in 4.2 5.1 6.4 8.3; do timeout -s KILL $t \"$0\" run \"$1\"; done; exec \"$0\" run \"$1\""; "the conductor is killed four times")]
-fn a_good_change_goes_through_and_no_rule_is_broken(troubles: &str, how: &str) {
-    let bench = Bench::new();
-    let new = new_program(&bench.rebuilt(), &bench.write("new.json5", OLD_SETTINGS));
-    // Killed, it begins anew with the time before, and with the comparison.
-    let lasts = if how == RUN { LONG } else { LONG + 30 };
-    let ran = run(&bench, &day(lasts, 4, 150, troubles), 2, &new, SHORT, how);
-    assert_eq!(ran.conducted.code, Some(0), "{}", ran.shows());
-    assert!(ran.breaches.is_empty(), "{}", ran.shows());
-    assert!(ran.figures.whole().share() >= 0.9, "{}", ran.shows());
-    assert!(ran.journal.contains("\"passed\"") && ran.journal.contains("\"new\""), "{}", ran.shows());
+fn a_good_change_completes_and_no_rule_is_broken(troubles: &str, how: &str) {
+    let files = TestFiles::new();
+    let new = new_program(&files.rebuilt_mixer(), &files.write("new.json5", OLD_SETTINGS));
+    // A killed conductor starts the reference window and the comparison again.
+    let lasts = if how == RUN { LONG_DAY_SECONDS } else { LONG_DAY_SECONDS + 30 };
+    let result = run(&files, &day(lasts, 4, 150, troubles), 2, &new, FAST_LIMITS, how);
+    assert_eq!(result.conducted.code, Some(0), "{}", result.describe());
+    assert!(result.breaches.is_empty(), "{}", result.describe());
+    assert!(result.figures.whole().share() >= 0.9, "{}", result.describe());
+    assert!(
+        result.journal.contains("\"passed\"") && result.journal.contains("\"new\""),
+        "{}",
+        result.describe()
+    );
 }
 
-/// What is nobody's fault is waited out or mended, told, and neither stops a good change nor breaks a rule.
-#[test_case("{ what: 'stall', at: '4500ms', lasts: '7s', mixers: [3] }", "out of reach"; "a mixer can't be heard for seven seconds")]
+/// Faults unrelated to the change are reported and waited out; they neither stop a good change nor break a
+/// rule.
+#[test_case("{ what: 'stall', at: '4500ms', lasts: '7s', mixers: [3] }", "out of reach"; "a mixer is unreachable for seven seconds")]
 #[test_case("{ what: 'crash', at: '11s', lasts: '5s', searchers: [4] }", "have left the list"; "a searcher is out while new and old are compared")]
-fn a_good_change_outlasts_troubles_of_others(troubles: &str, says: &str) {
-    let bench = Bench::new();
-    let new = new_program(&bench.rebuilt(), &bench.write("new.json5", OLD_SETTINGS));
-    let ran = run(&bench, &day(LONG, 4, 150, troubles), 2, &new, SHORT, RUN);
-    assert_eq!(ran.conducted.code, Some(0), "{}", ran.shows());
-    assert!(ran.breaches.is_empty(), "{}", ran.shows());
-    assert!(ran.conducted.says.contains(says) || ran.log.contains(says), "{}", ran.shows());
+fn a_good_change_completes_despite_unrelated_faults(troubles: &str, expected: &str) {
+    let files = TestFiles::new();
+    let new = new_program(&files.rebuilt_mixer(), &files.write("new.json5", OLD_SETTINGS));
+    let result = run(&files, &day(LONG_DAY_SECONDS, 4, 150, troubles), 2, &new, FAST_LIMITS, RUN);
+    assert_eq!(result.conducted.code, Some(0), "{}", result.describe());
+    assert!(result.breaches.is_empty(), "{}", result.describe());
+    assert!(
+        result.conducted.says.contains(expected) || result.log.contains(expected),
+        "{}",
+        result.describe()
+    );
 }
 
-/// By the operator's commands, and mixers that stand still as soon as they are told to end: each is killed in the end, and
-/// the change goes on.
+/// With the operator's commands, and mixers that hang as soon as they are told to stop: each is killed after
+/// the timeout, and the rollout continues.
 #[test]
-fn mixers_that_stand_still_in_mid_drain_are_killed_in_time() {
-    let bench = Bench::new();
-    let new = new_program(&bench.rebuilt(), &bench.write("new.json5", OLD_SETTINGS));
+fn mixers_that_hang_while_draining_are_killed() {
+    let files = TestFiles::new();
+    let new = new_program(&files.rebuilt_mixer(), &files.write("new.json5", OLD_SETTINGS));
     let start = "cp {settings} {operator}; ROUTER_CONFIG={orders} setsid {program} --operator {operator} >/dev/null 2>&1 &";
     let commands = format!(
         "commands: {{ start: ['sh', '-c', '{start}'], stop: ['sh', '-c', 'kill -TERM {{process}}; kill -STOP {{process}}'],
            kill: ['kill', '-KILL', '{{process}}'] }}, {}",
-        SHORT.replace("stop_within: '5s'", "stop_within: '2s'").replace("unheard_within: '3s'", "unheard_within: '6s'")
+        FAST_LIMITS.replace("stop_within: '5s'", "stop_within: '2s'").replace("unheard_within: '3s'", "unheard_within: '6s'")
     );
-    let ran = run(&bench, &day(50, 3, 120, ""), 1, &new, &commands, RUN);
-    assert_eq!(ran.conducted.code, Some(0), "{}", ran.shows());
-    assert!(ran.conducted.says.contains("is killed"), "{}", ran.shows());
+    let result = run(&files, &day(50, 3, 120, ""), 1, &new, &commands, RUN);
+    assert_eq!(result.conducted.code, Some(0), "{}", result.describe());
+    assert!(result.conducted.says.contains("is killed"), "{}", result.describe());
 }
 
-/// In the middle of a step: what had been stopped is started, and all are old again.
+/// Mixers that had been stopped are started, and all mixers run the old build again.
 #[test]
-fn an_operators_undo_goes_back_from_the_middle_of_a_step() {
-    let bench = Bench::new();
-    let new = new_program(&bench.rebuilt(), &bench.write("new.json5", OLD_SETTINGS));
+fn undo_in_the_middle_of_a_step_rolls_back() {
+    let files = TestFiles::new();
+    let new = new_program(&files.rebuilt_mixer(), &files.write("new.json5", OLD_SETTINGS));
     let how = "(sleep 5; \"$0\" undo \"$1\") & exec \"$0\" run \"$1\"";
-    let ran = run(&bench, &day(22, 4, 100, ""), 2, &new, SHORT, how);
-    assert_eq!(ran.conducted.code, Some(3), "{}", ran.shows());
-    assert!(ran.breaches.is_empty() && ran.conducted.says.contains("an operator asked"), "{}", ran.shows());
-    assert!(!ran.journal.contains("\"passed\""), "{}", ran.shows());
+    let result = run(&files, &day(22, 4, 100, ""), 2, &new, FAST_LIMITS, how);
+    assert_eq!(result.conducted.code, Some(3), "{}", result.describe());
+    assert!(
+        result.breaches.is_empty() && result.conducted.says.contains("an operator asked"),
+        "{}",
+        result.describe()
+    );
+    assert!(!result.journal.contains("\"passed\""), "{}", result.describe());
 }
 
-/// Each stops in its first step: no mixer but that step's is ever ordered to the new.
+/// Each change stops in its first step: no mixer of a later step is ever ordered to run the new build.
 #[test_case("(sleep 4; kill -9 $$) & exec MIXER \"$@\"", "", "crash"; "it crashes after four seconds")]
 #[test_case("exec sleep 60", "", "not ready in time"; "it is never ready")]
 #[test_case("exec MIXER \"$@\"", "{ what: 'cut', at: '4s', lasts: '40s', mixers: [0], searchers: [0, 1, 2] }", "is not served"; "it can't serve one scan in three")]
 #[test_case("exec MIXER \"$@\"", "{ what: 'lose-answers', at: '4s', lasts: '40s', mixers: [0], share: 0.4 }", "not served"; "it fails edits")]
-fn a_bad_change_is_stopped_in_its_first_step(script: &str, troubles: &str, says: &str) {
-    let bench = Bench::new();
-    let new = bench.started_by(script);
-    let ran = run(&bench, &day(55, 4, 150, troubles), 2, &new, SHORT, RUN);
-    assert_eq!(ran.conducted.code, Some(3), "{}", ran.shows());
-    assert!(ran.journal.contains(says) || ran.conducted.says.contains(says), "{}", ran.shows());
-    let to_new = |mixer: usize| ran.journal.contains(&format!("\"mixer\":{mixer},\"side\":\"new\""));
-    assert!(to_new(0) && !to_new(2) && !to_new(3), "{}", ran.shows());
+fn a_bad_change_is_stopped_in_its_first_step(script: &str, troubles: &str, expected: &str) {
+    let files = TestFiles::new();
+    let new = files.started_by(script);
+    let result = run(&files, &day(55, 4, 150, troubles), 2, &new, FAST_LIMITS, RUN);
+    assert_eq!(result.conducted.code, Some(3), "{}", result.describe());
+    assert!(
+        result.journal.contains(expected) || result.conducted.says.contains(expected),
+        "{}",
+        result.describe()
+    );
+    let to_new = |mixer: usize| result.journal.contains(&format!("\"mixer\":{mixer},\"side\":\"new\""));
+    assert!(to_new(0) && !to_new(2) && !to_new(3), "{}", result.describe());
 }
 
-/// Settings by SIGHUP: good ones are confirmed by their digest, bad ones refused and taken back, no mixer restarted.
-#[test_case("{ figures: { to: ['127.0.0.0/8'] }, admission: { per_address: 900 } }", 0; "they are good")]
-#[test_case("{ figures: { to: ['127.0.0.0/8'] }, admission: { per_address: 0 } }", 3; "they are refused")]
-#[test_case("{ figures: { to: ['127.0.0.0/8'] }, shedding: { as_one: true } }", 3; "they are taken up at the start only")]
-fn settings_are_handed_over_and_their_taking_up_is_confirmed(settings: &str, code: i32) {
-    let bench = Bench::new();
-    let path = bench.write("new.json5", settings);
+/// Settings are reloaded on SIGHUP: valid ones are confirmed by their digest, invalid ones are refused and
+/// rolled back, and no mixer is restarted.
+#[test_case("{ figures: { to: ['127.0.0.0/8'] }, admission: { per_address: 900 } }", 0; "valid settings")]
+#[test_case("{ figures: { to: ['127.0.0.0/8'] }, admission: { per_address: 0 } }", 3; "refused settings")]
+#[test_case("{ figures: { to: ['127.0.0.0/8'] }, shedding: { as_one: true } }", 3; "settings that need a restart")]
+fn settings_are_reloaded_and_confirmed_by_their_digest(settings: &str, code: i32) {
+    let files = TestFiles::new();
+    let path = files.write("new.json5", settings);
     let new = new_program(&mixer(), &path);
-    let more = format!("by: 'hup', {SHORT}");
-    let ran = run(&bench, &day(45, 3, 150, ""), 1, &new, &more, RUN);
-    assert_eq!(ran.conducted.code, Some(code), "{}", ran.shows());
-    assert!(ran.breaches.is_empty() && ran.figures.whole().share() >= 0.95, "{}", ran.shows());
+    let more_settings = format!("by: 'hup', {FAST_LIMITS}");
+    let result = run(&files, &day(45, 3, 150, ""), 1, &new, &more_settings, RUN);
+    assert_eq!(result.conducted.code, Some(code), "{}", result.describe());
+    assert!(result.breaches.is_empty() && result.figures.whole().share() >= 0.95, "{}", result.describe());
 }
 
-/// Two conductors on one journal, and a second change while one has not ended: both are refused.
+/// A second conductor on one journal, and a second change before the first has ended, are both refused.
 #[test]
 fn a_second_conductor_and_a_second_change_are_refused() {
-    let bench = Bench::new();
-    let new = new_program(&bench.rebuilt(), &bench.write("new.json5", OLD_SETTINGS));
+    let files = TestFiles::new();
+    let new = new_program(&files.rebuilt_mixer(), &files.write("new.json5", OLD_SETTINGS));
     let how = "\"$0\" run \"$1\" & first=$!; sleep 2; \"$0\" run \"$1\"; echo second $?; kill -9 $first; \
         sed 's/test/another/' \"$1\" > \"$1.2\"; \"$0\" run \"$1.2\"; echo change $?; \"$0\" undo \"$1\"; \"$0\" run \"$1\"; echo undone $?";
-    let ran = run(&bench, &day(20, 3, 40, ""), 1, &new, SHORT, how);
-    let says = &ran.conducted.says;
-    assert!(says.contains("another conductor") && says.contains("second 2"), "{}", ran.shows());
-    assert!(says.contains("has not ended") && says.contains("change 2"), "{}", ran.shows());
-    assert!(says.contains("undone 3"), "{}", ran.shows());
+    let result = run(&files, &day(20, 3, 40, ""), 1, &new, FAST_LIMITS, how);
+    let says = &result.conducted.says;
+    assert!(says.contains("another conductor") && says.contains("second 2"), "{}", result.describe());
+    assert!(says.contains("has not ended") && says.contains("change 2"), "{}", result.describe());
+    assert!(says.contains("undone 3"), "{}", result.describe());
 }
 
-/// What each bad change costs: by the second at which all is old again, in stages and had it been at all mixers at once.
+/// Prints what each bad change costs until all mixers are old again: in stages, and applied to all mixers at
+/// once.
 #[test]
 #[ignore = "long: printed for docs/rollout.md by `make rollout-harm`"]
 fn what_bad_changes_cost_in_stages_and_at_once() {
     println!("change | undone by | worth not served till then, in stages | at once");
-    let sound = "exec MIXER \"$@\"";
+    let no_fault = "exec MIXER \"$@\"";
     let kinds = [
         (
             "cut from a third of the searchers",
-            sound,
+            no_fault,
             "{ what: 'cut', at: '5s', lasts: '60s', mixers: [0], searchers: [0, 1, 2] }",
             "{ what: 'cut', at: '5s', lasts: '60s', searchers: [0, 1, 2] }",
         ),
@@ -274,25 +295,25 @@
         ),
         (
             "loses four answers in ten",
-            sound,
+            no_fault,
             "{ what: 'lose-answers', at: '5s', lasts: '60s', mixers: [0], share: 0.4 }",
             "{ what: 'lose-answers', at: '5s', lasts: '60s', share: 0.4 }",
         ),
     ];
-    // By the clock of who asks: what finds nobody to ask is in no trace.
-    let lost = |day: &Day, ran: &Ran, until: usize| {
+    // By the arrival times at the clients: scans that reach no mixer leave no trace.
+    let lost = |day: &Day, result: &RunResult, until: usize| {
         let within = |at: f64| (4.0..until as f64).contains(&at);
         let asked = day.arrivals(7).into_iter().filter(|arrival| within(arrival.at.as_secs_f64()));
         let worth: f64 = asked.map(|arrival| day.types[arrival.sort].credit).sum();
-        worth - ran.figures.between(4, until).served
+        worth - result.figures.between(4, until).served
     };
     for (name, script, staged, once) in kinds {
-        let bench = Bench::new();
+        let files = TestFiles::new();
         let day_of_staged = day(55, 4, 150, staged);
-        let staged = run(&bench, &day_of_staged, 2, &bench.started_by(script), SHORT, RUN);
+        let staged = run(&files, &day_of_staged, 2, &files.started_by(script), FAST_LIMITS, RUN);
         let until = staged.conducted.at.ceil() as usize;
-        let (other, day_of_once) = (Bench::new(), day(until as u32 + 1, 4, 150, once));
-        let once = run(&other, &day_of_once, 2, &other.started_by(sound), SHORT, "true");
+        let (other, day_of_once) = (TestFiles::new(), day(until as u32 + 1, 4, 150, once));
+        let once = run(&other, &day_of_once, 2, &other.started_by(no_fault), FAST_LIMITS, "true");
         let code = staged.conducted.code;
         let (staged, once) = (lost(&day_of_staged, &staged, until), lost(&day_of_once, &once, until));
         println!("{name} | {until} s, code {code:?} | {staged:.0} | {once:.0}");
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -1,6 +1,6 @@
-//! The same transition functions under every order of a few faults: mixers and the conductor crash, facts are lost or
-//! late, starts fail, verdicts fall either way. Checked by `stateright`; faults that are planted in the conductor's
-//! surroundings have to be found.
+//! Model checking of the state machine with `stateright`, over every order of a few faults: mixers and the
+//! conductor crash, scrapes fail, starts fail, and comparisons go either way. Bugs injected around the state
+//! machine have to be found.
 
 use fernglade::{Moment, Span};
 use fernglade_rollout::journal::Record;
@@ -11,68 +11,68 @@
 use std::sync::Arc;
 
 const MIXERS: usize = 4;
-/// Turns of a second; a change with faults is over, or held, well before.
-const TURNS: u32 = 60;
+/// Limit of ticks of one second. A rollout with faults is finished or held well before.
+const MAX_TICKS: u32 = 60;
 
-/// What is wrong with the conductor's surroundings.
+/// A bug injected around the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Planted {
-    Nothing,
-    /// What is written is lost with the conductor: not on the disk when it is done.
-    Unsynced,
-    /// A step that has begun is taken for passed by the next conductor.
-    Forgetful,
-    /// Everybody is told to change at once.
-    Impatient,
+enum InjectedBug {
+    None,
+    /// The journal is not durable: records are lost when the conductor restarts.
+    JournalNotSynced,
+    /// A restarted conductor takes a step that has begun as passed.
+    StepTakenAsPassed,
+    /// All mixers are ordered to change at once.
+    NoUnavailabilityLimit,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    change: Rollout,
-    turn: u32,
-    /// Which side each runs and in which life.
-    run: [Option<(Side, u32)>; MIXERS],
-    lives: u32,
+    rollout: Rollout,
+    tick: u32,
+    /// The side and incarnation that each mixer runs.
+    running: [Option<(Side, u32)>; MIXERS],
+    last_incarnation: u32,
     journal: Vec<Record>,
     synced: usize,
     faults: u8,
     /// Stopped by the conductor and not started yet.
     stopped: [bool; MIXERS],
-    most_stopped: usize,
-    /// A step began of which the one before had not passed.
-    skipped: bool,
+    max_stopped: usize,
+    /// A step began before the previous one had passed.
+    step_skipped: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Fault {
     None,
-    /// It dies; whoever keeps the machine starts the old again in the next turn, or nobody does.
-    MixerDies(usize, bool),
-    /// It says nothing in this turn.
-    Silent(usize),
-    ConductorDies,
+    /// The mixer crashes. If the flag is set, it is restarted from outside with the old build.
+    MixerCrashes(usize, bool),
+    /// The mixer does not answer in this tick.
+    MixerUnreachable(usize),
+    ConductorRestarts,
     Worse,
-    /// What is started in this turn does not come up.
-    Stillborn,
+    /// Mixers started in this tick do not come up.
+    StartFails,
 }
 
-struct Way {
-    planted: Planted,
+struct RolloutModel {
+    bug: InjectedBug,
     faults: u8,
 }
 
-fn course(planted: Planted) -> Arc<RolloutSpec> {
+fn spec(bug: InjectedBug) -> Arc<RolloutSpec> {
     let zones: Vec<String> = ["a", "a", "b", "b"].map(String::from).to_vec();
-    let makes = |program: &str| BuildDigests { program: program.into(), settings: "-".into() };
+    let digests = |program: &str| BuildDigests { program: program.into(), settings: "-".into() };
     let span = |seconds: u64| Span::of_millis(1_000 * seconds);
     Arc::new(RolloutSpec {
         names: (0..MIXERS).map(|at| format!("m{at}")).collect(),
         steps: steps(&zones, &[StageSize::Count(1)]),
         zones,
-        old: makes("old"),
-        new: makes("new"),
+        old: digests("old"),
+        new: digests("new"),
         method: ChangeMethod::Restart,
-        max_unavailable: if planted == Planted::Impatient { MIXERS } else { 1 },
+        max_unavailable: if bug == InjectedBug::NoUnavailabilityLimit { MIXERS } else { 1 },
         max_unavailable_in_rollback: 2,
         stop_timeout: span(3),
         ready_timeout: span(3),
@@ -84,74 +84,77 @@
     })
 }
 
-impl Way {
-    fn take(&self, world: &mut World, event: Event, stillborn: bool) {
-        let now = Moment::at_micros(1_000_000 * u64::from(world.turn + 1));
-        for effect in world.change.handle(now, event) {
+impl RolloutModel {
+    fn apply(&self, world: &mut World, event: Event, start_fails: bool) {
+        let now = Moment::at_micros(1_000_000 * u64::from(world.tick + 1));
+        for effect in world.rollout.handle(now, event) {
             match effect {
                 Effect::Write(record) => {
                     if let Record::Step { step, .. } = record {
                         let passed = |at: usize| world.journal.contains(&Record::Passed { step: at });
-                        world.skipped |= step > 0 && !passed(step - 1);
+                        world.step_skipped |= step > 0 && !passed(step - 1);
                     }
                     world.journal.push(record);
-                    world.synced =
-                        if self.planted == Planted::Unsynced { world.synced } else { world.journal.len() };
+                    world.synced = if self.bug == InjectedBug::JournalNotSynced {
+                        world.synced
+                    } else {
+                        world.journal.len()
+                    };
                 }
                 Effect::Stop(mixer, _) | Effect::Kill(mixer, _) => {
-                    world.run[mixer] = None;
+                    world.running[mixer] = None;
                     world.stopped[mixer] = true;
                 }
                 Effect::Start(mixer, side) => {
                     world.stopped[mixer] = false;
-                    world.lives += 1;
-                    world.run[mixer] = (!stillborn).then_some((side, world.lives));
+                    world.last_incarnation += 1;
+                    world.running[mixer] = (!start_fails).then_some((side, world.last_incarnation));
                 }
                 Effect::Hand(..) | Effect::Compare(_) | Effect::Tell(_) => {}
             }
         }
-        let stopped = (0..MIXERS).filter(|at| world.stopped[*at] && world.run[*at].is_none()).count();
-        world.most_stopped = world.most_stopped.max(stopped);
+        let stopped = (0..MIXERS).filter(|at| world.stopped[*at] && world.running[*at].is_none()).count();
+        world.max_stopped = world.max_stopped.max(stopped);
     }
 
-    fn turn(&self, world: &mut World, fault: &Fault) {
-        world.turn += 1;
+    fn tick(&self, world: &mut World, fault: &Fault) {
+        world.tick += 1;
         match fault {
-            Fault::None | Fault::Silent(_) | Fault::Stillborn => {}
-            Fault::MixerDies(mixer, back) => {
-                world.lives += 1;
-                // That it is away now, or was there again, is not of the conductor's doing.
+            Fault::None | Fault::MixerUnreachable(_) | Fault::StartFails => {}
+            Fault::MixerCrashes(mixer, restarted) => {
+                world.last_incarnation += 1;
+                // It is unavailable, or back again, for a reason other than an order.
                 world.stopped[*mixer] = false;
-                world.run[*mixer] = back.then_some((Side::Old, world.lives));
+                world.running[*mixer] = restarted.then_some((Side::Old, world.last_incarnation));
             }
-            Fault::ConductorDies => {
+            Fault::ConductorRestarts => {
                 world.journal.truncate(world.synced);
                 let mut records = world.journal.clone();
-                if self.planted == Planted::Forgetful {
+                if self.bug == InjectedBug::StepTakenAsPassed {
                     let step = records.iter().rev().find_map(|r| match r {
                         Record::Step { step, .. } => Some(*step),
                         _ => None,
                     });
-                    let count = world.change.spec().steps.len();
+                    let count = world.rollout.spec().steps.len();
                     records.extend(step.filter(|at| at + 1 < count).map(|step| Record::Passed { step }));
                 }
-                let now = Moment::at_micros(1_000_000 * u64::from(world.turn + 1));
-                world.change = Rollout::new(course(self.planted), &records, now);
+                let now = Moment::at_micros(1_000_000 * u64::from(world.tick + 1));
+                world.rollout = Rollout::new(spec(self.bug), &records, now);
             }
-            Fault::Worse => self.take(world, Event::Worse("it is".into()), false),
+            Fault::Worse => self.apply(world, Event::Worse("it is".into()), false),
         }
         world.faults += u8::from(*fault != Fault::None);
-        let stillborn = *fault == Fault::Stillborn;
+        let start_fails = *fault == Fault::StartFails;
         for mixer in 0..MIXERS {
-            if *fault == Fault::Silent(mixer) {
+            if *fault == Fault::MixerUnreachable(mixer) {
                 continue;
             }
-            let event = match world.run[mixer] {
-                Some((side, life)) => Event::Heard(
+            let event = match world.running[mixer] {
+                Some((side, incarnation)) => Event::Heard(
                     mixer,
                     Report {
                         side: Some(side),
-                        incarnation: Incarnation(life.to_string()),
+                        incarnation: Incarnation(incarnation.to_string()),
                         ready: true,
                         memory: 1,
                         wrong_sum: None,
@@ -160,16 +163,16 @@
                 ),
                 None => Event::Ended { mixer, crashed: false },
             };
-            self.take(world, event, stillborn);
+            self.apply(world, event, start_fails);
         }
-        if matches!(world.change.state, Stand::Judging(_)) {
-            self.take(world, Event::Fine, stillborn);
+        if matches!(world.rollout.state, Stand::Judging(_)) {
+            self.apply(world, Event::Fine, start_fails);
         }
-        self.take(world, Event::Time { watched: true }, stillborn);
+        self.apply(world, Event::Time { watched: true }, start_fails);
     }
 }
 
-impl Model for Way {
+impl Model for RolloutModel {
     type State = World;
     type Action = Fault;
 
@@ -177,32 +180,32 @@
         let start = Moment::at_micros(1_000_000);
         let journal = vec![Record::Begun { change: "c".into(), plan: "p".into() }];
         vec![World {
-            change: Rollout::new(course(self.planted), &journal, start),
-            turn: 0,
-            run: [0, 1, 2, 3].map(|life| Some((Side::Old, life))),
-            lives: 9,
+            rollout: Rollout::new(spec(self.bug), &journal, start),
+            tick: 0,
+            running: [0, 1, 2, 3].map(|incarnation| Some((Side::Old, incarnation))),
+            last_incarnation: 9,
             synced: journal.len(),
             journal,
             faults: 0,
             stopped: [false; MIXERS],
-            most_stopped: 0,
-            skipped: false,
+            max_stopped: 0,
+            step_skipped: false,
         }]
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Fault>) {
-        if world.turn >= TURNS || world.change.is_finished() {
+        if world.tick >= MAX_TICKS || world.rollout.is_finished() {
             return;
         }
         actions.push(Fault::None);
-        // The last turns are without: what went wrong has to come to an end in them.
-        if world.faults < self.faults && world.turn < TURNS / 2 {
-            actions.extend([Fault::ConductorDies, Fault::Worse, Fault::Stillborn]);
+        // No faults in the second half of the ticks, in which the rollout has to finish or hold.
+        if world.faults < self.faults && world.tick < MAX_TICKS / 2 {
+            actions.extend([Fault::ConductorRestarts, Fault::Worse, Fault::StartFails]);
             for mixer in 0..MIXERS {
                 actions.extend([
-                    Fault::MixerDies(mixer, false),
-                    Fault::MixerDies(mixer, true),
-                    Fault::Silent(mixer),
+                    Fault::MixerCrashes(mixer, false),
+                    Fault::MixerCrashes(mixer, true),
+                    Fault::MixerUnreachable(mixer),
                 ]);
             }
         }
@@ -210,44 +213,46 @@
 
     fn next_state(&self, world: &World, fault: Fault) -> Option<World> {
         let mut next = world.clone();
-        self.turn(&mut next, &fault);
+        self.tick(&mut next, &fault);
         Some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never more stopped at once than allowed", |_, world: &World| {
-                world.most_stopped <= 2
+            Property::always("the limit of stopped mixers is kept", |_, world: &World| {
+                world.max_stopped <= 2
             }),
-            Property::always("never a step without the verdict of the one before", |_, world: &World| {
-                !world.skipped
+            Property::always("no step begins before the previous one has passed", |_, world: &World| {
+                !world.step_skipped
             }),
-            Property::always("nobody is new before his step", |_, world: &World| {
+            Property::always("no mixer is new before its step", |_, world: &World| {
                 let step =
-                    &world.change.spec().steps[world.change.step.min(world.change.spec().steps.len() - 1)];
-                let new = |at: usize| matches!(world.run[at], Some((Side::New, _)));
+                    &world.rollout.spec().steps[world.rollout.step.min(world.rollout.spec().steps.len() - 1)];
+                let new = |at: usize| matches!(world.running[at], Some((Side::New, _)));
                 (0..MIXERS).all(|at| !new(at) || step.new.contains(&at))
             }),
-            Property::always("an end, or held with a reason", |_, world: &World| {
-                let settled = matches!(world.change.state, Stand::Done(_) | Stand::Held(_));
-                world.turn < TURNS || settled
+            Property::always("the rollout ends or is held", |_, world: &World| {
+                let ended_or_held = matches!(world.rollout.state, Stand::Done(_) | Stand::Held(_));
+                world.tick < MAX_TICKS || ended_or_held
             }),
-            Property::always("all of one side at the end", |_, world: &World| match world.change.state {
-                Stand::Done(side) => world.run.iter().flatten().all(|(runs, _)| *runs == side),
-                _ => true,
+            Property::always("all mixers run one side at the end", |_, world: &World| {
+                match world.rollout.state {
+                    Stand::Done(side) => world.running.iter().flatten().all(|(runs, _)| *runs == side),
+                    _ => true,
+                }
             }),
-            Property::sometimes("all new", |_, world: &World| world.change.state == Stand::Done(Side::New)),
+            Property::sometimes("all new", |_, world: &World| world.rollout.state == Stand::Done(Side::New)),
             Property::sometimes("all old again", |_, world: &World| {
-                world.change.state == Stand::Done(Side::Old)
+                world.rollout.state == Stand::Done(Side::Old)
             }),
         ]
     }
 }
 
 #[test]
-fn with_two_faults_anywhere_it_keeps_to_its_promises() {
+fn the_properties_hold_with_two_faults_at_any_point() {
     let began = std::time::Instant::now();
-    let checker = Way { planted: Planted::Nothing, faults: 2 }.checker().threads(2).spawn_bfs().join();
+    let checker = RolloutModel { bug: InjectedBug::None, faults: 2 }.checker().threads(2).spawn_bfs().join();
     println!("{} states, {:.1} s", checker.unique_state_count(), began.elapsed().as_secs_f64());
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000);
@@ -255,20 +260,20 @@
 
 #[test]
 #[ignore = "long: three faults, by `make rollout-figures`"]
-fn with_three_faults_anywhere_it_keeps_to_its_promises() {
+fn the_properties_hold_with_three_faults_at_any_point() {
     let began = std::time::Instant::now();
-    let checker = Way { planted: Planted::Nothing, faults: 3 }.checker().threads(6).spawn_bfs().join();
+    let checker = RolloutModel { bug: InjectedBug::None, faults: 3 }.checker().threads(6).spawn_bfs().join();
     println!("{} states, {:.1} s", checker.unique_state_count(), began.elapsed().as_secs_f64());
     checker.assert_properties();
 }
 
 #[test]
-fn planted_faults_are_found() {
-    let found = |planted, name: &'static str| {
-        let checker = Way { planted, faults: 1 }.checker().threads(2).spawn_bfs().join();
-        assert!(checker.discovery(name).is_some(), "{planted:?}");
+fn injected_bugs_are_found() {
+    let found = |bug, name: &'static str| {
+        let checker = RolloutModel { bug, faults: 1 }.checker().threads(2).spawn_bfs().join();
+        assert!(checker.discovery(name).is_some(), "{bug:?}");
     };
-    found(Planted::Unsynced, "nobody is new before his step");
-    found(Planted::Forgetful, "never a step without the verdict of the one before");
-    found(Planted::Impatient, "never more stopped at once than allowed");
+    found(InjectedBug::JournalNotSynced, "no mixer is new before its step");
+    found(InjectedBug::StepTakenAsPassed, "no step begins before the previous one has passed");
+    found(InjectedBug::NoUnavailabilityLimit, "the limit of stopped mixers is kept");
 }
