--- a/crates/conductor/src/journal_store.rs
+++ b/crates/conductor/src/journal_store.rs
@@ -24,9 +24,9 @@
 }
 
 /// The path of a file next to the journal: its name with a suffix.
-fn sibling(path: &Path, what: &str) -> PathBuf {
+fn sibling(path: &Path, suffix: &str) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
-    name.push(what);
+    name.push(suffix);
     name.into()
 }
 
@@ -57,7 +57,7 @@
             .map_err(with_path)?;
         let mut bytes = Vec::new();
         journal.read_to_end(&mut bytes).map_err(with_path)?;
-        let (records, valid_len) = journal::read(&bytes).map_err(|damaged| damaged.to_string())?;
+        let (records, valid_len) = journal::read(&bytes).map_err(|corrupt| corrupt.to_string())?;
         journal.set_len(valid_len as u64).map_err(with_path)?;
         journal.seek(SeekFrom::Start(valid_len as u64)).map_err(with_path)?;
         journal.sync_all().map_err(with_path)?;
--- a/crates/conductor/src/main.rs
+++ b/crates/conductor/src/main.rs
@@ -62,7 +62,7 @@
 
 /// Reads a plan. Also returns the digest of its text, which identifies the rollout in the journal.
 fn read_plan(path: &Path) -> Result<(Plan, String), String> {
-    let with_path = |what: String| format!("{}: {what}", path.display());
+    let with_path = |error: String| format!("{}: {error}", path.display());
     let text = std::fs::read_to_string(path).map_err(|error| with_path(error.to_string()))?;
     let plan = Plan::parse(&text).map_err(|error| with_path(error.to_string()))?;
     Ok((plan, digest(Some(text.as_bytes()))))
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -14,7 +14,7 @@
 //! - [`metrics_sample`]: the metrics of one mixer
 //! - [`journal`]: the durable record of decisions, from which an interrupted rollout continues
 //!
-//! Every table is keyed by mixer, or by zone and traffic type, and starts anew with each step.
+//! Every table is keyed by mixer, or by zone and traffic type, and is reset for each step.
 
 pub mod canary_analysis;
 pub mod journal;
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/machine.rs
@@ -320,8 +320,8 @@
         }
         if is == Some(Side::New) && self.rollback_reason.is_none() {
             let reason = match &report {
-                Report { wrong_sum: Some(what), .. } => {
-                    Some(format!("{name}: its scans of {what} do not add up"))
+                Report { wrong_sum: Some(traffic_type), .. } => {
+                    Some(format!("{name}: its scans of {traffic_type} do not add up"))
                 }
                 Report { memory, .. } if *memory >= self.spec.memory_limit => {
                     Some(format!("{name}: {memory} bytes of memory"))
@@ -361,8 +361,8 @@
         match side {
             Side::New => self.roll_back(format!("{name}: {why}"), effects),
             Side::Old => {
-                let what = format!("{name}: {why}, with the old: start it by hand, then resume");
-                self.hold(Hold::Stuck(what), effects);
+                let reason = format!("{name}: {why}, with the old: start it by hand, then resume");
+                self.hold(Hold::Stuck(reason), effects);
             }
         }
     }
@@ -395,8 +395,9 @@
                     let from = order.from.clone().unwrap_or_default();
                     if killed {
                         mixer_state.order = None;
-                        let what = format!("{} does not end: end it by hand, then resume", spec.names[mixer]);
-                        return self.hold(Hold::Stuck(what), effects);
+                        let reason =
+                            format!("{} does not end: end it by hand, then resume", spec.names[mixer]);
+                        return self.hold(Hold::Stuck(reason), effects);
                     }
                     (order.phase, order.since) = (OrderPhase::Stopping { killed: true }, now);
                     effects.push(Effect::Tell(format!(
@@ -498,8 +499,9 @@
             mixer_state.gone_since.is_none() && mixer_state.report.as_ref().is_some_and(|r| r.side.is_none())
         };
         if let Some(mixer) = self.mixers.iter().position(runs_neither) {
-            let what = format!("{} runs neither the old nor the new: see what it is", self.spec.names[mixer]);
-            return self.hold(Hold::Stuck(what), effects);
+            let reason =
+                format!("{} runs neither the old nor the new: see what it is", self.spec.names[mixer]);
+            return self.hold(Hold::Stuck(reason), effects);
         }
         if self.rollback_reason.is_some() {
             self.state = Stand::Undoing;
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -143,7 +143,7 @@
     }
 
     fn check(&self) -> Result<(), PlanError> {
-        let fail = |what: String| Err(PlanError(what));
+        let fail = |message: String| Err(PlanError(message));
         if self.mixers.is_empty() || self.mixers.len() > 4_096 {
             return fail("mixers: expected 1 to 4096".into());
         }
@@ -170,7 +170,7 @@
             return fail("stages: expected at least one".into());
         }
         for (at, stage) in self.stages.iter().enumerate() {
-            stage.size().map_err(|what| PlanError(format!("stages[{at}]: {what}")))?;
+            stage.size().map_err(|message| PlanError(format!("stages[{at}]: {message}")))?;
         }
         let count = self.mixers.len();
         let Limits { max_unavailable, max_unavailable_in_rollback, .. } = self.limits;
