--- a/crates/mixer/tests/figures.rs
+++ b/crates/mixer/tests/figures.rs
@@ -1,7 +1,7 @@
 //! Tests of the metrics of the built mixer: only permitted clients can read them, the conductor can parse
 //! them, and the scan counters are consistent.
 
-use fernglade_rollout::told::{Sums, Told};
+use fernglade_rollout::metrics_sample::{MetricsSample, ScanCounts};
 use fernglade_standins::child::{file, free_address, orders, start, Mixer};
 use fernglade_standins::client::{answer, say, scan, scan_of};
 use fernglade_standins::discovery::{agent, list};
@@ -31,18 +31,18 @@
     start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), address)
 }
 
-fn read_metrics(mixer: &Mixer) -> Told {
+fn read_metrics(mixer: &Mixer) -> MetricsSample {
     let mut client = mixer.client();
     say(&mut client, METRICS_REQUEST);
     let (status, head, body) = answer(&mut client);
     assert!(status == 200 && head.contains("openmetrics"), "{head}");
-    Told::read(&body).unwrap_or_else(|why| panic!("{why}: {body}"))
+    MetricsSample::parse(&body).unwrap_or_else(|why| panic!("{why}: {body}"))
 }
 
-fn wait_for_metrics(mixer: &Mixer, condition: impl Fn(&Told) -> bool) -> Told {
+fn wait_for_metrics(mixer: &Mixer, condition: impl Fn(&MetricsSample) -> bool) -> MetricsSample {
     for _ in 0..200 {
         let metrics = read_metrics(mixer);
-        assert_eq!(metrics.wrong_sum(), None, "{metrics:?}");
+        assert_eq!(metrics.inconsistent_type(), None, "{metrics:?}");
         if condition(&metrics) {
             return metrics;
         }
@@ -71,17 +71,20 @@
     let mut waiting_client = mixer.client();
     say(&mut waiting_client, scan("e", &[2]));
     let metrics = wait_for_metrics(&mixer, |metrics| metrics.types["look"].open == 1);
-    let counts = |sums: &Sums| (sums.taken, sums.served, sums.refused, sums.failed, sums.open);
+    let counts = |sums: &ScanCounts| (sums.taken, sums.served, sums.refused, sums.failed, sums.open);
     assert_eq!(counts(&metrics.types["look"]), (4, 1, 1, 1, 1));
     assert_eq!(counts(&metrics.types["fix"]), (1, 0, 0, 1, 0));
-    assert_eq!(metrics.types["look"].within(60.0), 1);
-    assert!(metrics.types["look"].quantile(0.5).is_some_and(|seconds| seconds < 1.0), "{metrics:?}");
+    assert_eq!(metrics.types["look"].served_within(60.0), 1);
+    assert!(metrics.types["look"].latency_quantile(0.5).is_some_and(|seconds| seconds < 1.0), "{metrics:?}");
     assert!(
-        metrics.ready && metrics.memory > 100_000 && metrics.relays >= 5 && metrics.listed == 1,
+        metrics.ready
+            && metrics.memory_bytes > 100_000
+            && metrics.relays >= 5
+            && metrics.searchers_listed == 1,
         "{metrics:?}"
     );
-    assert_eq!(metrics.process, mixer_process(&mixer));
-    assert_ne!(metrics.makes.program, "-");
+    assert_eq!(metrics.pid, mixer_process(&mixer));
+    assert_ne!(metrics.build.program, "-");
 }
 
 /// The shell that set the descriptor limit replaced itself by the mixer, so the child's id is the mixer's.
@@ -94,18 +97,18 @@
 #[test]
 fn metrics_identify_the_settings_in_force() {
     let mixer = mixer("{ figures: { to: ['127.0.0.0/8'] } }");
-    let before = read_metrics(&mixer).makes;
+    let before = read_metrics(&mixer).build;
     let reload_operator = |text: &str| {
         std::fs::write(&mixer.files[1], text).unwrap();
         mixer.signal("-HUP");
     };
     reload_operator("{ figures: { to: ['127.0.0.0/8'] }, admission: { per_address: 50 } }");
-    let after = wait_for_metrics(&mixer, |metrics| metrics.makes != before).makes;
+    let after = wait_for_metrics(&mixer, |metrics| metrics.build != before).build;
     assert_eq!(after.program, before.program);
     for refused in ["{ figures: ", "{ figures: { to: ['127.0.0.0/8'] }, shedding: { as_one: true } }"] {
         reload_operator(refused);
         let metrics = wait_for_metrics(&mixer, |metrics| metrics.refused_settings);
-        assert_eq!(metrics.makes, after, "{refused}");
+        assert_eq!(metrics.build, after, "{refused}");
         reload_operator("{ figures: { to: ['127.0.0.0/8'] }, admission: { per_address: 50 } }");
         wait_for_metrics(&mixer, |metrics| !metrics.refused_settings);
     }
