--- a/crates/conductor/tests/rollout.rs
+++ b/crates/conductor/tests/rollout.rs
@@ -1,7 +1,7 @@
 //! A change over several processes of the built mixer, under load and with faults on their links, by the built conductor.
 //! Judged by the rules, by how the conductor ended, and by wide ratios of what was served.
 
-use fernglade_standins::child::file;
+use fernglade_standins::child::temp_file;
 use fernglade_standins::fleet::play::{cast, Cast, Conducted, Field};
 use fernglade_standins::fleet::{Breach, Day, Figures};
 use std::os::unix::fs::PermissionsExt;
@@ -132,7 +132,7 @@
 
 fn run(bench: &Bench, day: &Day, zones: usize, new: &str, more: &str, how: &str) -> Ran {
     let settings =
-        file(&format!("{}.json5", bench.folder.file_name().unwrap().to_string_lossy()), OLD_SETTINGS);
+        temp_file(&format!("{}.json5", bench.folder.file_name().unwrap().to_string_lossy()), OLD_SETTINGS);
     let begin = |field: &Field| {
         let plan = bench.plan(field, zones, new, more);
         let mut command = Command::new("sh");
--- a/crates/mixer/src/routing/doors.rs
+++ b/crates/mixer/src/routing/doors.rs
@@ -12,7 +12,7 @@
 use fernglade_dialect::search::Search;
 use fernglade_fronts::Readings;
 use fernglade_orders::Operator;
-use fernglade_standins::cues::{shard, Manner};
+use fernglade_standins::documents::{build_shard, AnswerMode};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
@@ -363,7 +363,7 @@
         let Ok(search) = Search::read(errand.text.as_bytes()) else { return "saved".into() };
         let give = || {
             let index = if errand.text.contains("hola") { "cues" } else { "films" };
-            String::from_utf8(shard(errand.shard).body(index, &search, Manner::Sound)).unwrap()
+            String::from_utf8(build_shard(errand.shard).body(index, &search, AnswerMode::Valid)).unwrap()
         };
         let key = errand.shard + if errand.text.contains("hola") { 0 } else { 1_000 };
         self.values.entry(key).or_insert_with(give).clone()
--- a/crates/mixer/tests/dialect.rs
+++ b/crates/mixer/tests/dialect.rs
@@ -4,12 +4,14 @@
 use fernglade_dialect::answer::{found, Shards};
 use fernglade_dialect::merge::Merge;
 use fernglade_dialect::search::Search;
-use fernglade_standins::child::{file, free_address, orders, start, Mixer};
-use fernglade_standins::client::{answer, say, Client};
-use fernglade_standins::cues::{cue_node, half_node, odd_node, shard, Manner};
-use fernglade_standins::discovery::{agent, list};
-use fernglade_standins::node::{node, Asked, Way};
-use fernglade_standins::searcher::{dying, searcher, Habit};
+use fernglade_standins::child::{free_address, mixer_config, start_mixer, temp_file, MixerProcess};
+use fernglade_standins::client::{read_response, send, Client};
+use fernglade_standins::discovery::{agent_with_list, searcher_list};
+use fernglade_standins::documents::{
+    answer_for_all_shards, answer_searches, build_shard, fail_odd_shards, AnswerMode,
+};
+use fernglade_standins::node::{start_node, NodeMode, NodeRequest};
+use fernglade_standins::searcher::{close_on_call, start_searcher, FrameHandler};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -22,27 +24,32 @@
 
 fn mixer_by(
     name: &str,
-    habits: &[Habit],
+    habits: &[FrameHandler],
     orders_change: (&str, &str),
     rules: &str,
-) -> (Mixer, Vec<Receiver<(u8, String)>>) {
-    let (addresses, told): (Vec<SocketAddr>, Vec<_>) = habits.iter().map(|habit| searcher(*habit)).unzip();
-    let (at, known) = (free_address(), list(&addresses));
-    let text =
-        orders(&at.to_string(), agent(known.clone()), &known).replace(orders_change.0, orders_change.1);
-    let orders = file(&format!("dialect-{name}.json"), &text);
-    let operator = file(&format!("dialect-{name}.json5"), rules);
-    (start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at), told)
+) -> (MixerProcess, Vec<Receiver<(u8, String)>>) {
+    let (addresses, told): (Vec<SocketAddr>, Vec<_>) =
+        habits.iter().map(|habit| start_searcher(*habit)).unzip();
+    let (at, known) = (free_address(), searcher_list(&addresses));
+    let text = mixer_config(&at.to_string(), agent_with_list(known.clone()), &known)
+        .replace(orders_change.0, orders_change.1);
+    let orders = temp_file(&format!("dialect-{name}.json"), &text);
+    let operator = temp_file(&format!("dialect-{name}.json5"), rules);
+    (start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at), told)
 }
 
-fn mixer(name: &str, habits: &[Habit], orders_change: (&str, &str)) -> (Mixer, Vec<Receiver<(u8, String)>>) {
+fn mixer(
+    name: &str,
+    habits: &[FrameHandler],
+    orders_change: (&str, &str),
+) -> (MixerProcess, Vec<Receiver<(u8, String)>>) {
     mixer_by(name, habits, orders_change, RULES)
 }
 
 fn asks(client: &mut Client, method: &str, target: &str, headers: &str, body: &str) -> (u16, String, Value) {
     let head = format!("{method} {target} HTTP/1.1\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
-    say(client, head + body);
-    let (status, head, body) = answer(client);
+    send(client, head + body);
+    let (status, head, body) = read_response(client);
     (status, head, serde_json::from_str(&body).unwrap_or(Value::Null))
 }
 
@@ -51,15 +58,15 @@
     let search = Search::read(body.as_bytes()).unwrap();
     let mut merge = Merge::new(&search);
     let asked = Search { from: 0, size: search.window(), ..search.clone() };
-    (0..4).for_each(|number| assert!(merge.take(number, shard(number).search(&asked))));
+    (0..4).for_each(|number| assert!(merge.take(number, build_shard(number).search(&asked))));
     let shards = Shards { total: 4, missing: Vec::new() };
     found("cues", &search, merge.finish(true), &shards, Span::ZERO)
 }
 
 #[test]
 fn a_search_is_answered_from_all_shards_as_by_one_who_has_them() {
-    let (mixer, _told) = mixer("whole", &[cue_node, cue_node], ("", ""));
-    let mut client = mixer.client();
+    let (mixer, _told) = mixer("whole", &[answer_searches, answer_searches], ("", ""));
+    let mut client = mixer.connect();
     for body in [
         "",
         r#"{"query":{"match":{"cue":"hola noche"}},"from":3,"size":12,"track_total_hits":true}"#,
@@ -87,8 +94,8 @@
     // A class that answers from half of its parts.
     let floors = (r#""per_call":1"#, r#""per_call":1,"floor_by_class":[0.5,1.0],"complete_from":[1.0,1.0]"#);
     let name = format!("partial-{}-{}", target.len(), rules.len());
-    let (mixer, _told) = mixer_by(&name, &[odd_node], floors, rules);
-    let (told, _, body) = asks(&mut mixer.client(), "GET", target, "", "");
+    let (mixer, _told) = mixer_by(&name, &[fail_odd_shards], floors, rules);
+    let (told, _, body) = asks(&mut mixer.connect(), "GET", target, "", "");
     assert_eq!(told, status, "{body}");
     if status == 200 {
         assert_eq!(
@@ -106,8 +113,8 @@
 /// Its part goes to another node, and none of what it said is in the answer.
 #[test]
 fn a_node_that_half_understands_is_a_failed_part_and_never_a_wrong_answer() {
-    let (mixer, _told) = mixer("half", &[half_node, cue_node], ("", ""));
-    let mut client = mixer.client();
+    let (mixer, _told) = mixer("half", &[answer_for_all_shards, answer_searches], ("", ""));
+    let mut client = mixer.connect();
     for _ in 0..5 {
         let (status, _, mut given) = asks(&mut client, "GET", "/cues/_search", "", "");
         assert_eq!(status, 200);
@@ -119,18 +126,18 @@
 /// An edit goes to one shard, once; one whose node drops the connection after its last byte may have run.
 #[test]
 fn an_edit_that_may_have_run_is_not_sent_again_nor_asked_for_again() {
-    let (sound, told) = mixer("edit", &[cue_node, cue_node], ("", ""));
+    let (sound, told) = mixer("edit", &[answer_searches, answer_searches], ("", ""));
     let (status, _, body) =
-        asks(&mut sound.client(), "POST", "/cues/_update/c7", "", r#"{"doc":{"cue":"x"}}"#);
+        asks(&mut sound.connect(), "POST", "/cues/_update/c7", "", r#"{"doc":{"cue":"x"}}"#);
     assert_eq!((status, &body["result"], &body["_id"]), (200, &"updated".into(), &"c7".into()));
     let sent = |told: &[Receiver<(u8, String)>]| {
         told.iter().flat_map(|told| told.try_iter()).filter(|(letter, _)| *letter == b'm').count()
     };
     assert_eq!(sent(&told), 1);
-    let (broken, told) = mixer("broken", &[dying, dying], ("", ""));
+    let (broken, told) = mixer("broken", &[close_on_call, close_on_call], ("", ""));
     for _ in 0..4 {
         let (status, _, body) =
-            asks(&mut broken.client(), "POST", "/cues/_update/c7", "", r#"{"doc":{"cue":"x"}}"#);
+            asks(&mut broken.connect(), "POST", "/cues/_update/c7", "", r#"{"doc":{"cue":"x"}}"#);
         assert!(status != 429 && status != 503, "{status} asks for a second run: {body}");
     }
     assert_eq!(sent(&told), 4, "each once");
@@ -146,8 +153,8 @@
 #[test_case("GET", "/cues/_search?preference=_shards:9", "", 400, "illegal_argument_exception"; "no such shard")]
 fn what_makes_no_sense_is_refused_by_name(method: &str, target: &str, body: &str, status: u16, kind: &str) {
     let name = format!("senseless-{}-{}", status, target.len() + body.len());
-    let (mixer, _told) = mixer(&name, &[cue_node], ("", ""));
-    let mut client = mixer.client();
+    let (mixer, _told) = mixer(&name, &[answer_searches], ("", ""));
+    let mut client = mixer.connect();
     let (told, _, answer) = asks(&mut client, method, target, "", body);
     assert_eq!((told, &answer["error"]["type"]), (status, &kind.into()), "{answer}");
     let (after, ..) = asks(&mut client, "GET", "/_cluster/health", "", "");
@@ -155,20 +162,24 @@
 }
 
 /// A mixer before nodes that speak the dialect over HTTP/1.1; the last of them stands by a frame-speaking searcher's name.
-fn before_nodes(name: &str, ways: &[Way]) -> (Mixer, Vec<Receiver<Asked>>) {
-    let (addresses, told): (Vec<SocketAddr>, Vec<_>) = ways.iter().map(|way| node(*way)).unzip();
-    let (at, known) = (free_address(), list(&addresses));
-    let orders = file(&format!("node-{name}.json"), &orders(&at.to_string(), agent(known.clone()), &known));
-    let operator = file(&format!("node-{name}.json5"), &RULES.replace("indices:", "nodes: ['s*'], indices:"));
-    (start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at), told)
+fn before_nodes(name: &str, ways: &[NodeMode]) -> (MixerProcess, Vec<Receiver<NodeRequest>>) {
+    let (addresses, told): (Vec<SocketAddr>, Vec<_>) = ways.iter().map(|way| start_node(*way)).unzip();
+    let (at, known) = (free_address(), searcher_list(&addresses));
+    let orders = temp_file(
+        &format!("node-{name}.json"),
+        &mixer_config(&at.to_string(), agent_with_list(known.clone()), &known),
+    );
+    let operator =
+        temp_file(&format!("node-{name}.json5"), &RULES.replace("indices:", "nodes: ['s*'], indices:"));
+    (start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at), told)
 }
 
-const SOUND: Way = Way::Answers(Manner::Sound);
+const SOUND: NodeMode = NodeMode::Answers(AnswerMode::Valid);
 
 #[test]
 fn nodes_are_asked_in_their_own_words_one_shard_at_a_time_with_the_time_left() {
-    let (mixer, told) = before_nodes("sound", &[SOUND, Way::Closes]);
-    let mut client = mixer.client();
+    let (mixer, told) = before_nodes("sound", &[SOUND, NodeMode::CloseAfterAnswer]);
+    let mut client = mixer.connect();
     for body in ["", r#"{"query":{"match":{"cue":"amor luz"}},"from":2,"size":9,"sort":"at"}"#] {
         let (status, _, mut given) = asks(&mut client, "POST", "/cues/_search?timeout=1500ms", "", body);
         assert_eq!(status, 200, "{given}");
@@ -177,7 +188,7 @@
     }
     let (_, _, nodes) = asks(&mut client, "GET", "/_cat/nodes?format=json", "", "");
     assert!(nodes.as_array().unwrap().iter().any(|node| node["speaks"] == "dialect-2.11.0"), "{nodes}");
-    let asked: Vec<Asked> = told.iter().flat_map(|told| told.try_iter()).collect();
+    let asked: Vec<NodeRequest> = told.iter().flat_map(|told| told.try_iter()).collect();
     assert_eq!(asked.len(), 8);
     for (_, target, _, _) in &asked {
         let timeout = target.split("timeout=").nth(1).and_then(|rest| rest.strip_suffix("ms"));
@@ -196,21 +207,21 @@
 }
 
 /// Whatever a node does, its part goes to the other one and none of what it said is in the answer.
-#[test_case(Way::Answers(Manner::AllShards); "passes over preference")]
-#[test_case(Way::Answers(Manner::Page); "an error page for an answer")]
-#[test_case(Way::Answers(Manner::CutShort); "a body cut short")]
-#[test_case(Way::Answers(Manner::UnknownField); "another version")]
-#[test_case(Way::Full; "a full queue")]
-#[test_case(Way::Status(500); "an error")]
-#[test_case(Way::Status(302); "a status that is not known")]
-#[test_case(Way::ResetsAfter; "a connection that ends")]
-#[test_case(Way::ResetsAmid; "an answer that ends amid")]
-#[test_case(Way::Endless; "chunks without end")]
-#[test_case(Way::Open { resets: true }; "an answer of no length that is reset")]
-fn a_failing_node_is_a_failed_part(way: Way) {
+#[test_case(NodeMode::Answers(AnswerMode::AllShards); "passes over preference")]
+#[test_case(NodeMode::Answers(AnswerMode::ErrorPage); "an error page for an answer")]
+#[test_case(NodeMode::Answers(AnswerMode::Truncated); "a body cut short")]
+#[test_case(NodeMode::Answers(AnswerMode::UnknownField); "another version")]
+#[test_case(NodeMode::QueueFull; "a full queue")]
+#[test_case(NodeMode::Status(500); "an error")]
+#[test_case(NodeMode::Status(302); "a status that is not known")]
+#[test_case(NodeMode::CloseAfterRequest; "a connection that ends")]
+#[test_case(NodeMode::CloseMidAnswer; "an answer that ends amid")]
+#[test_case(NodeMode::EndlessChunks; "chunks without end")]
+#[test_case(NodeMode::AnswerUntilClose { resets: true }; "an answer of no length that is reset")]
+fn a_failing_node_is_a_failed_part(way: NodeMode) {
     let name: String = format!("{way:?}").chars().filter(char::is_ascii_alphanumeric).collect();
     let (mixer, _told) = before_nodes(&name, &[way, SOUND, SOUND]);
-    let mut client = mixer.client();
+    let mut client = mixer.connect();
     for _ in 0..4 {
         let (status, _, mut given) = asks(&mut client, "GET", "/cues/_search", "", "");
         assert_eq!(status, 200, "{given}");
@@ -223,8 +234,8 @@
 /// Silence is found by time: it may cost scans their answer until it is, and never gives a wrong one.
 #[test]
 fn a_silent_node_costs_time_and_no_wrong_answer() {
-    let (mixer, _told) = before_nodes("silent", &[Way::Mute, SOUND, SOUND]);
-    let mut client = mixer.client();
+    let (mixer, _told) = before_nodes("silent", &[NodeMode::NeverAnswer, SOUND, SOUND]);
+    let mut client = mixer.connect();
     let mut served = 0;
     for _ in 0..6 {
         let (status, _, mut given) = asks(&mut client, "GET", "/cues/_search", "", "");
@@ -239,36 +250,36 @@
 }
 
 /// An edit whose node resets after the last byte, amid its answer, or says what can't be used: it may have run.
-#[test_case(Way::ResetsAfter, 502; "after its last byte")]
-#[test_case(Way::ResetsAmid, 502; "amid the answer")]
-#[test_case(Way::Answers(Manner::Sound), 200; "saved")]
-#[test_case(Way::Open { resets: false }, 200; "saved, and no length told")]
-#[test_case(Way::Open { resets: true }, 502; "no length told, and reset")]
-#[test_case(Way::Status(503), 502; "an error that may have come late")]
-#[test_case(Way::Full, 429; "none took it: it has not run")]
-fn an_edit_is_sent_once_to_nodes_unless_it_never_ran(way: Way, status: u16) {
+#[test_case(NodeMode::CloseAfterRequest, 502; "after its last byte")]
+#[test_case(NodeMode::CloseMidAnswer, 502; "amid the answer")]
+#[test_case(NodeMode::Answers(AnswerMode::Valid), 200; "saved")]
+#[test_case(NodeMode::AnswerUntilClose { resets: false }, 200; "saved, and no length told")]
+#[test_case(NodeMode::AnswerUntilClose { resets: true }, 502; "no length told, and reset")]
+#[test_case(NodeMode::Status(503), 502; "an error that may have come late")]
+#[test_case(NodeMode::QueueFull, 429; "none took it: it has not run")]
+fn an_edit_is_sent_once_to_nodes_unless_it_never_ran(way: NodeMode, status: u16) {
     let name: String = format!("edit{way:?}").chars().filter(char::is_ascii_alphanumeric).collect();
     let (mixer, told) = before_nodes(&name, &[way, way]);
-    let (got, _, body) = asks(&mut mixer.client(), "POST", "/cues/_update/c1", "", r#"{"doc":{"cue":"x"}}"#);
+    let (got, _, body) = asks(&mut mixer.connect(), "POST", "/cues/_update/c1", "", r#"{"doc":{"cue":"x"}}"#);
     assert_eq!(got, status, "{body}");
     let sent = told.iter().flat_map(|told| told.try_iter()).count();
-    assert_eq!(sent, if way == Way::Full { 2 } else { 1 });
+    assert_eq!(sent, if way == NodeMode::QueueFull { 2 } else { 1 });
 }
 
 /// The platform's own scans are never sent to a node that could not read them.
 #[test]
 fn a_platforms_scan_finds_no_node_of_the_dialect() {
     let (mixer, told) = before_nodes("mixed", &[SOUND]);
-    let mut client = mixer.client();
-    say(&mut client, fernglade_standins::client::scan("a", &[0]));
-    assert_eq!(answer(&mut client).0, 503);
+    let mut client = mixer.connect();
+    send(&mut client, fernglade_standins::client::scan_request("a", &[0]));
+    assert_eq!(read_response(&mut client).0, 503);
     assert_eq!(told[0].try_iter().count(), 0);
 }
 
 /// A hundred searches in one request, of which three are bad and two have no time.
 #[test]
 fn many_searches_are_answered_in_order_and_a_bad_one_spoils_no_other() {
-    let (mixer, _told) = mixer("many", &[cue_node, cue_node], ("", ""));
+    let (mixer, _told) = mixer("many", &[answer_searches, answer_searches], ("", ""));
     let line = |number: usize| match number {
         7 => "{}\n{\"size\":-1}\n".to_string(),
         50 => "{\"index\":\"none\"}\n{}\n".into(),
@@ -277,7 +288,7 @@
         number => format!("{{}}\n{{\"size\":{}}}\n", number % 5),
     };
     let body: String = (0..100).map(line).collect();
-    let mut client = mixer.client();
+    let mut client = mixer.connect();
     let (status, _, answer) = asks(&mut client, "POST", "/cues/_msearch", "", &body);
     assert_eq!(status, 200);
     let responses = answer["responses"].as_array().unwrap();
@@ -303,14 +314,17 @@
 /// A client that leaves between two of its searches: the next is never sent.
 #[test]
 fn a_client_that_leaves_amid_its_searches_ends_them() {
-    let (mixer, told) = mixer("leaves", &[fernglade_standins::searcher::mute], ("", ""));
-    let mut client = mixer.client();
+    let (mixer, told) = mixer("leaves", &[fernglade_standins::searcher::ignore_frames], ("", ""));
+    let mut client = mixer.connect();
     let body = "{}\n{\"timeout\":\"300ms\"}\n".repeat(4);
-    say(&mut client, format!("POST /cues/_msearch HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
-    let first = told[0].recv_timeout(fernglade_standins::PATIENCE).unwrap();
+    send(
+        &mut client,
+        format!("POST /cues/_msearch HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()),
+    );
+    let first = told[0].recv_timeout(fernglade_standins::HANG_TIMEOUT).unwrap();
     assert_eq!(first.0, b'm');
     drop(client);
-    let mut after = mixer.client();
+    let mut after = mixer.connect();
     let ids = |told: &Receiver<(u8, String)>| {
         let calls = told.try_iter().filter(|(letter, _)| *letter == b'm');
         calls
@@ -326,20 +340,20 @@
 /// The same mix through both doors on sockets: before the same searchers, the same verdicts.
 #[test]
 fn both_doors_come_to_the_same_verdicts_on_sockets() {
-    let (mixer, _told) = mixer("both", &[cue_node, odd_node, cue_node], ("", ""));
-    let mut clients = [mixer.client(), mixer.client()];
+    let (mixer, _told) = mixer("both", &[answer_searches, fail_odd_shards, answer_searches], ("", ""));
+    let mut clients = [mixer.connect(), mixer.connect()];
     let search = r#"{"query":{"match_all":{}},"size":3}"#;
     for number in 0..30u32 {
         let shards: Vec<u32> =
             (0..4).filter(|shard| number & (1 << shard) != 0 || *shard == number % 4).collect();
         let words: Vec<String> = shards.iter().map(u32::to_string).collect();
-        let platform = fernglade_standins::client::scan_for(
+        let platform = fernglade_standins::client::scan_request_for(
             &search.replace('"', "\\\""),
             &format!("b{number}"),
             &shards,
         );
-        say(&mut clients[0], platform);
-        let (status, _, body) = answer(&mut clients[0]);
+        send(&mut clients[0], platform);
+        let (status, _, body) = read_response(&mut clients[0]);
         let target = format!("/cues/_search?preference=_shards:{}", words.join(","));
         let (dialect, _, found) = asks(&mut clients[1], "POST", &target, "", search);
         assert_eq!((status, dialect), (200, 200), "{body} {found}");
@@ -354,17 +368,21 @@
 /// A further listener serves as the first does, and is stopped with it.
 #[test]
 fn a_further_listener_serves_both_kinds() {
-    let (addresses, _told) = searcher(cue_node);
-    let (at, further, known) = (free_address(), free_address(), list(&[addresses]));
-    let orders = file("dialect-further.json", &orders(&at.to_string(), agent(known.clone()), &known));
+    let (addresses, _told) = start_searcher(answer_searches);
+    let (at, further, known) = (free_address(), free_address(), searcher_list(&[addresses]));
+    let orders = temp_file(
+        "dialect-further.json",
+        &mixer_config(&at.to_string(), agent_with_list(known.clone()), &known),
+    );
     let rules = RULES.replace("indices:", &format!("listen: '{further}', indices:"));
-    let operator = file("dialect-further.json5", &rules);
-    let mut mixer = start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at);
+    let operator = temp_file("dialect-further.json5", &rules);
+    let mut mixer =
+        start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at);
     for listens in [at, further] {
-        let mut client = fernglade_standins::client::client(listens);
+        let mut client = fernglade_standins::client::connect_client(listens);
         assert_eq!(asks(&mut client, "GET", "/cues/_search", "", "").0, 200);
-        say(&mut client, fernglade_standins::client::scan(&format!("f{}", listens.ip()), &[0]));
-        assert_eq!(answer(&mut client).0, 200);
+        send(&mut client, fernglade_standins::client::scan_request(&format!("f{}", listens.ip()), &[0]));
+        assert_eq!(read_response(&mut client).0, 200);
     }
     mixer.signal("-TERM");
     assert!(mixer.child.wait().unwrap().success());
--- a/crates/mixer/tests/ends.rs
+++ b/crates/mixer/tests/ends.rs
@@ -2,11 +2,15 @@
 //! order is brought about every time: by a peer that writes, closes, resets or says nothing on the test's word, or by
 //! a mixer that is held still while its peers act. docs/architecture.md has the table of these ends.
 
-use fernglade_standins::child::{file, free_address, orders, start, Mixer};
-use fernglade_standins::client::{answer, reset, say, scan, scan_of, try_answer, Client, HEALTH};
-use fernglade_standins::discovery::{agent, list, Agent, Call};
-use fernglade_standins::searcher::{good, late_port, mute, searcher, searcher_on};
-use fernglade_standins::PATIENCE;
+use fernglade_standins::child::{free_address, mixer_config, start_mixer, temp_file, MixerProcess};
+use fernglade_standins::client::{
+    read_response, reset, scan_request, scan_request_of, send, try_read_response, Client, HEALTH_REQUEST,
+};
+use fernglade_standins::discovery::{agent_with_list, searcher_list, AgentRequest, ScriptedAgent};
+use fernglade_standins::searcher::{
+    answer_parts, ignore_frames, listener_with_full_backlog, start_searcher, start_searcher_on,
+};
+use fernglade_standins::HANG_TIMEOUT;
 use std::collections::BTreeMap;
 use std::io::Read;
 use std::net::SocketAddr;
@@ -22,24 +26,34 @@
 const LONG: [Change; 2] =
     [("\"aim\":2000000", "\"aim\":60000000"), ("\"give_up\":4000000", "\"give_up\":60000000")];
 
-fn mixer(name: &str, discovery: SocketAddr, known: &str, changes: &[Change]) -> Mixer {
+fn mixer(name: &str, discovery: SocketAddr, known: &str, changes: &[Change]) -> MixerProcess {
     mixer_within(1024, name, discovery, known, changes)
 }
 
 /// With so many descriptors allowed by the system.
-fn mixer_within(held: usize, name: &str, discovery: SocketAddr, known: &str, changes: &[Change]) -> Mixer {
+fn mixer_within(
+    held: usize,
+    name: &str,
+    discovery: SocketAddr,
+    known: &str,
+    changes: &[Change],
+) -> MixerProcess {
     let at = free_address();
     let change = |text: String, (from, to): &Change| text.replace(from, to);
-    let text = changes.iter().fold(orders(&at.to_string(), discovery, known), change);
-    start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), held, file(name, &text), None, at)
+    let text = changes.iter().fold(mixer_config(&at.to_string(), discovery, known), change);
+    start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), held, temp_file(name, &text), None, at)
 }
 
 /// With lists that are pushed to this agent, whose first call is answered by the list: until then it is not ready. The
 /// call after that.
-fn mixer_pushed_to(name: &str, agent: Agent, known: &str) -> (Mixer, Agent, Call) {
-    let (discovery, first) = (agent.at(), known.to_string());
+fn mixer_pushed_to(
+    name: &str,
+    agent: ScriptedAgent,
+    known: &str,
+) -> (MixerProcess, ScriptedAgent, AgentRequest) {
+    let (discovery, first) = (agent.address(), known.to_string());
     let answers = std::thread::spawn(move || {
-        let watch = agent.call().answer(&first);
+        let watch = agent.next_request().respond(&first);
         (agent, watch)
     });
     let mixer = mixer(name, discovery, known, &[("\"tick\"", "\"discovery\":\"pushed\",\"tick\"")]);
@@ -48,40 +62,45 @@
 }
 
 fn patient(name: &str) -> String {
-    scan(name, &[0]).replace("X-Timeout: 4.0", "X-Timeout: 60.0")
+    scan_request(name, &[0]).replace("X-Timeout: 4.0", "X-Timeout: 60.0")
 }
 
 /// Everything that has come to the mixer before this is through once it has answered twice.
-fn settle(mixer: &Mixer) {
+fn settle(mixer: &MixerProcess) {
     for _ in 0..2 {
-        let mut client = mixer.client();
-        say(&mut client, HEALTH);
-        answer(&mut client);
+        let mut client = mixer.connect();
+        send(&mut client, HEALTH_REQUEST);
+        read_response(&mut client);
     }
 }
 
 /// The frames that a searcher read up to the part of this scan, and not that one.
 fn before(told: &Receiver<(u8, String)>, name: &str) -> Vec<(u8, String)> {
     let first = format!("{name}.");
-    let frame = || told.recv_timeout(PATIENCE).expect("the mixer serves on");
+    let frame = || told.recv_timeout(HANG_TIMEOUT).expect("the mixer serves on");
     std::iter::from_fn(|| Some(frame()).filter(|(_, rest)| !rest.starts_with(&first))).collect()
 }
 
-fn ask(mixer: &Mixer, name: &str) -> u16 {
-    let mut client = mixer.client();
-    say(&mut client, scan(name, &[0]));
-    answer(&mut client).0
+fn ask(mixer: &MixerProcess, name: &str) -> u16 {
+    let mut client = mixer.connect();
+    send(&mut client, scan_request(name, &[0]));
+    read_response(&mut client).0
 }
 
 #[test_case(false; "in order")]
 #[test_case(true; "by a reset")]
 fn a_request_whose_client_left_before_it_was_read_is_not_sent_on(resets: bool) {
-    let (address, told) = searcher(good);
-    let mixer = mixer(&format!("unread-{resets}"), agent(list(&[address])), &list(&[address]), &[]);
+    let (address, told) = start_searcher(answer_parts);
+    let mixer = mixer(
+        &format!("unread-{resets}"),
+        agent_with_list(searcher_list(&[address])),
+        &searcher_list(&[address]),
+        &[],
+    );
     assert_eq!(ask(&mixer, "warm"), 200, "the link is up: nothing holds a call back");
     mixer.signal("-STOP");
-    let mut client = mixer.client();
-    say(&mut client, scan("left", &[0]));
+    let mut client = mixer.connect();
+    send(&mut client, scan_request("left", &[0]));
     if resets {
         reset(client);
     } else {
@@ -96,35 +115,35 @@
 /// Its end stands behind more than may wait behind a request in work.
 #[test]
 fn a_client_that_sends_much_at_once_and_goes_is_seen_to_go() {
-    let (address, told) = searcher(mute);
-    let mixer = mixer("flood", agent(list(&[address])), &list(&[address]), &LONG);
-    let mut client = mixer.client();
-    say(&mut client, patient("first"));
-    assert_eq!(told.recv_timeout(PATIENCE).unwrap().0, b'm');
+    let (address, told) = start_searcher(ignore_frames);
+    let mixer = mixer("flood", agent_with_list(searcher_list(&[address])), &searcher_list(&[address]), &LONG);
+    let mut client = mixer.connect();
+    send(&mut client, patient("first"));
+    assert_eq!(told.recv_timeout(HANG_TIMEOUT).unwrap().0, b'm');
     let rest: String = (0..300).map(|number| patient(&format!("rest{number}"))).collect();
     assert!(rest.len() > 40_000);
-    say(&mut client, rest);
+    send(&mut client, rest);
     drop(client);
-    assert_eq!(told.recv_timeout(PATIENCE).unwrap(), (b'n', "first.0".into()));
-    let mut client = mixer.client();
-    say(&mut client, patient("mark"));
+    assert_eq!(told.recv_timeout(HANG_TIMEOUT).unwrap(), (b'n', "first.0".into()));
+    let mut client = mixer.connect();
+    send(&mut client, patient("mark"));
     assert_eq!(before(&told, "mark"), [], "nothing of what stood behind it");
 }
 
 /// And one that sends as much and stays has the answer to what it asked first, and then an end.
 #[test]
 fn a_client_that_sends_much_at_once_and_stays_has_its_answer() {
-    let (listener, queue) = late_port();
+    let (listener, queue) = listener_with_full_backlog();
     let address = listener.local_addr().unwrap();
     let late = [("\"dial_timeout\":250000", "\"dial_timeout\":15000000"), LONG[0], LONG[1]];
-    let mixer = mixer("stays", agent(list(&[address])), &list(&[address]), &late);
-    let mut client = mixer.client();
-    say(&mut client, patient("first") + &(0..200).map(|n| patient(&format!("rest{n}"))).collect::<String>());
+    let mixer = mixer("stays", agent_with_list(searcher_list(&[address])), &searcher_list(&[address]), &late);
+    let mut client = mixer.connect();
+    send(&mut client, patient("first") + &(0..200).map(|n| patient(&format!("rest{n}"))).collect::<String>());
     settle(&mixer);
     drop(queue);
-    let _told = searcher_on(listener, good);
-    assert_eq!(answer(&mut client).0, 200);
-    let rest = std::iter::from_fn(|| try_answer(&mut client).ok());
+    let _told = start_searcher_on(listener, answer_parts);
+    assert_eq!(read_response(&mut client).0, 200);
+    let rest = std::iter::from_fn(|| try_read_response(&mut client).ok());
     assert!(rest.take(2).count() < 2, "it ends, whatever stood behind");
 }
 
@@ -132,7 +151,7 @@
 #[test_case("true")]
 #[test_case("false")]
 fn what_waits_for_a_link_is_not_sent_once_its_client_has_left(may_call_off: &str) {
-    let (listener, queue) = late_port();
+    let (listener, queue) = listener_with_full_backlog();
     let address = listener.local_addr().unwrap();
     let cancel = format!("\"cancel\":{may_call_off}");
     let changes = [
@@ -141,16 +160,21 @@
         LONG[0],
         LONG[1],
     ];
-    let mixer = mixer(&format!("late-{may_call_off}"), agent(list(&[address])), &list(&[address]), &changes);
-    let (mut client, mut other) = (mixer.client(), mixer.client());
-    say(&mut client, patient("left"));
+    let mixer = mixer(
+        &format!("late-{may_call_off}"),
+        agent_with_list(searcher_list(&[address])),
+        &searcher_list(&[address]),
+        &changes,
+    );
+    let (mut client, mut other) = (mixer.connect(), mixer.connect());
+    send(&mut client, patient("left"));
     settle(&mixer);
     drop(client);
     settle(&mixer);
-    let told = searcher_on(listener, good);
+    let told = start_searcher_on(listener, answer_parts);
     drop(queue);
-    say(&mut other, patient("mark"));
-    assert_eq!(answer(&mut other).0, 200);
+    send(&mut other, patient("mark"));
+    assert_eq!(read_response(&mut other).0, 200);
     assert_eq!(before(&told, "mark"), []);
 }
 
@@ -165,9 +189,9 @@
 #[test_case(Ends::Closed)]
 #[test_case(Ends::Reset)]
 fn a_watch_that_ends_is_opened_anew_and_asks_for_what_is_there(ends: Ends) {
-    let ((drains, told), (stays, _told)) = (searcher(good), searcher(good));
-    let (agent, both) = (Agent::default(), list(&[drains, stays]));
-    let name = format!("watch-{}", agent.at().port());
+    let ((drains, told), (stays, _told)) = (start_searcher(answer_parts), start_searcher(answer_parts));
+    let (agent, both) = (ScriptedAgent::default(), searcher_list(&[drains, stays]));
+    let name = format!("watch-{}", agent.address().port());
     let (mixer, agent, watch) = mixer_pushed_to(&name, agent, &both);
     assert!(
         watch.path.starts_with("/v1/servers?after=1&wait_ms=") && !watch.path.ends_with("=0"),
@@ -175,7 +199,7 @@
         watch.path
     );
     let since = Instant::now();
-    let held: Option<Call> = match ends {
+    let held: Option<AgentRequest> = match ends {
         Ends::Silent => Some(watch),
         Ends::Closed => {
             drop(watch);
@@ -186,13 +210,13 @@
             None
         }
     };
-    let again = agent.call();
+    let again = agent.next_request();
     // What it misses counts as told six seconds after it fell silent.
     assert!(since.elapsed() < Duration::from_secs(5), "{:?}", since.elapsed());
     assert!(matches!(again.path.as_str(), "/v1/servers?after=1&wait_ms=0"), "{}", again.path);
     let row =
         format!(r#"{{"instanceId":"s0","hostPort":"{drains}","zone":"a","cell":0,"lifecycle":"DRAINING"}}"#);
-    let next = again.answer(&format!(r#"{{"generation":2,"reset":false,"instances":[{row}]}}"#));
+    let next = again.respond(&format!(r#"{{"generation":2,"reset":false,"instances":[{row}]}}"#));
     assert!(
         next.path.starts_with("/v1/servers?after=2&wait_ms=") && !next.path.ends_with("=0"),
         "{}",
@@ -209,79 +233,80 @@
 #[test_case(false, "/v1/servers?after=2&wait_ms=2500"; "ended")]
 #[test_case(true, "/v1/servers?after=1&wait_ms=0"; "reset")]
 fn an_answer_of_discovery_that_tells_no_length(resets: bool, next: &str) {
-    let (address, _told) = searcher(good);
-    let (agent, known) = (Agent::default(), list(&[address]));
+    let (address, _told) = start_searcher(answer_parts);
+    let (agent, known) = (ScriptedAgent::default(), searcher_list(&[address]));
     let (_mixer, agent, watch) = mixer_pushed_to(&format!("open-{resets}"), agent, &known);
-    let watch = watch.answer_open(r#"{"generation":2,"reset":false,"instances":[]}"#);
+    let watch = watch.respond_until_close(r#"{"generation":2,"reset":false,"instances":[]}"#);
     if resets {
         watch.reset();
     } else {
         drop(watch);
     }
-    assert_eq!(agent.call().path, next);
+    assert_eq!(agent.next_request().path, next);
 }
 
 /// A list of changes from before a drain does not take it back, not even until the whole list comes.
 #[test]
 fn changes_that_come_late_do_not_take_a_drain_back() {
-    let ((drains, told), (stays, _told)) = (searcher(good), searcher(good));
-    let (agent, both) = (Agent::default(), list(&[drains, stays]));
-    let mixer = mixer("older", agent.at(), &both, &[]);
+    let ((drains, told), (stays, _told)) = (start_searcher(answer_parts), start_searcher(answer_parts));
+    let (agent, both) = (ScriptedAgent::default(), searcher_list(&[drains, stays]));
+    let mixer = mixer("older", agent.address(), &both, &[]);
     let row = |word| {
         format!(r#"{{"instanceId":"s0","hostPort":"{drains}","zone":"a","cell":0,"lifecycle":"{word}"}}"#)
     };
     let changes =
         |version, word| format!(r#"{{"generation":{version},"reset":false,"instances":[{}]}}"#, row(word));
-    let call = agent.call().answer(&both).answer(&changes(9, "DRAINING")).answer(&changes(8, "SERVING"));
+    let call =
+        agent.next_request().respond(&both).respond(&changes(9, "DRAINING")).respond(&changes(8, "SERVING"));
     assert_eq!(call.path, "/v1/servers", "the whole list is asked for");
-    let mut client = mixer.client();
-    say(&mut client, scan("a", &[0, 1, 2, 3]));
-    assert_eq!(answer(&mut client).0, 200);
+    let mut client = mixer.connect();
+    send(&mut client, scan_request("a", &[0, 1, 2, 3]));
+    assert_eq!(read_response(&mut client).0, 200);
     assert!(told.try_recv().is_err());
 }
 
 /// Who is sent off to make room has begun to ask just then: its request stands unread.
 #[test]
 fn a_request_that_crosses_with_its_client_being_sent_off_is_answered() {
-    let (address, _told) = searcher(good);
+    let (address, _told) = start_searcher(answer_parts);
     let mixer = mixer(
         "crosses",
-        agent(list(&[address])),
-        &list(&[address]),
+        agent_with_list(searcher_list(&[address])),
+        &searcher_list(&[address]),
         &[("\"sockets\":256", "\"sockets\":64")],
     );
-    let mut longest = mixer.client();
-    say(&mut longest, HEALTH);
-    answer(&mut longest);
+    let mut longest = mixer.connect();
+    send(&mut longest, HEALTH_REQUEST);
+    read_response(&mut longest);
     std::thread::sleep(Duration::from_millis(150));
     // Every place is taken, by none that is idle for as long.
-    let crowd: Vec<Client> = (0..24).map(|_| mixer.client()).collect();
+    let crowd: Vec<Client> = (0..24).map(|_| mixer.connect()).collect();
     mixer.signal("-STOP");
-    let newcomers: Vec<Client> = (0..3).map(|_| mixer.client()).collect();
-    say(&mut longest, scan("a", &[0]));
+    let newcomers: Vec<Client> = (0..3).map(|_| mixer.connect()).collect();
+    send(&mut longest, scan_request("a", &[0]));
     mixer.signal("-CONT");
-    assert_eq!(answer(&mut longest).0, 200);
+    assert_eq!(read_response(&mut longest).0, 200);
     drop((crowd, newcomers));
 }
 
 /// Half a request at the last call, the rest after it: whoever stops the mixer waits for it no more.
 #[test]
 fn a_request_that_is_whole_after_the_last_call_is_turned_away_at_once() {
-    let (address, told) = searcher(mute);
-    let mut mixer = mixer("last", free_address(), &list(&[address]), &LONG);
-    let (mut half, mut other) = (mixer.client(), mixer.client());
+    let (address, told) = start_searcher(ignore_frames);
+    let mut mixer = mixer("last", free_address(), &searcher_list(&[address]), &LONG);
+    let (mut half, mut other) = (mixer.connect(), mixer.connect());
     let asked = patient("a");
     let (begun, rest) = asked.split_at(60);
-    say(&mut half, begun);
-    say(&mut other, HEALTH);
-    answer(&mut other);
+    send(&mut half, begun);
+    send(&mut other, HEALTH_REQUEST);
+    read_response(&mut other);
     settle(&mixer);
     mixer.signal("-TERM");
     assert_eq!(other.read(&mut [0]).unwrap(), 0, "the stop has begun");
-    let mut late = mixer.client();
+    let mut late = mixer.connect();
     assert_eq!(late.read(&mut [0]).unwrap(), 0, "the last call has been");
-    say(&mut half, rest);
-    let (status, head, _) = answer(&mut half);
+    send(&mut half, rest);
+    let (status, head, _) = read_response(&mut half);
     assert!(status == 503 && head.contains("Connection: close"), "{head}");
     assert!(told.try_recv().is_err());
     assert!(mixer.child.wait().unwrap().success());
@@ -290,22 +315,22 @@
 /// Who stands in the listener's queue as the door is shut was taken in by the system: a request of theirs is answered.
 #[test]
 fn those_in_the_queue_of_a_listener_that_is_shut_are_answered() {
-    let (address, _told) = searcher(good);
-    let mut mixer = mixer("queue", free_address(), &list(&[address]), &[]);
-    let mut idle = mixer.client();
-    say(&mut idle, HEALTH);
-    answer(&mut idle);
+    let (address, _told) = start_searcher(answer_parts);
+    let mut mixer = mixer("queue", free_address(), &searcher_list(&[address]), &[]);
+    let mut idle = mixer.connect();
+    send(&mut idle, HEALTH_REQUEST);
+    read_response(&mut idle);
     std::thread::sleep(Duration::from_millis(150));
     mixer.signal("-TERM");
     assert_eq!(idle.read(&mut [0]).unwrap(), 0, "the stop has begun");
     mixer.signal("-STOP");
-    let mut queued: Vec<Client> = (0..5).map(|_| mixer.client()).collect();
-    queued.iter_mut().zip(0..).for_each(|(client, at)| say(client, scan(&format!("q{at}"), &[0])));
+    let mut queued: Vec<Client> = (0..5).map(|_| mixer.connect()).collect();
+    queued.iter_mut().zip(0..).for_each(|(client, at)| send(client, scan_request(&format!("q{at}"), &[0])));
     // Until the door is long overdue to be shut.
     std::thread::sleep(Duration::from_millis(900));
     mixer.signal("-CONT");
     for client in &mut queued {
-        let (status, head, _) = answer(client);
+        let (status, head, _) = read_response(client);
         assert!(matches!(status, 200 | 503) && head.contains("Connection: close"), "{head}");
     }
     assert!(mixer.child.wait().unwrap().success());
@@ -316,13 +341,13 @@
 #[test_case(true, 502; "once it may have run")]
 #[test_case(false, 503; "while it can't have run")]
 fn an_edit_is_called_harmless_to_ask_again_only_where_it_cannot_have_run(reached: bool, says: u16) {
-    let (address, told) = searcher(|letter, _| (letter != b'm').then(Vec::new));
+    let (address, told) = start_searcher(|letter, _| (letter != b'm').then(Vec::new));
     let nobody = free_address();
-    let known = list(&[if reached { address } else { nobody }]);
+    let known = searcher_list(&[if reached { address } else { nobody }]);
     let mixer = mixer(&format!("edit-{reached}"), free_address(), &known, &[]);
-    let mut client = mixer.client();
-    say(&mut client, scan_of("fix", "x", "e", &[0]));
-    let status = answer(&mut client).0;
+    let mut client = mixer.connect();
+    send(&mut client, scan_request_of("fix", "x", "e", &[0]));
+    let status = read_response(&mut client).0;
     assert_eq!(status == 503, says == 503, "{status}");
     assert_eq!(told.try_iter().filter(|(letter, _)| *letter == b'm').count(), usize::from(reached));
 }
@@ -331,8 +356,8 @@
 /// late. Judged by the searcher's clock: none is sent on 0.3 s after its client has left.
 #[test]
 fn of_many_clients_that_leave_while_they_wait_none_is_sent_on_late() {
-    let (address, told) = searcher(mute);
-    let (listener, queue) = late_port();
+    let (address, told) = start_searcher(ignore_frames);
+    let (listener, queue) = listener_with_full_backlog();
     let late = listener.local_addr().unwrap();
     let row = |name: &str, at: SocketAddr, cell: u32| {
         format!(
@@ -351,46 +376,47 @@
         LONG[0],
         LONG[1],
     ];
-    let mixer = mixer_within(32, "leavers", agent(known.clone()), &known, &changes);
-    let of_shard = |name: &str, shard: u32| scan(name, &[shard]).replace("X-Timeout: 4.0", "X-Timeout: 60.0");
+    let mixer = mixer_within(32, "leavers", agent_with_list(known.clone()), &known, &changes);
+    let of_shard =
+        |name: &str, shard: u32| scan_request(name, &[shard]).replace("X-Timeout: 4.0", "X-Timeout: 60.0");
     let mut left: BTreeMap<String, Instant> = BTreeMap::new();
     // For a link that is late.
     for number in 0..10 {
-        let mut client = mixer.client();
-        say(&mut client, of_shard(&format!("late{number}"), 1));
+        let mut client = mixer.connect();
+        send(&mut client, of_shard(&format!("late{number}"), 1));
         settle(&mixer);
         left.insert(format!("late{number}"), Instant::now());
     }
     // Behind much of their own.
     for number in 0..3 {
-        let mut client = mixer.client();
+        let mut client = mixer.connect();
         let name = format!("deep{number}");
         let behind = (0..150).map(|at| of_shard(&format!("{name}x{at}"), 0));
-        say(&mut client, of_shard(&name, 0) + &behind.collect::<String>());
-        while told.recv_timeout(PATIENCE).unwrap().1.split('.').next() != Some(&name) {}
+        send(&mut client, of_shard(&name, 0) + &behind.collect::<String>());
+        while told.recv_timeout(HANG_TIMEOUT).unwrap().1.split('.').next() != Some(&name) {}
         left.extend((0..150).map(|at| (format!("{name}x{at}"), Instant::now())));
     }
     // On the porch: all places are taken by who waits for an answer.
     let busy: Vec<Client> = (0..8)
         .map(|number| {
-            let mut client = mixer.client();
-            say(&mut client, of_shard(&format!("busy{number}"), 0));
+            let mut client = mixer.connect();
+            send(&mut client, of_shard(&format!("busy{number}"), 0));
             client
         })
         .collect();
-    while told.recv_timeout(PATIENCE).unwrap().1.split('.').next() != Some("busy7") {}
-    let mut client = mixer.client();
-    say(&mut client, of_shard("porch", 0));
+    while told.recv_timeout(HANG_TIMEOUT).unwrap().1.split('.').next() != Some("busy7") {}
+    let mut client = mixer.connect();
+    send(&mut client, of_shard("porch", 0));
     drop(client);
     left.insert("porch".into(), Instant::now());
     drop(busy);
-    let (searcher, _) = (searcher_on(listener, good), drop(queue));
-    let mut marks = mixer.client();
-    say(&mut marks, of_shard("mark", 1));
-    assert_eq!(answer(&mut marks).0, 200);
-    say(&mut marks, of_shard("end", 0));
+    let (searcher, _) = (start_searcher_on(listener, answer_parts), drop(queue));
+    let mut marks = mixer.connect();
+    send(&mut marks, of_shard("mark", 1));
+    assert_eq!(read_response(&mut marks).0, 200);
+    send(&mut marks, of_shard("end", 0));
     let (mut sent, mut sent_late) = (0, 0);
-    let frames = std::iter::from_fn(|| told.recv_timeout(PATIENCE).ok())
+    let frames = std::iter::from_fn(|| told.recv_timeout(HANG_TIMEOUT).ok())
         .take_while(|(_, rest)| !rest.starts_with("end."));
     for (letter, rest) in frames.chain(before(&searcher, "mark")) {
         let at = left.get(rest.split('.').next().unwrap_or_default());
--- a/crates/mixer/tests/figures.rs
+++ b/crates/mixer/tests/figures.rs
@@ -1,10 +1,10 @@
 //! What the built mixer tells of itself: to whom it may, in a form that the conductor reads, with sums that add up.
 
 use fernglade_rollout::told::{Sums, Told};
-use fernglade_standins::child::{file, free_address, orders, start, Mixer};
-use fernglade_standins::client::{answer, say, scan, scan_of};
-use fernglade_standins::discovery::{agent, list};
-use fernglade_standins::searcher::{frame, searcher};
+use fernglade_standins::child::{free_address, mixer_config, start_mixer, temp_file, MixerProcess};
+use fernglade_standins::client::{read_response, scan_request, scan_request_of, send};
+use fernglade_standins::discovery::{agent_with_list, searcher_list};
+use fernglade_standins::searcher::{frame, start_searcher};
 use std::path::Path;
 use std::thread::sleep;
 use std::time::Duration;
@@ -21,23 +21,26 @@
     })
 }
 
-fn mixer(operator: &str) -> Mixer {
-    let (at, there) = (free_address(), list(&[searcher(by_shard).0]));
+fn mixer(operator: &str) -> MixerProcess {
+    let (at, there) = (free_address(), searcher_list(&[start_searcher(by_shard).0]));
     let name = at.ip().to_string();
-    let orders = file(&format!("{name}.json"), &orders(&at.to_string(), agent(there.clone()), &there));
-    let operator = file(&format!("{name}.json5"), operator);
-    start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at)
+    let orders = temp_file(
+        &format!("{name}.json"),
+        &mixer_config(&at.to_string(), agent_with_list(there.clone()), &there),
+    );
+    let operator = temp_file(&format!("{name}.json5"), operator);
+    start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at)
 }
 
-fn told(mixer: &Mixer) -> Told {
-    let mut client = mixer.client();
-    say(&mut client, ASK);
-    let (status, head, body) = answer(&mut client);
+fn told(mixer: &MixerProcess) -> Told {
+    let mut client = mixer.connect();
+    send(&mut client, ASK);
+    let (status, head, body) = read_response(&mut client);
     assert!(status == 200 && head.contains("openmetrics"), "{head}");
     Told::read(&body).unwrap_or_else(|why| panic!("{why}: {body}"))
 }
 
-fn until(mixer: &Mixer, what: impl Fn(&Told) -> bool) -> Told {
+fn until(mixer: &MixerProcess, what: impl Fn(&Told) -> bool) -> Told {
     for _ in 0..200 {
         let told = told(mixer);
         assert_eq!(told.wrong_sum(), None, "{told:?}");
@@ -52,22 +55,22 @@
 #[test]
 fn each_scan_is_in_exactly_one_sum_however_it_ends() {
     let mixer = mixer("{ figures: { to: ['127.0.0.0/8'] } }");
-    let mut client = mixer.client();
-    say(&mut client, scan("a", &[0]));
-    assert_eq!(answer(&mut client).0, 200);
+    let mut client = mixer.connect();
+    send(&mut client, scan_request("a", &[0]));
+    assert_eq!(read_response(&mut client).0, 200);
     // A lookup that errs is harmless to ask again; an edit that errs may have run.
-    say(&mut client, scan("b", &[1]));
-    assert_eq!(answer(&mut client).0, 503);
-    say(&mut client, scan_of("fix", "x", "c", &[1]));
-    assert_eq!(answer(&mut client).0, 502);
+    send(&mut client, scan_request("b", &[1]));
+    assert_eq!(read_response(&mut client).0, 503);
+    send(&mut client, scan_request_of("fix", "x", "c", &[1]));
+    assert_eq!(read_response(&mut client).0, 502);
     // One whose client leaves while it is open, and one that is open still.
-    let mut leaves = mixer.client();
-    say(&mut leaves, scan("d", &[2]));
+    let mut leaves = mixer.connect();
+    send(&mut leaves, scan_request("d", &[2]));
     until(&mixer, |told| told.types["look"].open == 1);
     drop(leaves);
     until(&mixer, |told| told.types["look"].failed == 1);
-    let mut stays = mixer.client();
-    say(&mut stays, scan("e", &[2]));
+    let mut stays = mixer.connect();
+    send(&mut stays, scan_request("e", &[2]));
     let told = until(&mixer, |told| told.types["look"].open == 1);
     let is = |sums: &Sums| (sums.taken, sums.served, sums.refused, sums.failed, sums.open);
     assert_eq!(is(&told.types["look"]), (4, 1, 1, 1, 1));
@@ -80,7 +83,7 @@
 }
 
 /// The shell that set the limit became the mixer.
-fn mixer_process(mixer: &Mixer) -> u32 {
+fn mixer_process(mixer: &MixerProcess) -> u32 {
     mixer.child.id()
 }
 
@@ -110,11 +113,11 @@
 fn nobody_else_is_told_anything() {
     for operator in ["{}", "{ figures: { to: ['10.0.0.0/8'] } }"] {
         let mixer = mixer(operator);
-        let mut client = mixer.client();
-        say(&mut client, ASK);
-        let (status, _, body) = answer(&mut client);
+        let mut client = mixer.connect();
+        send(&mut client, ASK);
+        let (status, _, body) = read_response(&mut client);
         assert!(status == 405 && !body.contains("fernglade"), "{body}");
-        say(&mut client, scan("a", &[0]));
-        assert_eq!(answer(&mut client).0, 200, "and may ask on");
+        send(&mut client, scan_request("a", &[0]));
+        assert_eq!(read_response(&mut client).0, 200, "and may ask on");
     }
 }
--- a/crates/mixer/tests/fleet.rs
+++ b/crates/mixer/tests/fleet.rs
@@ -1,11 +1,11 @@
 //! Several processes of the built mixer before one set of searchers, with faults on the links between them. Judged by
 //! the rules, which must hold on every day, and by wide ratios of what was served; times only bound a day.
 
-use fernglade_standins::child::{file, free_address, orders, start};
-use fernglade_standins::client::{answer, say, scan};
-use fernglade_standins::discovery::{agent, list};
+use fernglade_standins::child::{free_address, mixer_config, start_mixer, temp_file};
+use fernglade_standins::client::{read_response, scan_request, send};
+use fernglade_standins::discovery::{agent_with_list, searcher_list};
 use fernglade_standins::fleet::{play, Breach, Day, Figures};
-use fernglade_standins::searcher::{good, searcher};
+use fernglade_standins::searcher::{answer_parts, start_searcher};
 use std::path::{Path, PathBuf};
 use std::sync::OnceLock;
 use test_case::test_case;
@@ -37,7 +37,7 @@
 /// An operator's file in which the fleet sheds as one. Written once: a mixer of another day may be reading it.
 fn as_one() -> &'static Path {
     static FILE: OnceLock<PathBuf> = OnceLock::new();
-    FILE.get_or_init(|| file("as-one.json5", "{ shedding: { as_one: true } }"))
+    FILE.get_or_init(|| temp_file("as-one.json5", "{ shedding: { as_one: true } }"))
 }
 
 /// What each trouble may cost at the most is wide: a machine that builds at the same time is slow.
@@ -94,13 +94,13 @@
     let types = (0..half(56)).map(|number| head[table + number * half(54)]);
     assert!(head.starts_with(b"\x7fELF") && types.collect::<Vec<u8>>().contains(&3), "no loader is named");
     let at = free_address();
-    let there = list(&[searcher(good).0]);
-    let text = orders(&at.to_string(), agent(there.clone()), &there);
-    let mixer = start(program, 256, file("alone.json", &text), None, at);
-    let mut client = mixer.client();
+    let there = searcher_list(&[start_searcher(answer_parts).0]);
+    let text = mixer_config(&at.to_string(), agent_with_list(there.clone()), &there);
+    let mixer = start_mixer(program, 256, temp_file("alone.json", &text), None, at);
+    let mut client = mixer.connect();
     for number in 0..20 {
-        say(&mut client, scan(&format!("a{number}"), &[0, 1]));
-        assert_eq!(answer(&mut client).0, 200);
+        send(&mut client, scan_request(&format!("a{number}"), &[0, 1]));
+        assert_eq!(read_response(&mut client).0, 200);
     }
     let process = format!("/proc/{}", mixer.child.id());
     let threads: Vec<_> = std::fs::read_dir(format!("{process}/task")).unwrap().flatten().collect();
@@ -177,7 +177,7 @@
             { name: "fix", rate: 10, parts: 1, work: "5ms", quoted: "600ms", abandon: "1500ms", repeat: "irreversible", credit: 2 },
           ],
           troubles: [{ what: 'cut', at: '2s', lasts: '3s', searchers: [0, 7, 14] }] }"#;
-    let asks = file("asks.json5", "{ searchers: { checks_beside_queue: true } }");
+    let asks = temp_file("asks.json5", "{ searchers: { checks_beside_queue: true } }");
     let (figures, breaches) = played_by(&Day::read(text).unwrap(), 31, Some(&asks));
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
     assert!(figures.whole().sent_over_asked() <= 1.2 && figures.between(2, 5).share() >= 0.7, "{figures}");
@@ -188,7 +188,7 @@
 fn in_sum() -> &'static Path {
     static FILE: OnceLock<PathBuf> = OnceLock::new();
     let sums = "fleet: { relays_in_sum: true, asks_in_sum: true }, searchers: { checks_beside_queue: true }";
-    FILE.get_or_init(|| file("in-sum.json5", &format!("{{ {sums} }}")))
+    FILE.get_or_init(|| temp_file("in-sum.json5", &format!("{{ {sums} }}")))
 }
 
 /// One of eighteen searchers falls silent, checks too. Six mixers ask it in turns: each once as it finds it by a late part,
--- a/crates/mixer/tests/late_connections.rs
+++ b/crates/mixer/tests/late_connections.rs
@@ -1,9 +1,9 @@
 //! Connections to searchers that come up late, or never.
 
-use fernglade_standins::child::{file, free_address, orders, start, Mixer};
-use fernglade_standins::client::{answer, say, scan};
-use fernglade_standins::discovery::{agent, list};
-use fernglade_standins::searcher::{counting_searcher_on, good, late_port};
+use fernglade_standins::child::{free_address, mixer_config, start_mixer, temp_file, MixerProcess};
+use fernglade_standins::client::{read_response, scan_request, send};
+use fernglade_standins::discovery::{agent_with_list, searcher_list};
+use fernglade_standins::searcher::{answer_parts, listener_with_full_backlog, start_counting_searcher_on};
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
 use std::thread;
@@ -12,25 +12,25 @@
 /// `limits.dial_timeout` of the orders.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(250);
 
-fn mixer(name: &str, searcher: SocketAddr) -> Mixer {
-    let (at, known) = (free_address(), list(&[searcher]));
-    let text = orders(&at.to_string(), agent(known.clone()), &known);
+fn mixer(name: &str, searcher: SocketAddr) -> MixerProcess {
+    let (at, known) = (free_address(), searcher_list(&[searcher]));
+    let text = mixer_config(&at.to_string(), agent_with_list(known.clone()), &known);
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    start(program, 1024, file(&format!("late-{name}.json"), &text), None, at)
+    start_mixer(program, 1024, temp_file(&format!("late-{name}.json"), &text), None, at)
 }
 
 /// A connection whose first packet was lost: the system sends it again after a second, when nobody waits any more.
 #[test]
 fn a_connection_that_is_late_is_tried_again_at_once() {
-    let (listener, queue) = late_port();
+    let (listener, queue) = listener_with_full_backlog();
     let mixer = mixer("once", listener.local_addr().expect("its address"));
-    let mut client = mixer.client();
-    say(&mut client, scan("late", &[0, 1]));
+    let mut client = mixer.connect();
+    send(&mut client, scan_request("late", &[0, 1]));
     let asked = Instant::now();
     thread::sleep(Duration::from_millis(10));
     drop(queue);
-    let _searcher = counting_searcher_on(listener, good);
-    assert_eq!(answer(&mut client).0, 200);
+    let _searcher = start_counting_searcher_on(listener, answer_parts);
+    assert_eq!(read_response(&mut client).0, 200);
     assert!(asked.elapsed() < DIAL_TIMEOUT, "{:?}", asked.elapsed());
 }
 
@@ -39,12 +39,12 @@
 fn connections_that_come_up_in_time_are_made_once() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
     let address = listener.local_addr().expect("its address");
-    let (_told, accepted) = counting_searcher_on(listener, good);
+    let (_told, accepted) = start_counting_searcher_on(listener, answer_parts);
     let mixer = mixer("in-time", address);
-    let mut client = mixer.client();
+    let mut client = mixer.connect();
     for number in 0..20 {
-        say(&mut client, scan(&format!("r{number}"), &[0, 1]));
-        assert_eq!(answer(&mut client).0, 200);
+        send(&mut client, scan_request(&format!("r{number}"), &[0, 1]));
+        assert_eq!(read_response(&mut client).0, 200);
     }
     thread::sleep(DIAL_TIMEOUT);
     assert_eq!(accepted.load(std::sync::atomic::Ordering::Relaxed), 1);
--- a/crates/mixer/tests/log.rs
+++ b/crates/mixer/tests/log.rs
@@ -2,10 +2,10 @@
 //! error by a call that blocks while the pipe there is full, on the one thread that does all else. What showed it: a
 //! trace of the program, which stands in `write(2, ...)`.
 
-use fernglade_standins::child::{file, free_address, orders, start_with_log, Mixer};
-use fernglade_standins::client::{answer, say, scan};
-use fernglade_standins::discovery::{agent, list};
-use fernglade_standins::searcher::{good, searcher};
+use fernglade_standins::child::{free_address, mixer_config, start_with_log, temp_file, MixerProcess};
+use fernglade_standins::client::{read_response, scan_request, send};
+use fernglade_standins::discovery::{agent_with_list, searcher_list};
+use fernglade_standins::searcher::{answer_parts, start_searcher};
 use std::io::{pipe, BufRead, BufReader, PipeReader, Write};
 use std::path::Path;
 use std::process::Stdio;
@@ -24,15 +24,15 @@
     (reader, writer.into())
 }
 
-fn mixer(name: &str, log: Stdio) -> Mixer {
-    let (address, _told) = searcher(good);
-    let (at, known) = (free_address(), list(&[address]));
-    let text = orders(&at.to_string(), agent(known.clone()), &known);
+fn mixer(name: &str, log: Stdio) -> MixerProcess {
+    let (address, _told) = start_searcher(answer_parts);
+    let (at, known) = (free_address(), searcher_list(&[address]));
+    let text = mixer_config(&at.to_string(), agent_with_list(known.clone()), &known);
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    start_with_log(program, file(&format!("log-{name}.json"), &text), at, log)
+    start_with_log(program, temp_file(&format!("log-{name}.json"), &text), at, log)
 }
 
-fn ends_in_time(mixer: &mut Mixer) -> bool {
+fn ends_in_time(mixer: &mut MixerProcess) -> bool {
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(3) {
         if mixer.child.try_wait().is_ok_and(|ended| ended.is_some()) {
@@ -47,10 +47,10 @@
 fn a_log_that_nobody_reads_holds_nobody_up() {
     let (_reader, log) = full_pipe();
     let mut mixer = mixer("full", log);
-    let mut client = mixer.client();
+    let mut client = mixer.connect();
     for number in 0..50 {
-        say(&mut client, scan(&format!("r{number}"), &[0, 1]));
-        assert_eq!(answer(&mut client).0, 200, "request {number}");
+        send(&mut client, scan_request(&format!("r{number}"), &[0, 1]));
+        assert_eq!(read_response(&mut client).0, 200, "request {number}");
         if number % 10 == 0 {
             mixer.signal("-HUP");
         }
@@ -82,9 +82,9 @@
     let (reader, writer) = pipe().expect("a pipe");
     drop(reader);
     let mut mixer = mixer("gone", writer.into());
-    let mut client = mixer.client();
-    say(&mut client, scan("r0", &[0, 1]));
-    assert_eq!(answer(&mut client).0, 200);
+    let mut client = mixer.connect();
+    send(&mut client, scan_request("r0", &[0, 1]));
+    assert_eq!(read_response(&mut client).0, 200);
     drop(client);
     mixer.signal("-TERM");
     assert!(ends_in_time(&mut mixer), "it stops as usual");
--- a/crates/mixer/tests/scale.rs
+++ b/crates/mixer/tests/scale.rs
@@ -1,9 +1,9 @@
 //! Sixteen times the searchers: what a mixer needs may grow a little, and every request is answered.
 
-use fernglade_standins::child::{file, free_address, orders, start, Mixer};
-use fernglade_standins::client::{say, scan, try_answer, Client};
-use fernglade_standins::discovery::Agent;
-use fernglade_standins::searcher::{counting_searcher_on, good};
+use fernglade_standins::child::{free_address, mixer_config, start_mixer, temp_file, MixerProcess};
+use fernglade_standins::client::{scan_request, send, try_read_response, Client};
+use fernglade_standins::discovery::ScriptedAgent;
+use fernglade_standins::searcher::{answer_parts, start_counting_searcher_on};
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
 use std::sync::atomic::Ordering;
@@ -46,8 +46,8 @@
 fn needs(searchers: u32, cells: u32) -> Needs {
     let listener = TcpListener::bind("0.0.0.0:0").expect("a port");
     let port = listener.local_addr().expect("its address").port();
-    let (_told, accepted) = counting_searcher_on(listener, good);
-    let agent = Agent::default();
+    let (_told, accepted) = start_counting_searcher_on(listener, answer_parts);
+    let agent = ScriptedAgent::default();
     let rows: Vec<String> = (0..searchers).map(|number| row(number, cells, port, "SERVING")).collect();
     let whole = list(1, true, &rows);
     let at = free_address();
@@ -56,30 +56,30 @@
         ("\"slabs\":4", "\"slabs\":128".into()),
         ("\"fleet_size\":1", format!("\"fleet_size\":{}", if searchers > USUAL { 900 } else { 300 })),
     ];
-    let text = orders(&at.to_string(), agent.at(), &whole);
+    let text = mixer_config(&at.to_string(), agent.address(), &whole);
     let text = change.iter().fold(text, |text, (from, to)| text.replace(from, to));
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    let mixer = start(program, 4096, file(&format!("scale-{port}.json"), &text), None, at);
+    let mixer = start_mixer(program, 4096, temp_file(&format!("scale-{port}.json"), &text), None, at);
     let (tell, has_list) = channel();
     let replacing = thread::spawn(move || {
-        let mut call = agent.call().answer(&whole);
+        let mut call = agent.next_request().respond(&whole);
         tell.send(()).expect("it is waited for");
         for replaced in 0..REQUESTS / PER_SECOND * 2 {
             thread::sleep(Duration::from_millis(500));
             let (old, new) = (replaced * 7 % searchers, searchers + replaced);
             let new = row(new, cells, port, "SERVING")
                 .replace(&format!("\"cell\":{}", new % cells), &format!("\"cell\":{}", old % cells));
-            call = call.answer(&list(2 + replaced, false, &[row(old, cells, port, "DELETED"), new]));
+            call = call.respond(&list(2 + replaced, false, &[row(old, cells, port, "DELETED"), new]));
         }
         call
     });
     has_list.recv().expect("the mixer asks for what is newer");
-    let (_, before, _) = mixer.descriptors_time_memory();
+    let (_, before, _) = mixer.resource_usage();
     let connected_before = accepted.load(Ordering::Relaxed);
     let process = mixer.child.id();
     let mean_open = thread::spawn(move || mean_open(process));
     let unanswered = ask_all(&mixer);
-    let (_, after, kilobytes) = mixer.descriptors_time_memory();
+    let (_, after, kilobytes) = mixer.resource_usage();
     let descriptors = mean_open.join().expect("it counts");
     drop(replacing.join().expect("the mixer asks on"));
     let processor = Duration::from_millis((after - before) * 10);
@@ -98,20 +98,20 @@
 }
 
 /// Each client asks at times of its own; how many had no answer of 200.
-fn ask_all(mixer: &Mixer) -> usize {
+fn ask_all(mixer: &MixerProcess) -> usize {
     let began = Instant::now();
     let ask = move |at: u32, mut client: Client| {
         let mut unanswered = 0;
         for number in (at..REQUESTS).step_by(CLIENTS as usize) {
             thread::sleep((Duration::from_secs(1) * number / PER_SECOND).saturating_sub(began.elapsed()));
             let shards: Vec<u32> = (0..8).map(|part| (number * 8 + part * 5) % 128).collect();
-            say(&mut client, scan(&format!("r{number}"), &shards));
-            unanswered += usize::from(!try_answer(&mut client).is_ok_and(|answer| answer.0 == 200));
+            send(&mut client, scan_request(&format!("r{number}"), &shards));
+            unanswered += usize::from(!try_read_response(&mut client).is_ok_and(|answer| answer.0 == 200));
         }
         unanswered
     };
     let clients: Vec<_> = (0..CLIENTS)
-        .map(|at| (at, mixer.client()))
+        .map(|at| (at, mixer.connect()))
         .map(|(at, client)| thread::spawn(move || ask(at, client)))
         .collect();
     clients.into_iter().map(|client| client.join().expect("a client")).sum()
--- a/crates/mixer/tests/signals.rs
+++ b/crates/mixer/tests/signals.rs
@@ -4,10 +4,12 @@
 //! What showed it: of 12 lives with one socket write in five short or interrupted, SIGTERM had no effect in 5, and no
 //! line in the log told why; without such faults it had in all.
 
-use fernglade_standins::child::{file, free_address, orders, start_with_system_faults, Mixer, SystemFault};
-use fernglade_standins::client::{say, HEALTH};
-use fernglade_standins::discovery::{agent, list};
-use fernglade_standins::searcher::{good, searcher};
+use fernglade_standins::child::{
+    free_address, mixer_config, start_with_syscall_faults, temp_file, MixerProcess, SyscallFault,
+};
+use fernglade_standins::client::{send, HEALTH_REQUEST};
+use fernglade_standins::discovery::{agent_with_list, searcher_list};
+use fernglade_standins::searcher::{answer_parts, start_searcher};
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -19,7 +21,7 @@
 
 /// One life of a mixer: the fault, how many configurations come, and the signal that ends it.
 struct Life {
-    fault: SystemFault,
+    fault: SyscallFault,
     configurations: usize,
     end: &'static str,
 }
@@ -42,7 +44,7 @@
             // interrupted one until it is not: where each is, the program stands at its own log for good.
             let wakes = matches!(call, "sendto" | "recvfrom");
             let whens = ONE_IN.iter().copied().chain(wakes.then_some(FROM_THE_EIGHTH));
-            faults.extend(whens.map(|when| SystemFault { call, error, when }));
+            faults.extend(whens.map(|when| SyscallFault { call, error, when }));
         }
     }
     let lives = faults.iter().copied().cycle().take(50).enumerate();
@@ -50,12 +52,12 @@
     lives.map(|(number, fault)| Life { fault, configurations: number % 12, end: end(number) }).collect()
 }
 
-fn log_of(mixer: &Mixer) -> String {
+fn log_of(mixer: &MixerProcess) -> String {
     std::fs::read_to_string(&mixer.files[1]).expect("its log")
 }
 
 /// Whether so many lines with these words stand in the log in time.
-fn told(mixer: &Mixer, words: &str, times: usize) -> bool {
+fn told(mixer: &MixerProcess, words: &str, times: usize) -> bool {
     let began = Instant::now();
     loop {
         if log_of(mixer).matches(words).count() >= times {
@@ -70,15 +72,15 @@
 
 /// What of this life's signals had no effect in time.
 fn live(number: usize, life: &Life) -> Vec<String> {
-    let (address, _told) = searcher(good);
-    let (at, known) = (free_address(), list(&[address]));
-    let text = orders(&at.to_string(), agent(known.clone()), &known);
+    let (address, _told) = start_searcher(answer_parts);
+    let (at, known) = (free_address(), searcher_list(&[address]));
+    let text = mixer_config(&at.to_string(), agent_with_list(known.clone()), &known);
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    let orders = file(&format!("signals-{number}.json"), &text);
-    let mixer = start_with_system_faults(program, orders, at, &[life.fault]);
+    let orders = temp_file(&format!("signals-{number}.json"), &text);
+    let mixer = start_with_syscall_faults(program, orders, at, &[life.fault]);
     // Some writes and reads more, so that the faults have begun.
-    let mut clients: Vec<_> = (0..8).map(|_| mixer.client()).collect();
-    clients.iter_mut().for_each(|client| say(client, HEALTH));
+    let mut clients: Vec<_> = (0..8).map(|_| mixer.connect()).collect();
+    clients.iter_mut().for_each(|client| send(client, HEALTH_REQUEST));
     let mut without_effect = Vec::new();
     for configuration in 1..=life.configurations {
         thread::sleep(Duration::from_millis(50));
@@ -102,7 +104,7 @@
     for (number, life) in lives.iter().enumerate() {
         let without_effect = live(number, life);
         if !without_effect.is_empty() {
-            let SystemFault { call, error, when } = life.fault;
+            let SyscallFault { call, error, when } = life.fault;
             lost.push(format!("life {number}, {call} {error} {when}: {}", without_effect.join(", ")));
         }
     }
--- a/crates/mixer/tests/soak.rs
+++ b/crates/mixer/tests/soak.rs
@@ -3,11 +3,11 @@
 //! that fail. SOAK_SEEDS=A..B plays others.
 
 use fernglade_standins::child::{
-    file, free_address, orders, start, start_with_system_faults, Mixer, SystemFault,
+    free_address, mixer_config, start_mixer, start_with_syscall_faults, temp_file, MixerProcess, SyscallFault,
 };
-use fernglade_standins::client::{reader, scan_of, try_answer, Client};
-use fernglade_standins::discovery::{agent, list};
-use fernglade_standins::searcher::{good, searcher};
+use fernglade_standins::client::{client_from_stream, scan_request_of, try_read_response, Client};
+use fernglade_standins::discovery::{agent_with_list, searcher_list};
+use fernglade_standins::searcher::{answer_parts, start_searcher};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
@@ -41,7 +41,7 @@
 
 fn brief(letter: u8, rest: &str) -> Option<Vec<u8>> {
     thread::sleep(Duration::from_millis(2));
-    good(letter, rest)
+    answer_parts(letter, rest)
 }
 
 /// How a request ended for its client.
@@ -92,7 +92,7 @@
         let kind = if self.chance.random_bool(0.3) { "fix" } else { "look" };
         let name = format!("{kind}-{}-{count}", self.number);
         let shards: Vec<u32> = (0..self.chance.random_range(1..4)).collect();
-        scan_of(kind, "x", &name, &shards).replace("X-Timeout: 4.0", "X-Timeout: 0.6")
+        scan_request_of(kind, "x", &name, &shards).replace("X-Timeout: 4.0", "X-Timeout: 0.6")
     }
 
     /// On the open connection first; where that ends as the request comes, once more on a new one.
@@ -108,7 +108,7 @@
             return End::NobodyThere;
         }
         let Ok(stream) = TcpStream::connect(self.at) else { return End::NobodyThere };
-        let (mut client, connected) = (reader(stream), self.began.elapsed());
+        let (mut client, connected) = (client_from_stream(stream), self.began.elapsed());
         let end = self.answered(&mut client, request, sent).unwrap_or(End::Lost);
         if end == End::Lost {
             let id = request.lines().find(|line| line.starts_with("X-Request-ID")).unwrap_or_default();
@@ -127,7 +127,7 @@
         }
         client.get_mut().write_all(pieces.1.as_bytes()).ok()?;
         client.get_mut().set_read_timeout(Some(DEADLINE + GRACE)).expect("a time");
-        let status = match try_answer(client) {
+        let status = match try_read_response(client) {
             Ok((status, _, _)) => status,
             Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return Some(End::Lost),
             Err(_) => return None,
@@ -150,21 +150,21 @@
     killed: bool,
 }
 
-fn mixer(seed: u64, searchers: &[SocketAddr]) -> Mixer {
-    let (at, known) = (free_address(), list(searchers));
-    let text = orders(&at.to_string(), agent(known.clone()), &known);
+fn mixer(seed: u64, searchers: &[SocketAddr]) -> MixerProcess {
+    let (at, known) = (free_address(), searcher_list(searchers));
+    let text = mixer_config(&at.to_string(), agent_with_list(known.clone()), &known);
     let short = [("\"aim\":2000000", "\"aim\":500000"), ("\"give_up\":4000000", "\"give_up\":600000")];
     let text = short.iter().fold(text, |text, (from, to)| text.replace(from, to));
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    let orders = file(&format!("soak-{seed}.json"), &text);
+    let orders = temp_file(&format!("soak-{seed}.json"), &text);
     match system_faults(seed) {
-        Some(faults) => start_with_system_faults(program, orders, at, &faults),
-        None => start(program, 1024, orders, None, at),
+        Some(faults) => start_with_syscall_faults(program, orders, at, &faults),
+        None => start_mixer(program, 1024, orders, None, at),
     }
 }
 
 /// In every third life calls on connections fail, and calls that make them.
-fn system_faults(seed: u64) -> Option<[SystemFault; 2]> {
+fn system_faults(seed: u64) -> Option<[SyscallFault; 2]> {
     const ON_CONNECTIONS: [(&str, &str, &str); 4] = [
         ("sendto", "EINTR", "3+5"),
         ("recvfrom", "EINTR", "3+5"),
@@ -179,7 +179,7 @@
         ("socket", "ENOBUFS", "9+7"),
         ("epoll_ctl", "ENOMEM", "3+2"),
     ];
-    let fault = |(call, error, when)| SystemFault { call, error, when };
+    let fault = |(call, error, when)| SyscallFault { call, error, when };
     let turn = (seed / 3) as usize;
     (seed % 3 == 1).then(|| [fault(ON_CONNECTIONS[turn % 4]), fault(MAKING_THEM[turn % 6])])
 }
@@ -187,18 +187,19 @@
 fn life(seed: u64) -> Report {
     let mut chance = Pcg32::seed_from_u64(seed);
     HANGS.store(false, Ordering::Relaxed);
-    let searchers = [searcher(hanging), searcher(brief), searcher(brief), searcher(brief)];
+    let searchers =
+        [start_searcher(hanging), start_searcher(brief), start_searcher(brief), start_searcher(brief)];
     let addresses: Vec<SocketAddr> = searchers.iter().map(|(address, _)| *address).collect();
     let mut mixer = mixer(seed, &addresses);
     let crowd: Vec<TcpStream> = (0..if seed.is_multiple_of(3) { 200 } else { 0 })
-        .filter_map(|_| TcpStream::connect(mixer.at).ok())
+        .filter_map(|_| TcpStream::connect(mixer.address).ok())
         .collect();
     let began = Instant::now();
     let until = began + SERVES + KILL;
     let callers: Vec<_> = (0..chance.random_range(20..60))
         .map(|number| {
             let chance = Pcg32::seed_from_u64(seed << 16 | number as u64);
-            let caller = Caller { at: mixer.at, chance, number, until, ends: Vec::new(), began };
+            let caller = Caller { at: mixer.address, chance, number, until, ends: Vec::new(), began };
             thread::spawn(move || caller.run())
         })
         .collect();
--- a/crates/mixer/tests/starts.rs
+++ b/crates/mixer/tests/starts.rs
@@ -2,24 +2,24 @@
 //! configuration may be old.
 
 use fernglade_standins::child::{
-    file, free_address, orders, start, start_with_system_faults, Mixer, SystemFault,
+    free_address, mixer_config, start_mixer, start_with_syscall_faults, temp_file, MixerProcess, SyscallFault,
 };
-use fernglade_standins::client::{answer, say, scan, try_answer};
-use fernglade_standins::discovery::{list, Agent};
-use fernglade_standins::searcher::{good, searcher};
+use fernglade_standins::client::{read_response, scan_request, send, try_read_response};
+use fernglade_standins::discovery::{searcher_list, ScriptedAgent};
+use fernglade_standins::searcher::{answer_parts, start_searcher};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-fn mixer(name: &str, discovery: SocketAddr, known: &str, at: SocketAddr) -> Mixer {
-    let text = orders(&at.to_string(), discovery, known);
+fn mixer(name: &str, discovery: SocketAddr, known: &str, at: SocketAddr) -> MixerProcess {
+    let text = mixer_config(&at.to_string(), discovery, known);
     let text = text.replace("\"tick\"", "\"discovery\":\"pushed\",\"tick\"");
-    start(
+    start_mixer(
         Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")),
         1024,
-        file(&format!("starts-{name}.json"), &text),
+        temp_file(&format!("starts-{name}.json"), &text),
         None,
         at,
     )
@@ -27,22 +27,22 @@
 
 fn ask(at: SocketAddr, name: &str) -> Option<u16> {
     let stream = TcpStream::connect(at).ok()?;
-    let mut client = fernglade_standins::client::reader(stream);
-    say(&mut client, scan(name, &[0]));
-    try_answer(&mut client).ok().map(|answer| answer.0)
+    let mut client = fernglade_standins::client::client_from_stream(stream);
+    send(&mut client, scan_request(name, &[0]));
+    try_read_response(&mut client).ok().map(|answer| answer.0)
 }
 
 /// A searcher drained before the mixer's start, and the agent takes longer than the drains' grace to say so.
 #[test]
 fn nothing_goes_by_an_old_list_while_the_agent_has_a_newer_one() {
-    let ((drains, told), (stays, _told)) = (searcher(good), searcher(good));
-    let (agent, both, at) = (Agent::default(), list(&[drains, stays]), free_address());
-    let discovery = agent.at();
+    let ((drains, told), (stays, _told)) = (start_searcher(answer_parts), start_searcher(answer_parts));
+    let (agent, both, at) = (ScriptedAgent::default(), searcher_list(&[drains, stays]), free_address());
+    let discovery = agent.address();
     let now = both.replacen("SERVING", "DRAINING", 1).replace("\"generation\":1", "\"generation\":2");
     let late = thread::spawn(move || {
-        let call = agent.call();
+        let call = agent.next_request();
         thread::sleep(Duration::from_millis(150));
-        call.answer(&now)
+        call.respond(&now)
     });
     let early = thread::spawn(move || {
         let began = Instant::now();
@@ -53,9 +53,9 @@
     });
     let mixer = mixer("old", discovery, &both, at);
     for number in 0..12 {
-        let mut client = mixer.client();
-        say(&mut client, scan(&format!("r{number}"), &[0]));
-        assert_eq!(answer(&mut client).0, 200);
+        let mut client = mixer.connect();
+        send(&mut client, scan_request(&format!("r{number}"), &[0]));
+        assert_eq!(read_response(&mut client).0, 200);
     }
     let early = early.join().expect("a client");
     assert!(early.iter().all(|status| matches!(status, 200 | 503)), "{early:?}");
@@ -66,9 +66,9 @@
 /// Nobody is at its address: the list of the configuration is what there is, and the mixer serves by it in time.
 #[test]
 fn where_discovery_is_away_it_serves_by_the_list_it_has() {
-    let (address, _told) = searcher(good);
+    let (address, _told) = start_searcher(answer_parts);
     let (began, at) = (Instant::now(), free_address());
-    let _mixer = mixer("away", free_address(), &list(&[address]), at);
+    let _mixer = mixer("away", free_address(), &searcher_list(&[address]), at);
     assert!(began.elapsed() < Duration::from_secs(5), "ready in {:?}", began.elapsed());
     assert_eq!(ask(at, "a"), Some(200));
 }
@@ -82,7 +82,7 @@
 #[test_case("bind", "EADDRINUSE")]
 #[test_case("listen", "EADDRINUSE")]
 fn a_listener_that_can_not_be_had_at_once_is_tried_for_again(call: &'static str, error: &'static str) {
-    serves_though(SystemFault { call, error, when: "1..2" });
+    serves_though(SyscallFault { call, error, when: "1..2" });
 }
 
 /// The disk does not give the configuration just then. (The library makes a second call to tell a call that fails from
@@ -90,15 +90,15 @@
 #[test_case("EIO")]
 #[test_case("ENOMEM")]
 fn a_configuration_that_can_not_be_had_at_once_is_tried_for_again(error: &'static str) {
-    serves_though(SystemFault { call: "statx", error, when: "1..1" });
+    serves_though(SyscallFault { call: "statx", error, when: "1..1" });
 }
 
-fn serves_though(fault: SystemFault) {
-    let ((address, _told), at) = (searcher(good), free_address());
-    let text = orders(&at.to_string(), free_address(), &list(&[address]));
-    let path = file(&format!("starts-{}-{}.json", fault.call, fault.error), &text);
+fn serves_though(fault: SyscallFault) {
+    let ((address, _told), at) = (start_searcher(answer_parts), free_address());
+    let text = mixer_config(&at.to_string(), free_address(), &searcher_list(&[address]));
+    let path = temp_file(&format!("starts-{}-{}.json", fault.call, fault.error), &text);
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    let _mixer = start_with_system_faults(program, path, at, &[fault]);
+    let _mixer = start_with_syscall_faults(program, path, at, &[fault]);
     assert_eq!(ask(at, "a"), Some(200));
 }
 
@@ -106,21 +106,22 @@
 #[test_case(""; "missing")]
 #[test_case("{\"name\":\"n0\",\"listen"; "half written")]
 fn a_configuration_that_can_not_be_read_just_then_is_read_a_moment_later(begun: &str) {
-    let ((old, _), (new, told), at) = (searcher(good), searcher(good), free_address());
-    let (first, second) = (Agent::default(), Agent::default());
-    let text = |discovery: SocketAddr| orders(&at.to_string(), discovery, &list(&[old]));
-    let path = file(&format!("starts-again-{}.json", begun.len()), &text(first.at()));
+    let ((old, _), (new, told), at) =
+        (start_searcher(answer_parts), start_searcher(answer_parts), free_address());
+    let (first, second) = (ScriptedAgent::default(), ScriptedAgent::default());
+    let text = |discovery: SocketAddr| mixer_config(&at.to_string(), discovery, &searcher_list(&[old]));
+    let path = temp_file(&format!("starts-again-{}.json", begun.len()), &text(first.address()));
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    let mixer = start(program, 1024, path.clone(), None, at);
+    let mixer = start_mixer(program, 1024, path.clone(), None, at);
     match begun {
         "" => std::fs::remove_file(&path).expect("it is there"),
         begun => std::fs::write(&path, begun).expect("it can be written"),
     }
     mixer.signal("-HUP");
     thread::sleep(Duration::from_millis(200));
-    std::fs::write(&path, text(second.at())).expect("it can be written");
+    std::fs::write(&path, text(second.address())).expect("it can be written");
     let (tell, asked) = std::sync::mpsc::channel();
-    thread::spawn(move || tell.send(second.call().answer(&list(&[new]))));
+    thread::spawn(move || tell.send(second.next_request().respond(&searcher_list(&[new]))));
     let _watch = asked.recv_timeout(Duration::from_secs(4)).expect("the new address is asked");
     assert_eq!(ask(at, "a"), Some(200));
     assert!(told.try_iter().any(|(letter, _)| letter == b'm'), "by the new list");
--- a/crates/standins/src/bin/calls-bench.rs
+++ b/crates/standins/src/bin/calls-bench.rs
@@ -3,11 +3,12 @@
 
 use clap::{Parser, ValueEnum};
 use fernglade_standins::child::{
-    file, free_address, orders, start_counting_calls, start_with_system_faults, Mixer, SystemFault,
+    free_address, mixer_config, start_counting_syscalls, start_with_syscall_faults, temp_file, MixerProcess,
+    SyscallFault,
 };
-use fernglade_standins::client::{say, scan, try_answer, Client};
-use fernglade_standins::discovery::{agent, list};
-use fernglade_standins::searcher::{good, searcher};
+use fernglade_standins::client::{scan_request, send, try_read_response, Client};
+use fernglade_standins::discovery::{agent_with_list, searcher_list};
+use fernglade_standins::searcher::{answer_parts, start_searcher};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::thread;
@@ -48,13 +49,14 @@
 
 fn main() {
     let arguments = Arguments::parse();
-    let ((first, _), (second, _)) = (searcher(good), searcher(good));
-    let (at, known) = (free_address(), list(&[first, second]));
-    let orders = file("calls.json", &orders(&at.to_string(), agent(known.clone()), &known));
+    let ((first, _), (second, _)) = (start_searcher(answer_parts), start_searcher(answer_parts));
+    let (at, known) = (free_address(), searcher_list(&[first, second]));
+    let orders =
+        temp_file("calls.json", &mixer_config(&at.to_string(), agent_with_list(known.clone()), &known));
     let counts = orders.with_extension("counts");
     let mut mixer = match &arguments.fault {
-        Some(fault) => start_with_system_faults(&arguments.mixer, orders, at, &[parse(fault)]),
-        None => start_counting_calls(&arguments.mixer, orders, at, &counts),
+        Some(fault) => start_with_syscall_faults(&arguments.mixer, orders, at, &[parse(fault)]),
+        None => start_counting_syscalls(&arguments.mixer, orders, at, &counts),
     };
     if arguments.idle > 0 {
         watch_idle(&mixer, Duration::from_secs(arguments.idle));
@@ -72,24 +74,24 @@
 }
 
 /// CALL:ERROR:WHEN; the parts live as long as the program.
-fn parse(text: &str) -> SystemFault {
+fn parse(text: &str) -> SyscallFault {
     let parts: Vec<&'static str> = text.split(':').map(|part| &*part.to_string().leak()).collect();
     let [call, error, when] = parts[..] else { panic!("{text}: not CALL:ERROR:FIRST+STEP") };
-    SystemFault { call, error, when }
+    SyscallFault { call, error, when }
 }
 
-fn watch_idle(mixer: &Mixer, for_so_long: Duration) {
-    let (_, before, _) = mixer.descriptors_time_memory();
+fn watch_idle(mixer: &MixerProcess, for_so_long: Duration) {
+    let (_, before, _) = mixer.resource_usage();
     thread::sleep(for_so_long);
-    let (_, after, _) = mixer.descriptors_time_memory();
+    let (_, after, _) = mixer.resource_usage();
     println!("idle for {for_so_long:?}: {} ms of processor", (after - before) * 10);
 }
 
 /// The status of each answer, 0 for none, and how long it took.
-fn ask(arguments: &Arguments, mixer: &Mixer) -> Vec<(u16, Duration)> {
+fn ask(arguments: &Arguments, mixer: &MixerProcess) -> Vec<(u16, Duration)> {
     let mut kept: Vec<Client> = match arguments.connections {
         Connections::New => Vec::new(),
-        Connections::Kept => (0..4).map(|_| mixer.client()).collect(),
+        Connections::Kept => (0..4).map(|_| mixer.connect()).collect(),
     };
     let began = Instant::now();
     let callers: Vec<_> = (0..arguments.requests)
@@ -99,10 +101,10 @@
             if let [_, ..] = kept[..] {
                 let at = number as usize % kept.len();
                 let (done, client) = ask_one(kept.swap_remove(at), number);
-                kept.push(client.unwrap_or_else(|| mixer.client()));
+                kept.push(client.unwrap_or_else(|| mixer.connect()));
                 return thread::spawn(move || done);
             }
-            let client = mixer.client();
+            let client = mixer.connect();
             thread::spawn(move || ask_one(client, number).0)
         })
         .collect();
@@ -113,14 +115,14 @@
 fn ask_one(mut client: Client, number: u64) -> ((u16, Duration), Option<Client>) {
     let sent = Instant::now();
     client.get_mut().set_read_timeout(Some(PATIENCE)).expect("a time above nothing");
-    say(&mut client, scan(&format!("r{number}"), &[0, 1]));
-    match try_answer(&mut client) {
+    send(&mut client, scan_request(&format!("r{number}"), &[0, 1]));
+    match try_read_response(&mut client) {
         Ok((status, _, _)) => ((status, sent.elapsed()), Some(client)),
         Err(_) => ((0, sent.elapsed()), None),
     }
 }
 
-fn end_of(mixer: &mut Mixer) -> Option<Duration> {
+fn end_of(mixer: &mut MixerProcess) -> Option<Duration> {
     let began = Instant::now();
     while began.elapsed() < ENDS_WITHIN {
         if mixer.child.try_wait().is_ok_and(|ended| ended.is_some()) {
--- a/crates/standins/src/bin/cue-nodes.rs
+++ b/crates/standins/src/bin/cue-nodes.rs
@@ -2,8 +2,8 @@
 //! or after an hour.
 
 use clap::Parser;
-use fernglade_standins::cues::{cue_node, PLANTED};
-use fernglade_standins::searcher::searcher_on;
+use fernglade_standins::documents::{answer_searches, DOCUMENTS_PER_SHARD};
+use fernglade_standins::searcher::start_searcher_on;
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
@@ -18,8 +18,8 @@
     let call = Call::parse();
     let mut told = Vec::new();
     for at in &call.at {
-        told.push(searcher_on(TcpListener::bind(at)?, cue_node));
-        println!("a searcher with {PLANTED} cues a shard listens on {at}");
+        told.push(start_searcher_on(TcpListener::bind(at)?, answer_searches));
+        println!("a searcher with {DOCUMENTS_PER_SHARD} cues a shard listens on {at}");
     }
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(3600) {
--- a/crates/standins/src/bin/door-bench.rs
+++ b/crates/standins/src/bin/door-bench.rs
@@ -3,11 +3,11 @@
 //! crowd; and the memory before and after. Figures are of this machine: compare within one run.
 
 use clap::Parser;
-use fernglade_standins::child::{file, free_address, orders, start, Mixer};
-use fernglade_standins::client::{connect_from, reader, say, try_answer, HEALTH};
-use fernglade_standins::crowd::{Bounds, Crowd, From};
-use fernglade_standins::discovery::{agent, list};
-use fernglade_standins::searcher::{good, searcher};
+use fernglade_standins::child::{free_address, mixer_config, start_mixer, temp_file, MixerProcess};
+use fernglade_standins::client::{client_from_stream, connect_from, send, try_read_response, HEALTH_REQUEST};
+use fernglade_standins::discovery::{agent_with_list, searcher_list};
+use fernglade_standins::flood::{ConnectionFlood, FloodLimits, FloodSource};
+use fernglade_standins::searcher::{answer_parts, start_searcher};
 use hdrhistogram::Histogram;
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::PathBuf;
@@ -39,16 +39,20 @@
 }
 
 /// Asks on a new connection each time, and does so again at once.
-fn measure(mixer: &Mixer, time: Duration, crowd: Option<&Crowd>) -> (Histogram<u64>, usize, usize) {
+fn measure(
+    mixer: &MixerProcess,
+    time: Duration,
+    crowd: Option<&ConnectionFlood>,
+) -> (Histogram<u64>, usize, usize) {
     let mut times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds in order");
     let (mut served, mut refused, began) = (0, 0, Instant::now());
-    while began.elapsed() < time && crowd.is_none_or(|crowd| !crowd.is_over()) {
+    while began.elapsed() < time && crowd.is_none_or(|crowd| !crowd.is_finished()) {
         let asked = Instant::now();
         let from = IpAddr::V4(Ipv4Addr::new(127, 9, 0, 1));
-        let answered = connect_from(from, mixer.at, Duration::from_secs(5)).ok().and_then(|stream| {
-            let mut asks = reader(stream);
-            say(&mut asks, HEALTH);
-            try_answer(&mut asks).ok()
+        let answered = connect_from(from, mixer.address, Duration::from_secs(5)).ok().and_then(|stream| {
+            let mut asks = client_from_stream(stream);
+            send(&mut asks, HEALTH_REQUEST);
+            try_read_response(&mut asks).ok()
         });
         match answered {
             Some((200, ..)) => served += 1,
@@ -73,24 +77,29 @@
     println!("| rules | crowd | served | not served | p50 ms | p99 ms | max ms | crowd's connections | us each | memory KB |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for rules in [None, Some(RULES)] {
-        let (address, _told) = searcher(good);
-        let (at, known) = (free_address(), list(&[address]));
-        let orders = file("bench.json", &orders(&at.to_string(), agent(known.clone()), &known));
-        let operator = rules.map(|text| file("bench.json5", text));
-        let mixer = start(&call.mixer, call.held, orders, operator, at);
+        let (address, _told) = start_searcher(answer_parts);
+        let (at, known) = (free_address(), searcher_list(&[address]));
+        let orders =
+            temp_file("bench.json", &mixer_config(&at.to_string(), agent_with_list(known.clone()), &known));
+        let operator = rules.map(|text| temp_file("bench.json5", text));
+        let mixer = start_mixer(&call.mixer, call.held, orders, operator, at);
         for flood in [false, true] {
-            let from = if call.many { From::Many } else { From::One(Ipv4Addr::new(127, 99, 0, 1)) };
-            let bounds = Bounds {
+            let from = if call.many {
+                FloodSource::ManyAddresses
+            } else {
+                FloodSource::OneAddress(Ipv4Addr::new(127, 99, 0, 1))
+            };
+            let bounds = FloodLimits {
                 threads: call.threads,
-                opened: call.most / call.threads.max(1),
-                held: 2_000,
-                time: time + Duration::from_secs(1),
+                max_opened: call.most / call.threads.max(1),
+                max_held: 2_000,
+                max_duration: time + Duration::from_secs(1),
             };
-            let (_, before, _) = mixer.descriptors_time_memory();
-            let crowd = flood.then(|| Crowd::gather(mixer.at, from, bounds));
+            let (_, before, _) = mixer.resource_usage();
+            let crowd = flood.then(|| ConnectionFlood::start(mixer.address, from, bounds));
             let (times, served, refused) = measure(&mixer, time, crowd.as_ref());
-            let opened = crowd.map_or(0, Crowd::leave);
-            let (_, after, memory) = mixer.descriptors_time_memory();
+            let opened = crowd.map_or(0, ConnectionFlood::stop);
+            let (_, after, memory) = mixer.resource_usage();
             let ms = |micros: u64| micros as f64 / 1000.0;
             let each = (after - before) as f64 * 10_000.0 / opened.max(1) as f64;
             let each = if flood { format!("{each:.1}") } else { "-".into() };
--- a/crates/standins/src/bin/front-bench.rs
+++ b/crates/standins/src/bin/front-bench.rs
@@ -2,11 +2,11 @@
 //! request and in the dialect's, on one connection each. Figures are of this machine: compare within one run.
 
 use clap::Parser;
-use fernglade_standins::child::{file, free_address, orders, start};
-use fernglade_standins::client::{answer, say, scan_of};
-use fernglade_standins::cues::cue_node;
-use fernglade_standins::discovery::{agent, list};
-use fernglade_standins::searcher::searcher;
+use fernglade_standins::child::{free_address, mixer_config, start_mixer, temp_file};
+use fernglade_standins::client::{read_response, scan_request_of, send};
+use fernglade_standins::discovery::{agent_with_list, searcher_list};
+use fernglade_standins::documents::answer_searches;
+use fernglade_standins::searcher::start_searcher;
 use hdrhistogram::Histogram;
 use std::path::PathBuf;
 use std::time::Instant;
@@ -25,21 +25,22 @@
 
 fn main() {
     let call = Call::parse();
-    let (addresses, _told): (Vec<_>, Vec<_>) = (0..2).map(|_| searcher(cue_node)).unzip();
-    let (at, known) = (free_address(), list(&addresses));
-    let orders = file("front.json", &orders(&at.to_string(), agent(known.clone()), &known));
-    let mixer = start(&call.mixer, 256, orders, Some(file("front.json5", RULES)), at);
-    let mut clients = [mixer.client(), mixer.client()];
+    let (addresses, _told): (Vec<_>, Vec<_>) = (0..2).map(|_| start_searcher(answer_searches)).unzip();
+    let (at, known) = (free_address(), searcher_list(&addresses));
+    let orders =
+        temp_file("front.json", &mixer_config(&at.to_string(), agent_with_list(known.clone()), &known));
+    let mixer = start_mixer(&call.mixer, 256, orders, Some(temp_file("front.json5", RULES)), at);
+    let mut clients = [mixer.connect(), mixer.connect()];
     let mut times: [Histogram<u64>; 2] =
         std::array::from_fn(|_| Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds in order"));
     let dialect = format!("POST /cues/_search HTTP/1.1\r\nContent-Length: {}\r\n\r\n{SEARCH}", SEARCH.len());
     let escaped = SEARCH.replace('"', "\\\"");
     for round in 0..call.rounds {
-        let platform = scan_of("look", &escaped, &format!("f{round}"), &[0, 1, 2, 3]);
+        let platform = scan_request_of("look", &escaped, &format!("f{round}"), &[0, 1, 2, 3]);
         for (which, text) in [platform, dialect.clone()].iter().enumerate() {
             let began = Instant::now();
-            say(&mut clients[which], text);
-            let (status, _, body) = answer(&mut clients[which]);
+            send(&mut clients[which], text);
+            let (status, _, body) = read_response(&mut clients[which]);
             assert_eq!(status, 200, "{body}");
             let _ = times[which].record(began.elapsed().as_micros() as u64);
         }
--- a/crates/standins/src/bin/merge-bench.rs
+++ b/crates/standins/src/bin/merge-bench.rs
@@ -7,7 +7,7 @@
 use fernglade_dialect::merge::Merge;
 use fernglade_dialect::reply::Reply;
 use fernglade_dialect::search::Search;
-use fernglade_standins::cues::{planted, Cue, Manner, Shard};
+use fernglade_standins::documents::{generate_documents, AnswerMode, Document, Shard};
 use hdrhistogram::Histogram;
 use std::time::Instant;
 
@@ -38,9 +38,9 @@
     );
     let search = Search::read(text.as_bytes()).expect("a search");
     let body = |number: u32| {
-        let cues = planted(call.seed + u64::from(number), call.documents);
-        let cues = cues.into_iter().map(|cue| Cue { id: format!("{number}-{}", cue.id), ..cue });
-        Shard::new(cues.collect()).body("cues", &search, Manner::Sound)
+        let cues = generate_documents(call.seed + u64::from(number), call.documents);
+        let cues = cues.into_iter().map(|cue| Document { id: format!("{number}-{}", cue.id), ..cue });
+        Shard::new(cues.collect()).body("cues", &search, AnswerMode::Valid)
     };
     let bodies: Vec<Vec<u8>> = (0..call.shards).map(body).collect();
     let bytes: usize = bodies.iter().map(Vec::len).sum();
--- a/crates/standins/src/bin/naive-mixer.rs
+++ b/crates/standins/src/bin/naive-mixer.rs
@@ -2,7 +2,7 @@
 //! own, and the answer when all are in or time is up. It is what others are held against; and with a fault of its own, by
 //! name in the file that `--operator` names, it is what the judge has to find.
 
-use fernglade_standins::client::try_answer;
+use fernglade_standins::client::try_read_response;
 use fernglade_standins::searcher::frame;
 use rand::seq::IndexedRandom;
 use rand::SeedableRng;
@@ -178,7 +178,7 @@
 fn whole_list(discovery: SocketAddr) -> io::Result<Vec<(SocketAddr, u32)>> {
     let mut asks = BufReader::new(TcpStream::connect(discovery)?);
     asks.get_mut().write_all(b"GET /v1/servers HTTP/1.1\r\n\r\n")?;
-    let list: Value = serde_json::from_str(&try_answer(&mut asks)?.2)?;
+    let list: Value = serde_json::from_str(&try_read_response(&mut asks)?.2)?;
     let row = |row: &Value| {
         let ready = row["lifecycle"] == "SERVING";
         let at = row["hostPort"].as_str()?.parse().ok()?;
--- a/crates/standins/src/child.rs
+++ b/crates/standins/src/child.rs
@@ -1,6 +1,6 @@
 //! The built mixer as a child process.
 
-use crate::client::{client, try_answer, HEALTH};
+use crate::client::{connect_client, try_read_response, HEALTH_REQUEST};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// Orders for one mixer: `look` may run again, `fix` never, once it may have run.
-pub fn orders(listen: &str, discovery: SocketAddr, known: &str) -> String {
+pub fn mixer_config(listen: &str, discovery: SocketAddr, known: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"7","limits":{{"sockets":256}},
         "known":{known},"settings":{{"tick":5000,"fleet_size":1,"areas":["a"],
@@ -23,7 +23,7 @@
 }
 
 /// A file of this process's own in the system's folder for such.
-pub fn file(name: &str, text: &str) -> PathBuf {
+pub fn temp_file(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("fernglade-{}-{name}", std::process::id()));
     std::fs::write(&path, text).expect("a file can be written");
     path
@@ -37,13 +37,13 @@
         .into()
 }
 
-pub struct Mixer {
+pub struct MixerProcess {
     pub child: Child,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub files: Vec<PathBuf>,
 }
 
-impl Drop for Mixer {
+impl Drop for MixerProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -52,13 +52,13 @@
 }
 
 /// Starts `program` with so many descriptors allowed by the system and waits until it says that it can serve.
-pub fn start(
+pub fn start_mixer(
     program: &Path,
     held: usize,
     orders: PathBuf,
     operator: Option<PathBuf>,
     at: SocketAddr,
-) -> Mixer {
+) -> MixerProcess {
     let mut shell = format!("ulimit -n {held}; exec \"$0\"");
     let mut command = Command::new("sh");
     if operator.is_some() {
@@ -66,38 +66,42 @@
     }
     command.args(["-c", &shell]).arg(program).args(&operator).env("ROUTER_CONFIG", &orders);
     let child = command.stdin(Stdio::null()).stderr(Stdio::null()).spawn().expect("a shell");
-    served(Mixer { child, at, files: std::iter::once(orders).chain(operator).collect() })
+    wait_until_serving(MixerProcess {
+        child,
+        address: at,
+        files: std::iter::once(orders).chain(operator).collect(),
+    })
 }
 
 /// Starts `program` with its log going where it is told.
-pub fn start_with_log(program: &Path, orders: PathBuf, at: SocketAddr, log: Stdio) -> Mixer {
+pub fn start_with_log(program: &Path, orders: PathBuf, at: SocketAddr, log: Stdio) -> MixerProcess {
     let mut command = Command::new(program);
     command.env("ROUTER_CONFIG", &orders).stdin(Stdio::null()).stderr(log);
     let child = command.spawn().expect("the program starts");
-    served(Mixer { child, at, files: vec![orders] })
+    wait_until_serving(MixerProcess { child, address: at, files: vec![orders] })
 }
 
 /// A system call that fails: which, with what error, and at which of its uses (`FIRST+STEP`, as strace has it).
 #[derive(Clone, Copy)]
-pub struct SystemFault {
+pub struct SyscallFault {
     pub call: &'static str,
     pub error: &'static str,
     pub when: &'static str,
 }
 
-impl SystemFault {
+impl SyscallFault {
     fn argument(&self) -> String {
         format!("inject={}:error={}:when={}", self.call, self.error, self.when)
     }
 }
 
 /// Starts `program` under strace, which has system calls of it fail. Its log goes to a file beside the orders.
-pub fn start_with_system_faults(
+pub fn start_with_syscall_faults(
     program: &Path,
     orders: PathBuf,
     at: SocketAddr,
-    faults: &[SystemFault],
-) -> Mixer {
+    faults: &[SyscallFault],
+) -> MixerProcess {
     let calls: Vec<&str> = faults.iter().map(|fault| fault.call).collect();
     let mut arguments = ["--seccomp-bpf", "-o", "/dev/null", "-e"].map(String::from).to_vec();
     arguments.push(format!("trace={}", calls.join(",")));
@@ -106,35 +110,40 @@
 }
 
 /// Starts `program` under strace, which writes how often it made each system call to `counts` at its end.
-pub fn start_counting_calls(program: &Path, orders: PathBuf, at: SocketAddr, counts: &Path) -> Mixer {
+pub fn start_counting_syscalls(
+    program: &Path,
+    orders: PathBuf,
+    at: SocketAddr,
+    counts: &Path,
+) -> MixerProcess {
     let arguments = ["-c", "-U", "calls,name", "-o"].map(String::from).to_vec();
     let arguments = [arguments, vec![counts.display().to_string()]].concat();
     start_under_strace(program, orders, at, &arguments)
 }
 
 /// The program stays the direct child: the tracer detaches itself from the test.
-fn start_under_strace(program: &Path, orders: PathBuf, at: SocketAddr, arguments: &[String]) -> Mixer {
+fn start_under_strace(program: &Path, orders: PathBuf, at: SocketAddr, arguments: &[String]) -> MixerProcess {
     let log = orders.with_extension("log");
     let stderr = std::fs::File::create(&log).expect("a log can be written");
     let mut command = Command::new("strace");
     command.args(["-D", "-f", "-qq"]).args(arguments);
     command.arg(program).env("ROUTER_CONFIG", &orders).stdin(Stdio::null()).stderr(stderr);
     let child = command.spawn().expect("strace is installed (.ci/run does so)");
-    served(Mixer { child, at, files: vec![orders, log] })
+    wait_until_serving(MixerProcess { child, address: at, files: vec![orders, log] })
 }
 
 /// How long a mixer may take until it serves, and to answer whether it does.
 const SERVES_WITHIN: Duration = Duration::from_secs(20);
 const ANSWERS_WITHIN: Duration = Duration::from_secs(2);
 
-pub fn served(mixer: Mixer) -> Mixer {
+pub fn wait_until_serving(mixer: MixerProcess) -> MixerProcess {
     let began = Instant::now();
     while began.elapsed() < SERVES_WITHIN {
-        if let Ok(stream) = std::net::TcpStream::connect(mixer.at) {
-            let mut asks = crate::client::reader(stream);
+        if let Ok(stream) = std::net::TcpStream::connect(mixer.address) {
+            let mut asks = crate::client::client_from_stream(stream);
             let _ = asks.get_mut().set_read_timeout(Some(ANSWERS_WITHIN));
-            if asks.get_mut().write_all(HEALTH.as_bytes()).is_ok()
-                && try_answer(&mut asks).is_ok_and(|a| a.0 == 200)
+            if asks.get_mut().write_all(HEALTH_REQUEST.as_bytes()).is_ok()
+                && try_read_response(&mut asks).is_ok_and(|a| a.0 == 200)
             {
                 return mixer;
             }
@@ -144,9 +153,9 @@
     panic!("the mixer never served");
 }
 
-impl Mixer {
-    pub fn client(&self) -> crate::client::Client {
-        client(self.at)
+impl MixerProcess {
+    pub fn connect(&self) -> crate::client::Client {
+        connect_client(self.address)
     }
 
     pub fn signal(&self, which: &str) {
@@ -157,7 +166,7 @@
 
     /// `/proc` counts its descriptors, its time on the processor in hundredths of a second, and its memory in
     /// kilobytes.
-    pub fn descriptors_time_memory(&self) -> (usize, u64, u64) {
+    pub fn resource_usage(&self) -> (usize, u64, u64) {
         let path = format!("/proc/{}", self.child.id());
         let read = |name: &str| std::fs::read_to_string(format!("{path}/{name}")).expect("it runs");
         let stat = read("stat");
--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -1,6 +1,6 @@
 //! A client: one connection, from any loopback address.
 
-use crate::PATIENCE;
+use crate::HANG_TIMEOUT;
 use socket2::{Domain, Socket, Type};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{IpAddr, SocketAddr, TcpStream};
@@ -16,33 +16,33 @@
     Ok(socket.into())
 }
 
-pub fn client(at: SocketAddr) -> Client {
-    reader(TcpStream::connect(at).expect("the mixer listens"))
+pub fn connect_client(at: SocketAddr) -> Client {
+    client_from_stream(TcpStream::connect(at).expect("the mixer listens"))
 }
 
-pub fn client_from(from: IpAddr, at: SocketAddr) -> Client {
-    reader(connect_from(from, at, PATIENCE).expect("the mixer listens"))
+pub fn connect_client_from(from: IpAddr, at: SocketAddr) -> Client {
+    client_from_stream(connect_from(from, at, HANG_TIMEOUT).expect("the mixer listens"))
 }
 
-pub fn reader(stream: TcpStream) -> Client {
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time above nothing");
+pub fn client_from_stream(stream: TcpStream) -> Client {
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("a time above nothing");
     BufReader::new(stream)
 }
 
-pub fn say(to: &mut Client, text: impl AsRef<[u8]>) {
+pub fn send(to: &mut Client, text: impl AsRef<[u8]>) {
     to.get_mut().write_all(text.as_ref()).expect("the mixer reads");
 }
 
-pub fn scan(name: &str, shards: &[u32]) -> String {
-    scan_for(r"c\u00e9", name, shards)
+pub fn scan_request(name: &str, shards: &[u32]) -> String {
+    scan_request_for(r"c\u00e9", name, shards)
 }
 
-pub fn scan_for(predicate: &str, name: &str, shards: &[u32]) -> String {
-    scan_of("look", predicate, name, shards)
+pub fn scan_request_for(predicate: &str, name: &str, shards: &[u32]) -> String {
+    scan_request_of("look", predicate, name, shards)
 }
 
 /// A scan of any traffic type, with a label for those that need one.
-pub fn scan_of(traffic_type: &str, predicate: &str, name: &str, shards: &[u32]) -> String {
+pub fn scan_request_of(traffic_type: &str, predicate: &str, name: &str, shards: &[u32]) -> String {
     let portion = 1.0 / shards.len() as f64;
     let range = |shard| format!(r#"{{"range":{shard},"portion":{portion}}}"#);
     let ranges: Vec<String> = shards.iter().map(range).collect();
@@ -52,10 +52,10 @@
     format!("POST /{traffic_type}?key=1 HTTP/1.1\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-pub const HEALTH: &str = "GET /healthz HTTP/1.1\r\n\r\n";
+pub const HEALTH_REQUEST: &str = "GET /healthz HTTP/1.1\r\n\r\n";
 
 /// Status, head and body; an error where the connection ended before all of it.
-pub fn try_answer(from: &mut Client) -> io::Result<(u16, String, String)> {
+pub fn try_read_response(from: &mut Client) -> io::Result<(u16, String, String)> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         if from.read_line(&mut head)? == 0 {
@@ -69,8 +69,8 @@
     Ok((status, head, String::from_utf8_lossy(&body).into_owned()))
 }
 
-pub fn answer(from: &mut Client) -> (u16, String, String) {
-    try_answer(from).expect("a whole answer")
+pub fn read_response(from: &mut Client) -> (u16, String, String) {
+    try_read_response(from).expect("a whole answer")
 }
 
 /// Ends a connection by a reset, as a process that dies does.
--- a/crates/standins/src/cues.rs
+++ b/crates/standins/src/documents.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Cue {
+pub struct Document {
     pub id: String,
     pub fields: Vec<(String, Node)>,
 }
@@ -28,7 +28,7 @@
 const LANGUAGES: [&str; 5] = ["es", "en", "pt", "fr", "de"];
 
 /// So many cues, the same for a seed. One in ten has no time.
-pub fn planted(seed: u64, count: usize) -> Vec<Cue> {
+pub fn generate_documents(seed: u64, count: usize) -> Vec<Document> {
     let mut chance = Pcg32::seed_from_u64(seed);
     let cue = |number: usize| {
         let length = chance.random_range(1..8);
@@ -40,7 +40,7 @@
         if chance.random_range(0..10) > 0 {
             fields.push(("at".into(), Node::Whole(chance.random_range(0..1_000))));
         }
-        Cue { id: format!("c{number}"), fields }
+        Document { id: format!("c{number}"), fields }
     };
     (0..count).map(cue).collect()
 }
@@ -48,12 +48,12 @@
 /// One shard: its documents, and by field and word which of them have it how often.
 #[derive(Default)]
 pub struct Shard {
-    cues: Vec<Cue>,
+    cues: Vec<Document>,
     postings: BTreeMap<(String, String), BTreeMap<usize, u32>>,
 }
 
 impl Shard {
-    pub fn new(cues: Vec<Cue>) -> Self {
+    pub fn new(cues: Vec<Document>) -> Self {
         let mut postings: BTreeMap<(String, String), BTreeMap<usize, u32>> = BTreeMap::new();
         for (at, cue) in cues.iter().enumerate() {
             for (field, value) in &cue.fields {
@@ -216,8 +216,8 @@
 
 /// How a node that speaks the dialect answers, and ways in which one that half understands it does.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
-    Sound,
+pub enum AnswerMode {
+    Valid,
     /// Answers for all shards, whichever was preferred.
     AllShards,
     TimedOut,
@@ -227,38 +227,38 @@
     /// Sorts by what it likes.
     Unsorted,
     /// Gives more than it was asked for.
-    TooMany,
+    TooManyHits,
     /// Hits of another index, or without an id.
-    OtherIndex,
-    NoIds,
+    WrongIndex,
+    MissingIds,
     /// A field from another version.
     UnknownField,
-    CutShort,
+    Truncated,
     /// An error page of something between.
-    Page,
-    NoAggregations,
+    ErrorPage,
+    MissingAggregations,
 }
 
 impl Shard {
     /// A node's answer to a search of this shard: its body.
-    pub fn body(&self, index: &str, search: &Search, manner: Manner) -> Vec<u8> {
+    pub fn body(&self, index: &str, search: &Search, manner: AnswerMode) -> Vec<u8> {
         use serde_json::json;
-        if manner == Manner::Page {
+        if manner == AnswerMode::ErrorPage {
             return b"<html><body>502 Bad Gateway</body></html>".to_vec();
         }
-        let asked = if manner == Manner::TooMany {
+        let asked = if manner == AnswerMode::TooManyHits {
             Search { size: search.size + 3, ..search.clone() }
         } else {
             search.clone()
         };
         let mut found = self.search(&asked);
-        if manner == Manner::Unsorted {
+        if manner == AnswerMode::Unsorted {
             found.hits.reverse();
         }
         let hit = |hit: &Hit| {
-            let index = if manner == Manner::OtherIndex { "others" } else { index };
+            let index = if manner == AnswerMode::WrongIndex { "others" } else { index };
             let mut written = json!({"_index": index, "_score": hit.score, "_source": hit.source.write()});
-            if manner != Manner::NoIds {
+            if manner != AnswerMode::MissingIds {
                 written["_id"] = hit.id.as_str().into();
             }
             if search.order.by != By::Score {
@@ -266,12 +266,12 @@
             }
             written
         };
-        let shards = if manner == Manner::AllShards { 5 } else { 1 };
-        let failed = u64::from(manner == Manner::ShardFailed);
-        let total = if manner == Manner::WrongTotal { 0 } else { found.total };
+        let shards = if manner == AnswerMode::AllShards { 5 } else { 1 };
+        let failed = u64::from(manner == AnswerMode::ShardFailed);
+        let total = if manner == AnswerMode::WrongTotal { 0 } else { found.total };
         let mut body = json!({
             "took": 1,
-            "timed_out": manner == Manner::TimedOut,
+            "timed_out": manner == AnswerMode::TimedOut,
             "_shards": {"total": shards, "successful": shards - failed, "skipped": 0, "failed": failed},
             "hits": {
                 "total": {"value": total, "relation": "eq"},
@@ -279,17 +279,17 @@
                 "hits": found.hits.iter().map(hit).collect::<Vec<_>>(),
             },
         });
-        if manner == Manner::UnknownField {
+        if manner == AnswerMode::UnknownField {
             body["terminated_early"] = true.into();
         }
-        if !search.aggregations.is_empty() && manner != Manner::NoAggregations {
+        if !search.aggregations.is_empty() && manner != AnswerMode::MissingAggregations {
             let of =
                 |name: &String| search.aggregations.iter().find(|(asked, _)| asked == name).map(|(_, of)| of);
             let write = |(name, part): &(String, Partial)| Some((name.clone(), node_part(part, of(name)?)));
             body["aggregations"] = found.aggregations.iter().filter_map(write).collect();
         }
         let mut bytes = body.to_string().into_bytes();
-        if manner == Manner::CutShort {
+        if manner == AnswerMode::Truncated {
             bytes.truncate(bytes.len() / 2);
         }
         bytes
@@ -313,31 +313,31 @@
 }
 
 /// How many cues a stand-in shard has.
-pub const PLANTED: usize = 120;
+pub const DOCUMENTS_PER_SHARD: usize = 120;
 
 /// The shard of that number, as every stand-in node has it.
-pub fn shard(number: u32) -> Shard {
-    let cues = planted(u64::from(number), PLANTED);
-    Shard::new(cues.into_iter().map(|cue| Cue { id: format!("{}-{}", number, cue.id), ..cue }).collect())
+pub fn build_shard(number: u32) -> Shard {
+    let cues = generate_documents(u64::from(number), DOCUMENTS_PER_SHARD);
+    Shard::new(cues.into_iter().map(|cue| Document { id: format!("{}-{}", number, cue.id), ..cue }).collect())
 }
 
 /// A searcher of the platform's frames whose parts are of the query dialect: an edit is saved, a search is answered
 /// from its shard.
-pub fn cue_node(letter: u8, rest: &str) -> Option<Vec<u8>> {
-    answer_as(letter, rest, |_| Manner::Sound)
+pub fn answer_searches(letter: u8, rest: &str) -> Option<Vec<u8>> {
+    answer_as(letter, rest, |_| AnswerMode::Valid)
 }
 
 /// One that half understands: it never gives a sound answer.
-pub fn half_node(letter: u8, rest: &str) -> Option<Vec<u8>> {
-    answer_as(letter, rest, |_| Manner::AllShards)
+pub fn answer_for_all_shards(letter: u8, rest: &str) -> Option<Vec<u8>> {
+    answer_as(letter, rest, |_| AnswerMode::AllShards)
 }
 
 /// One of whose shards the odd ones fail.
-pub fn odd_node(letter: u8, rest: &str) -> Option<Vec<u8>> {
-    answer_as(letter, rest, |shard| if shard % 2 == 1 { Manner::ShardFailed } else { Manner::Sound })
+pub fn fail_odd_shards(letter: u8, rest: &str) -> Option<Vec<u8>> {
+    answer_as(letter, rest, |shard| if shard % 2 == 1 { AnswerMode::ShardFailed } else { AnswerMode::Valid })
 }
 
-fn answer_as(letter: u8, rest: &str, manner: impl Fn(u32) -> Manner) -> Option<Vec<u8>> {
+fn answer_as(letter: u8, rest: &str, manner: impl Fn(u32) -> AnswerMode) -> Option<Vec<u8>> {
     if letter != b'm' {
         return Some(Vec::new());
     }
@@ -349,7 +349,9 @@
         let (text, behind) = after.split_at(length.parse().ok()?);
         rest = behind;
         let value = match Search::read(text.as_bytes()) {
-            Ok(search) => shard(number.parse().ok()?).body("cues", &search, manner(number.parse().ok()?)),
+            Ok(search) => {
+                build_shard(number.parse().ok()?).body("cues", &search, manner(number.parse().ok()?))
+            }
             Err(_) => b"saved".to_vec(),
         };
         let value = String::from_utf8(value).ok()?;
--- a/crates/standins/src/fleet/herd.rs
+++ b/crates/standins/src/fleet/herd.rs
@@ -2,7 +2,7 @@
 
 use super::day::{Day, Repeat};
 use super::play::Cast;
-use crate::child::file;
+use crate::child::temp_file;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use std::io;
@@ -79,7 +79,7 @@
         for mixer in 0..text.as_ref().map_or(0, |_| count) {
             static COUNT: AtomicUsize = AtomicUsize::new(0);
             let name = format!("operator-{mixer}-{}.json5", COUNT.fetch_add(1, Ordering::Relaxed));
-            files.push(file(&name, text.as_deref().unwrap_or_default()));
+            files.push(temp_file(&name, text.as_deref().unwrap_or_default()));
         }
         Self {
             program: cast.program.into(),
@@ -102,7 +102,7 @@
     }
 
     pub fn start(&mut self, mixer: usize, orders: &Value) -> io::Result<()> {
-        let path = file(
+        let path = temp_file(
             &format!("fleet-{mixer}-{}.json", orders["listen"].as_str().unwrap_or("")),
             &orders.to_string(),
         );
--- a/crates/standins/src/fleet/play.rs
+++ b/crates/standins/src/fleet/play.rs
@@ -10,8 +10,8 @@
 use super::post::Post;
 use super::trace::{Fact, Passed};
 use super::way::Way;
-use crate::child::{file, free_address};
-use crate::client::{reader, try_answer, HEALTH};
+use crate::child::{free_address, temp_file};
+use crate::client::{client_from_stream, try_read_response, HEALTH_REQUEST};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use fernglade::{Moment, Span};
@@ -349,7 +349,7 @@
 
 /// Runs a program beside the day, and notes how it ended.
 async fn stand_by(world: Rc<World>, mut command: Command, beside: Rc<RefCell<Conducted>>) {
-    let path = file(&format!("beside-{}.txt", world.doors[0]), "");
+    let path = temp_file(&format!("beside-{}.txt", world.doors[0]), "");
     let out = std::fs::File::create(&path).and_then(|out| Ok((out.try_clone()?, out)));
     let Ok((out, error)) = out else { return };
     // A group of its own, so that all of it can be ended with the day.
@@ -372,11 +372,11 @@
 
 fn end_stranger(at: SocketAddr) {
     let Ok(stream) = TcpStream::connect(at) else { return };
-    let mut asks = reader(stream);
+    let mut asks = client_from_stream(stream);
     if asks.get_mut().write_all(b"GET /figures HTTP/1.1\r\nHost: m\r\n\r\n").is_err() {
         return;
     }
-    let Ok((200, _, body)) = try_answer(&mut asks) else { return };
+    let Ok((200, _, body)) = try_read_response(&mut asks) else { return };
     let told = body.split_once("process=\"").and_then(|(_, rest)| rest.split('"').next()?.parse().ok());
     if let Some(pid) = told.filter(|pid| *pid > 1).and_then(Pid::from_raw) {
         let _ = kill_process(pid, Signal::KILL);
@@ -399,8 +399,9 @@
 async fn is_well(at: SocketAddr) -> bool {
     let thread = std::thread::spawn(move || {
         let Ok(stream) = TcpStream::connect(at) else { return false };
-        let mut asks = reader(stream);
-        asks.get_mut().write_all(HEALTH.as_bytes()).is_ok() && try_answer(&mut asks).is_ok_and(|a| a.0 == 200)
+        let mut asks = client_from_stream(stream);
+        asks.get_mut().write_all(HEALTH_REQUEST.as_bytes()).is_ok()
+            && try_read_response(&mut asks).is_ok_and(|a| a.0 == 200)
     });
     while !thread.is_finished() {
         Timer::after(Duration::from_millis(2)).await;
--- a/crates/standins/src/crowd.rs
+++ b/crates/standins/src/flood.rs
@@ -12,13 +12,13 @@
 
 /// Where a crowd comes from.
 #[derive(Clone, Copy)]
-pub enum From {
-    One(Ipv4Addr),
+pub enum FloodSource {
+    OneAddress(Ipv4Addr),
     /// Each from another address of 127.100.0.0/14.
-    Many,
+    ManyAddresses,
 }
 
-pub struct Crowd {
+pub struct ConnectionFlood {
     stop: Arc<AtomicBool>,
     pub opened: Arc<AtomicUsize>,
     threads: Vec<JoinHandle<()>>,
@@ -26,58 +26,65 @@
 
 /// What one of its threads may do.
 #[derive(Clone, Copy)]
-pub struct Bounds {
+pub struct FloodLimits {
     pub threads: usize,
     /// Connections opened by each thread, held by each, and for how long.
-    pub opened: usize,
-    pub held: usize,
-    pub time: Duration,
+    pub max_opened: usize,
+    pub max_held: usize,
+    pub max_duration: Duration,
 }
 
-impl Crowd {
-    pub fn gather(at: SocketAddr, from: From, bounds: Bounds) -> Self {
+impl ConnectionFlood {
+    pub fn start(at: SocketAddr, from: FloodSource, limits: FloodLimits) -> Self {
         let (stop, opened) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-        let threads = (0..bounds.threads).map(|number| {
+        let threads = (0..limits.threads).map(|number| {
             let (stop, opened) = (stop.clone(), opened.clone());
-            thread::spawn(move || push(at, from, bounds, number, &stop, &opened))
+            thread::spawn(move || open_connections(at, from, limits, number, &stop, &opened))
         });
         let threads = threads.collect();
         Self { stop, opened, threads }
     }
 
     /// Waits until so many connections have come up.
-    pub fn await_opened(&self, count: usize) {
+    pub fn wait_for_opened(&self, count: usize) {
         let began = Instant::now();
         while self.opened.load(Ordering::Relaxed) < count {
-            assert!(began.elapsed() < crate::PATIENCE, "the crowd does not get through");
+            assert!(began.elapsed() < crate::HANG_TIMEOUT, "the crowd does not get through");
             thread::sleep(Duration::from_micros(200));
         }
     }
 
     /// All of it has opened what it may.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.threads.iter().all(JoinHandle::is_finished)
     }
 
     /// Ends it, and tells how many connections came up.
-    pub fn leave(self) -> usize {
+    pub fn stop(self) -> usize {
         self.stop.store(true, Ordering::Relaxed);
         self.threads.into_iter().for_each(|thread| drop(thread.join()));
         self.opened.load(Ordering::Relaxed)
     }
 }
 
-fn push(at: SocketAddr, from: From, bounds: Bounds, thread: usize, stop: &AtomicBool, opened: &AtomicUsize) {
+fn open_connections(
+    at: SocketAddr,
+    from: FloodSource,
+    limits: FloodLimits,
+    thread: usize,
+    stop: &AtomicBool,
+    opened: &AtomicUsize,
+) {
     let began = Instant::now();
     let mut held: VecDeque<TcpStream> = VecDeque::new();
-    for number in 0..bounds.opened {
-        if stop.load(Ordering::Relaxed) || began.elapsed() > bounds.time {
+    for number in 0..limits.max_opened {
+        if stop.load(Ordering::Relaxed) || began.elapsed() > limits.max_duration {
             return;
         }
         let address = match from {
-            From::One(address) => address,
-            From::Many => {
-                Ipv4Addr::from_bits(0x7f64_0000 + (number * bounds.threads + thread) as u32 % 0x3_0000)
+            FloodSource::OneAddress(address) => address,
+            FloodSource::ManyAddresses => {
+                Ipv4Addr::from_bits(0x7f64_0000 + (number * limits.threads + thread) as u32 % 0x3_0000)
             }
         };
         match connect_from(IpAddr::V4(address), at, Duration::from_secs(2)) {
@@ -91,21 +98,21 @@
             }
             Err(_) => thread::sleep(Duration::from_millis(1)),
         }
-        if held.len() > bounds.held {
+        if held.len() > limits.max_held {
             held.pop_front();
         }
         if number % 64 == 0 {
             // Whoever was turned away goes, as it would.
-            held.retain(|stream| !is_over(stream));
+            held.retain(|stream| !is_finished(stream));
         }
     }
-    while !stop.load(Ordering::Relaxed) && began.elapsed() < bounds.time {
+    while !stop.load(Ordering::Relaxed) && began.elapsed() < limits.max_duration {
         thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// Whether the mixer has ended it.
-fn is_over(mut stream: &TcpStream) -> bool {
+fn is_finished(mut stream: &TcpStream) -> bool {
     loop {
         match stream.read(&mut [0; 1024]) {
             Ok(0) => return true,
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -12,14 +12,14 @@
 
 pub mod child;
 pub mod client;
-pub mod crowd;
-pub mod cues;
 pub mod discovery;
+pub mod documents;
 pub mod fleet;
+pub mod flood;
 pub mod node;
 pub mod searcher;
 
 use std::time::Duration;
 
 /// Only keeps a failure from hanging: nothing is judged by it.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const HANG_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/standins/src/node.rs
+++ b/crates/standins/src/node.rs
@@ -1,6 +1,6 @@
 //! A node of the query dialect over HTTP/1.1, with all shards of planted cues: sound, or failing in one way.
 
-use crate::cues::{shard, Manner};
+use crate::documents::{build_shard, AnswerMode};
 use fernglade_dialect::endpoint::{endpoint, preferred, Endpoint};
 use fernglade_dialect::search::Search;
 use serde_json::json;
@@ -13,33 +13,33 @@
 
 /// What a node does with each search or edit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
+pub enum NodeMode {
     /// Answers it, in a manner.
-    Answers(Manner),
+    Answers(AnswerMode),
     /// Its queue is full.
-    Full,
+    QueueFull,
     Status(u16),
     /// Reads all of it and ends the connection.
-    ResetsAfter,
+    CloseAfterRequest,
     /// Ends the connection amid its answer.
-    ResetsAmid,
+    CloseMidAnswer,
     /// A chunk after another, without end.
-    Endless,
+    EndlessChunks,
     /// Reads, and says nothing.
-    Mute,
+    NeverAnswer,
     /// One answer a connection.
-    Closes,
+    CloseAfterAnswer,
     /// The same with no length told: it ends where the connection does, in order or by a reset.
-    Open {
+    AnswerUntilClose {
         resets: bool,
     },
 }
 
 /// What it was asked: method, target, head and body.
-pub type Asked = (String, String, String, String);
+pub type NodeRequest = (String, String, String, String);
 
 /// A node on a port of its own; every search and edit it reads is also told.
-pub fn node(way: Way) -> (SocketAddr, Receiver<Asked>) {
+pub fn start_node(way: NodeMode) -> (SocketAddr, Receiver<NodeRequest>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
     let (address, (tell, told)) = (listener.local_addr().expect("its address"), channel());
     thread::spawn(move || {
@@ -51,7 +51,7 @@
     (address, told)
 }
 
-fn attend(stream: TcpStream, way: Way, tell: &Sender<Asked>) -> Option<()> {
+fn attend(stream: TcpStream, way: NodeMode, tell: &Sender<NodeRequest>) -> Option<()> {
     let _ = stream.set_nodelay(true);
     let mut asks = BufReader::new(stream);
     loop {
@@ -76,30 +76,30 @@
         let _ = tell.send((method, target.clone(), head, body.clone()));
         let answer = |manner| answer(&target, &body, manner);
         match way {
-            Way::Answers(manner) => say(to, 200, &answer(manner)?, false)?,
-            Way::Closes => return say(to, 200, &answer(Manner::Sound)?, true),
-            Way::Full => say(to, 429, "{}", false)?,
-            Way::Status(status) => say(to, status, "<html>no</html>", false)?,
-            Way::ResetsAfter => return None,
-            Way::ResetsAmid => {
-                let whole = answer(Manner::Sound)?;
+            NodeMode::Answers(manner) => say(to, 200, &answer(manner)?, false)?,
+            NodeMode::CloseAfterAnswer => return say(to, 200, &answer(AnswerMode::Valid)?, true),
+            NodeMode::QueueFull => say(to, 429, "{}", false)?,
+            NodeMode::Status(status) => say(to, status, "<html>no</html>", false)?,
+            NodeMode::CloseAfterRequest => return None,
+            NodeMode::CloseMidAnswer => {
+                let whole = answer(AnswerMode::Valid)?;
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", whole.len());
                 return to.write_all((head + &whole[..whole.len() / 2]).as_bytes()).ok();
             }
-            Way::Open { resets } => {
+            NodeMode::AnswerUntilClose { resets } => {
                 let head = "HTTP/1.1 200 OK\r\n\r\n".to_string();
-                to.write_all((head + &answer(Manner::Sound)?).as_bytes()).ok()?;
+                to.write_all((head + &answer(AnswerMode::Valid)?).as_bytes()).ok()?;
                 let socket = Socket::from(asks.into_inner());
                 return socket.set_linger(resets.then_some(Duration::ZERO)).ok();
             }
-            Way::Endless => {
+            NodeMode::EndlessChunks => {
                 to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
                 for _ in 0..2_000 {
                     to.write_all(b"4\r\n    \r\n").ok()?;
                     thread::sleep(Duration::from_millis(5));
                 }
             }
-            Way::Mute => {}
+            NodeMode::NeverAnswer => {}
         }
     }
 }
@@ -111,13 +111,13 @@
 }
 
 /// A search's answer for the shard that is preferred, an edit's that it is saved.
-fn answer(target: &str, body: &str, manner: Manner) -> Option<String> {
+fn answer(target: &str, body: &str, manner: AnswerMode) -> Option<String> {
     let (endpoint, parameters) = endpoint("POST", target).ok()?;
     match endpoint {
         Endpoint::Search { index } => {
             let number = *preferred(&parameters).ok()??.first()?;
             let search = Search::read(body.as_bytes()).ok()?;
-            String::from_utf8(shard(number).body(&index, &search, manner)).ok()
+            String::from_utf8(build_shard(number).body(&index, &search, manner)).ok()
         }
         Endpoint::Update { index, id } | Endpoint::Put { index, id: Some(id) } => {
             Some(json!({"_index": index, "_id": id, "result": "updated"}).to_string())
--- a/crates/standins/src/searcher.rs
+++ b/crates/standins/src/searcher.rs
@@ -10,58 +10,58 @@
 use std::time::Duration;
 
 /// What a searcher does with each frame: letter and rest in, bytes out; none ends the connection.
-pub type Habit = fn(u8, &str) -> Option<Vec<u8>>;
+pub type FrameHandler = fn(u8, &str) -> Option<Vec<u8>>;
 
 pub fn frame(letter: u8, rest: &str) -> Vec<u8> {
     [&(rest.len() as u32 + 1).to_be_bytes()[..], &[letter], rest.as_bytes()].concat()
 }
 
-pub fn good(letter: u8, rest: &str) -> Option<Vec<u8>> {
+pub fn answer_parts(letter: u8, rest: &str) -> Option<Vec<u8>> {
     let id = rest.split(' ').next().unwrap_or_default();
     Some(if letter == b'm' { frame(b'q', &format!("{id} good 1 -\nof {id}")) } else { Vec::new() })
 }
 
-pub fn slow(letter: u8, rest: &str) -> Option<Vec<u8>> {
+pub fn answer_slowly(letter: u8, rest: &str) -> Option<Vec<u8>> {
     thread::sleep(Duration::from_millis(300));
-    good(letter, rest)
+    answer_parts(letter, rest)
 }
 
-pub fn mute(_: u8, _: &str) -> Option<Vec<u8>> {
+pub fn ignore_frames(_: u8, _: &str) -> Option<Vec<u8>> {
     Some(Vec::new())
 }
 
-pub fn garbled(_: u8, _: &str) -> Option<Vec<u8>> {
+pub fn send_invalid_frame(_: u8, _: &str) -> Option<Vec<u8>> {
     Some(frame(b'z', "?"))
 }
 
-pub fn dying(letter: u8, _: &str) -> Option<Vec<u8>> {
+pub fn close_on_call(letter: u8, _: &str) -> Option<Vec<u8>> {
     (letter != b'm').then(Vec::new)
 }
 
 /// Answers a part, and ends the connection with it: the next one dials anew.
-pub fn answering_once(letter: u8, rest: &str) -> Option<Vec<u8>> {
+pub fn close_on_last(letter: u8, rest: &str) -> Option<Vec<u8>> {
     if letter == b'm' && rest.contains("last") {
         return None;
     }
-    good(letter, rest)
+    answer_parts(letter, rest)
 }
 
 /// A searcher on a port of its own; every frame it reads is also told.
-pub fn searcher(habit: Habit) -> (SocketAddr, Receiver<(u8, String)>) {
+pub fn start_searcher(habit: FrameHandler) -> (SocketAddr, Receiver<(u8, String)>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
     let address = listener.local_addr().expect("its address");
-    (address, searcher_on(listener, habit))
+    (address, start_searcher_on(listener, habit))
 }
 
 /// The same where it is to be.
-pub fn searcher_on(listener: TcpListener, habit: Habit) -> Receiver<(u8, String)> {
-    counting_searcher_on(listener, habit).0
+pub fn start_searcher_on(listener: TcpListener, habit: FrameHandler) -> Receiver<(u8, String)> {
+    start_counting_searcher_on(listener, habit).0
 }
 
 /// The same, and how many connections it has accepted.
-pub fn counting_searcher_on(
+pub fn start_counting_searcher_on(
     listener: TcpListener,
-    habit: Habit,
+    habit: FrameHandler,
 ) -> (Receiver<(u8, String)>, Arc<AtomicUsize>) {
     let (tell, told) = channel();
     let accepted = Arc::new(AtomicUsize::new(0));
@@ -76,7 +76,7 @@
     (told, accepted)
 }
 
-fn attend(mut stream: TcpStream, habit: Habit, tell: &Sender<(u8, String)>) {
+fn attend(mut stream: TcpStream, habit: FrameHandler, tell: &Sender<(u8, String)>) {
     let _ = stream.set_nodelay(true);
     let mut length = [0; 4];
     while stream.read_exact(&mut length).is_ok() {
@@ -93,7 +93,7 @@
 
 /// A searcher's port behind which no further connection comes up: its queue is full of those given back with it.
 /// Whoever dials meanwhile is up once somebody accepts, as the system tries again within seconds.
-pub fn late_port() -> (TcpListener, Vec<TcpStream>) {
+pub fn listener_with_full_backlog() -> (TcpListener, Vec<TcpStream>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port on loopback");
     socket.listen(0).expect("it listens");
--- a/crates/standins/tests/cues.rs
+++ b/crates/standins/tests/cues.rs
@@ -8,7 +8,7 @@
 use fernglade_dialect::reply::Reply;
 use fernglade_dialect::search::Search;
 use fernglade_dialect::Node;
-use fernglade_standins::cues::{planted, Cue, Manner, Shard};
+use fernglade_standins::documents::{generate_documents, AnswerMode, Document, Shard};
 use serde_json::Value;
 use test_case::test_case;
 
@@ -22,7 +22,7 @@
 }
 
 /// Dealt out so that the order of ids is the order of shards: ties then fall alike.
-fn dealt(cues: &[Cue], count: usize) -> Vec<Shard> {
+fn dealt(cues: &[Document], count: usize) -> Vec<Shard> {
     let mut sorted = cues.to_vec();
     sorted.sort_by(|a, b| a.id.cmp(&b.id));
     sorted.chunks(cues.len().div_ceil(count)).map(|cues| Shard::new(cues.to_vec())).collect()
@@ -41,7 +41,7 @@
 fn many_shards_answer_as_one(body: &str) {
     let search = Search::read(body.as_bytes()).unwrap();
     for seed in 0..5 {
-        let cues = planted(seed, 300);
+        let cues = generate_documents(seed, 300);
         let (mut one, mut many) = (asked(&dealt(&cues, 1), &search), asked(&dealt(&cues, 7), &search));
         one["_shards"] = Value::Null;
         many["_shards"] = Value::Null;
@@ -54,7 +54,7 @@
 /// A title that is moving stands at two shards for a while.
 #[test]
 fn what_two_shards_have_is_one_hit() {
-    let cues = planted(3, 40);
+    let cues = generate_documents(3, 40);
     let search = Search::read(br#"{"size":100,"track_total_hits":true}"#).unwrap();
     let twice = [Shard::new(cues[..25].to_vec()), Shard::new(cues[20..].to_vec())];
     let answer = asked(&twice, &search);
@@ -84,9 +84,9 @@
         assert_eq!(preferred(&parameters), Ok(Some(vec![3])));
         let asked = Search::read(&asked).unwrap();
         assert_eq!((asked.from, asked.size), (0, search.window()));
-        let shard = Shard::new(planted(5, 200));
+        let shard = Shard::new(generate_documents(5, 200));
         let Reply::Found(found) =
-            Reply::read(200, &shard.body("cues", &asked, Manner::Sound), "cues", &search)
+            Reply::read(200, &shard.body("cues", &asked, AnswerMode::Valid), "cues", &search)
         else {
             panic!("a sound answer is one");
         };
@@ -97,23 +97,23 @@
 }
 
 /// A node that half understands is a failed part that may have run, whatever it says.
-#[test_case(Manner::AllShards, "other shards"; "preference passed over")]
-#[test_case(Manner::TimedOut, "timed out"; "it ran out of time")]
-#[test_case(Manner::ShardFailed, "other shards"; "its shard failed")]
-#[test_case(Manner::WrongTotal, "fewer in all"; "totals that do not add up")]
-#[test_case(Manner::Unsorted, "not in the order"; "another order")]
-#[test_case(Manner::TooMany, "more hits"; "more than asked for")]
-#[test_case(Manner::OtherIndex, "another index"; "another index")]
-#[test_case(Manner::NoIds, "no _id"; "no ids")]
-#[test_case(Manner::UnknownField, "unknown field [terminated_early]"; "a field of another version")]
-#[test_case(Manner::CutShort, "EOF"; "cut short")]
-#[test_case(Manner::Page, "expected value"; "an error page")]
-#[test_case(Manner::NoAggregations, "no aggregations"; "aggregations left out")]
-fn half_an_understanding_is_a_failed_part(manner: Manner, says: &str) {
+#[test_case(AnswerMode::AllShards, "other shards"; "preference passed over")]
+#[test_case(AnswerMode::TimedOut, "timed out"; "it ran out of time")]
+#[test_case(AnswerMode::ShardFailed, "other shards"; "its shard failed")]
+#[test_case(AnswerMode::WrongTotal, "fewer in all"; "totals that do not add up")]
+#[test_case(AnswerMode::Unsorted, "not in the order"; "another order")]
+#[test_case(AnswerMode::TooManyHits, "more hits"; "more than asked for")]
+#[test_case(AnswerMode::WrongIndex, "another index"; "another index")]
+#[test_case(AnswerMode::MissingIds, "no _id"; "no ids")]
+#[test_case(AnswerMode::UnknownField, "unknown field [terminated_early]"; "a field of another version")]
+#[test_case(AnswerMode::Truncated, "EOF"; "cut short")]
+#[test_case(AnswerMode::ErrorPage, "expected value"; "an error page")]
+#[test_case(AnswerMode::MissingAggregations, "no aggregations"; "aggregations left out")]
+fn half_an_understanding_is_a_failed_part(manner: AnswerMode, says: &str) {
     let search = Search::read(br#"{"size":8,"sort":"at","aggs":{"m":{"avg":{"field":"at"}}}}"#).unwrap();
-    let shard = Shard::new(planted(1, 100));
+    let shard = Shard::new(generate_documents(1, 100));
     assert_eq!(
-        Reply::read(200, &shard.body("cues", &search, Manner::Sound), "cues", &search).landing(),
+        Reply::read(200, &shard.body("cues", &search, AnswerMode::Valid), "cues", &search).landing(),
         Landing::Honoured
     );
     let reply = Reply::read(200, &shard.body("cues", &search, manner), "cues", &search);
--- a/crates/standins/tests/planted.rs
+++ b/crates/standins/tests/planted.rs
@@ -1,6 +1,6 @@
 //! The rig and its judge together: the plainest mixer, as three processes, sound or with one planted fault.
 
-use fernglade_standins::child::file;
+use fernglade_standins::child::temp_file;
 use fernglade_standins::fleet::{play, Day, Rule};
 use std::path::Path;
 use test_case::test_case;
@@ -23,7 +23,7 @@
 #[test_case("hasty", "", &[Rule::Answer], &[Rule::Drain, Rule::Sum]; "parts are sent after the answer")]
 fn what_is_planted_is_found_and_nothing_else(fault: &str, trouble: &str, found: &[Rule], clean: &[Rule]) {
     let day = Day::read(&DAY.replace("TROUBLE", trouble)).unwrap();
-    let operator = file(&format!("planted-{fault}"), fault);
+    let operator = temp_file(&format!("planted-{fault}"), fault);
     let program = Path::new(env!("CARGO_BIN_EXE_naive-mixer"));
     let played = play::play(&day, 21, program, Some(&operator)).unwrap();
     let _ = std::fs::remove_file(operator);
