--- a/crates/conductor/tests/rollout.rs
+++ b/crates/conductor/tests/rollout.rs
@@ -2,8 +2,8 @@
 //! Judged by the rules, by how the conductor ended, and by wide ratios of what was served.
 
 use fernglade_standins::child::temp_file;
-use fernglade_standins::fleet::play::{cast, Cast, Conducted, Field};
-use fernglade_standins::fleet::{Breach, Day, Figures};
+use fernglade_standins::fleet::runner::{run_with, ControllerExit, FleetLayout, RunOptions};
+use fernglade_standins::fleet::{RunStatistics, Scenario, Violation};
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -72,12 +72,12 @@
         format!("{{ program: '{start}', told_as: '{built}', operator: '{settings}' }}")
     }
 
-    fn plan(&self, field: &Field, zones: usize, new: &str, more: &str) -> PathBuf {
+    fn plan(&self, field: &FleetLayout, zones: usize, new: &str, more: &str) -> PathBuf {
         let old = self.write("old.json5", OLD_SETTINGS);
-        let mixers: Vec<String> = (0..field.doors.len())
+        let mixers: Vec<String> = (0..field.mixer_addresses.len())
             .map(|at| {
-                let (orders, operator) = (field.orders[at].display(), field.operators[at].display());
-                let (zone, door) = (at % zones, field.doors[at]);
+                let (orders, operator) = (field.configs[at].display(), field.operator_files[at].display());
+                let (zone, door) = (at % zones, field.mixer_addresses[at]);
                 format!("{{ name: 'm{at}', zone: 'z{zone}', at: '{door}', orders: '{orders}', operator: '{operator}' }}")
             })
             .collect();
@@ -102,7 +102,7 @@
 /// machine has much else to do, and two steps have to fit beside it.
 const LONG: u32 = 90;
 
-fn day(lasts: u32, mixers: usize, rate: u32, troubles: &str) -> Day {
+fn day(lasts: u32, mixers: usize, rate: u32, troubles: &str) -> Scenario {
     let text = format!(
         r#"{{
           lasts: "{lasts}s", mixers: {{ count: {mixers} }}, searchers: {{ cells: 3, replicas: 3, cold_from: 0.3, cold: "4s" }},
@@ -112,13 +112,13 @@
           ],
           troubles: [{troubles}] }}"#
     );
-    Day::read(&text).unwrap()
+    Scenario::parse(&text).unwrap()
 }
 
 struct Ran {
-    figures: Figures,
-    breaches: Vec<Breach>,
-    conducted: Conducted,
+    figures: RunStatistics,
+    breaches: Vec<Violation>,
+    conducted: ControllerExit,
     journal: String,
     log: String,
 }
@@ -126,26 +126,31 @@
 impl Ran {
     fn shows(&self) -> String {
         let Self { figures, breaches, conducted, journal, log } = self;
-        format!("{breaches:?}\n{}\n{journal}\n{log}\n{figures}", conducted.says)
+        format!("{breaches:?}\n{}\n{journal}\n{log}\n{figures}", conducted.output)
     }
 }
 
-fn run(bench: &Bench, day: &Day, zones: usize, new: &str, more: &str, how: &str) -> Ran {
+fn run(bench: &Bench, day: &Scenario, zones: usize, new: &str, more: &str, how: &str) -> Ran {
     let settings =
         temp_file(&format!("{}.json5", bench.folder.file_name().unwrap().to_string_lossy()), OLD_SETTINGS);
-    let begin = |field: &Field| {
+    let begin = |field: &FleetLayout| {
         let plan = bench.plan(field, zones, new, more);
         let mut command = Command::new("sh");
         command.args(["-c", how]).arg(env!("CARGO_BIN_EXE_fernglade-rollout")).arg(plan);
         Ok(command)
     };
     let (program, operator) = (mixer(), Some(settings.as_path()));
-    let all = Cast { program: &program, beside: None, operator, begin: Some(&begin) };
-    let (played, conducted) = cast(day, 7, &all).unwrap();
+    let all = RunOptions {
+        program: &program,
+        alternate_program: None,
+        operator_file: operator,
+        controller: Some(&begin),
+    };
+    let (played, conducted) = run_with(day, 7, &all).unwrap();
     let _ = std::fs::remove_file(settings);
     let wrote = |name: &str| std::fs::read_to_string(bench.folder.join(name)).unwrap_or_default();
     let (journal, log) = (wrote("journal"), wrote("journal.log"));
-    Ran { figures: played.figures, breaches: played.breaches, conducted, journal, log }
+    Ran { figures: played.statistics, breaches: played.violations, conducted, journal, log }
 }
 
 const RUN: &str = "exec \"$0\" run \"$1\"";
@@ -163,9 +168,9 @@
     // Killed, it begins anew with the time before, and with the comparison.
     let lasts = if how == RUN { LONG } else { LONG + 30 };
     let ran = run(&bench, &day(lasts, 4, 150, troubles), 2, &new, SHORT, how);
-    assert_eq!(ran.conducted.code, Some(0), "{}", ran.shows());
+    assert_eq!(ran.conducted.exit_code, Some(0), "{}", ran.shows());
     assert!(ran.breaches.is_empty(), "{}", ran.shows());
-    assert!(ran.figures.whole().share() >= 0.9, "{}", ran.shows());
+    assert!(ran.figures.total().served_share() >= 0.9, "{}", ran.shows());
     assert!(ran.journal.contains("\"passed\"") && ran.journal.contains("\"new\""), "{}", ran.shows());
 }
 
@@ -176,9 +181,9 @@
     let bench = Bench::new();
     let new = new_program(&bench.rebuilt(), &bench.write("new.json5", OLD_SETTINGS));
     let ran = run(&bench, &day(LONG, 4, 150, troubles), 2, &new, SHORT, RUN);
-    assert_eq!(ran.conducted.code, Some(0), "{}", ran.shows());
+    assert_eq!(ran.conducted.exit_code, Some(0), "{}", ran.shows());
     assert!(ran.breaches.is_empty(), "{}", ran.shows());
-    assert!(ran.conducted.says.contains(says) || ran.log.contains(says), "{}", ran.shows());
+    assert!(ran.conducted.output.contains(says) || ran.log.contains(says), "{}", ran.shows());
 }
 
 /// By the operator's commands, and mixers that stand still as soon as they are told to end: each is killed in the end, and
@@ -194,8 +199,8 @@
         SHORT.replace("stop_within: '5s'", "stop_within: '2s'").replace("unheard_within: '3s'", "unheard_within: '6s'")
     );
     let ran = run(&bench, &day(50, 3, 120, ""), 1, &new, &commands, RUN);
-    assert_eq!(ran.conducted.code, Some(0), "{}", ran.shows());
-    assert!(ran.conducted.says.contains("is killed"), "{}", ran.shows());
+    assert_eq!(ran.conducted.exit_code, Some(0), "{}", ran.shows());
+    assert!(ran.conducted.output.contains("is killed"), "{}", ran.shows());
 }
 
 /// In the middle of a step: what had been stopped is started, and all are old again.
@@ -205,8 +210,8 @@
     let new = new_program(&bench.rebuilt(), &bench.write("new.json5", OLD_SETTINGS));
     let how = "(sleep 5; \"$0\" undo \"$1\") & exec \"$0\" run \"$1\"";
     let ran = run(&bench, &day(22, 4, 100, ""), 2, &new, SHORT, how);
-    assert_eq!(ran.conducted.code, Some(3), "{}", ran.shows());
-    assert!(ran.breaches.is_empty() && ran.conducted.says.contains("an operator asked"), "{}", ran.shows());
+    assert_eq!(ran.conducted.exit_code, Some(3), "{}", ran.shows());
+    assert!(ran.breaches.is_empty() && ran.conducted.output.contains("an operator asked"), "{}", ran.shows());
     assert!(!ran.journal.contains("\"passed\""), "{}", ran.shows());
 }
 
@@ -219,8 +224,8 @@
     let bench = Bench::new();
     let new = bench.started_by(script);
     let ran = run(&bench, &day(55, 4, 150, troubles), 2, &new, SHORT, RUN);
-    assert_eq!(ran.conducted.code, Some(3), "{}", ran.shows());
-    assert!(ran.journal.contains(says) || ran.conducted.says.contains(says), "{}", ran.shows());
+    assert_eq!(ran.conducted.exit_code, Some(3), "{}", ran.shows());
+    assert!(ran.journal.contains(says) || ran.conducted.output.contains(says), "{}", ran.shows());
     let to_new = |mixer: usize| ran.journal.contains(&format!("\"mixer\":{mixer},\"side\":\"new\""));
     assert!(to_new(0) && !to_new(2) && !to_new(3), "{}", ran.shows());
 }
@@ -235,8 +240,8 @@
     let new = new_program(&mixer(), &path);
     let more = format!("by: 'hup', {SHORT}");
     let ran = run(&bench, &day(45, 3, 150, ""), 1, &new, &more, RUN);
-    assert_eq!(ran.conducted.code, Some(code), "{}", ran.shows());
-    assert!(ran.breaches.is_empty() && ran.figures.whole().share() >= 0.95, "{}", ran.shows());
+    assert_eq!(ran.conducted.exit_code, Some(code), "{}", ran.shows());
+    assert!(ran.breaches.is_empty() && ran.figures.total().served_share() >= 0.95, "{}", ran.shows());
 }
 
 /// Two conductors on one journal, and a second change while one has not ended: both are refused.
@@ -247,7 +252,7 @@
     let how = "\"$0\" run \"$1\" & first=$!; sleep 2; \"$0\" run \"$1\"; echo second $?; kill -9 $first; \
         sed 's/test/another/' \"$1\" > \"$1.2\"; \"$0\" run \"$1.2\"; echo change $?; \"$0\" undo \"$1\"; \"$0\" run \"$1\"; echo undone $?";
     let ran = run(&bench, &day(20, 3, 40, ""), 1, &new, SHORT, how);
-    let says = &ran.conducted.says;
+    let says = &ran.conducted.output;
     assert!(says.contains("another conductor") && says.contains("second 2"), "{}", ran.shows());
     assert!(says.contains("has not ended") && says.contains("change 2"), "{}", ran.shows());
     assert!(says.contains("undone 3"), "{}", ran.shows());
@@ -280,20 +285,20 @@
         ),
     ];
     // By the clock of who asks: what finds nobody to ask is in no trace.
-    let lost = |day: &Day, ran: &Ran, until: usize| {
+    let lost = |day: &Scenario, ran: &Ran, until: usize| {
         let within = |at: f64| (4.0..until as f64).contains(&at);
         let asked = day.arrivals(7).into_iter().filter(|arrival| within(arrival.at.as_secs_f64()));
-        let worth: f64 = asked.map(|arrival| day.types[arrival.sort].credit).sum();
-        worth - ran.figures.between(4, until).served
+        let worth: f64 = asked.map(|arrival| day.types[arrival.traffic_type].credit).sum();
+        worth - ran.figures.sum_between(4, until).served
     };
     for (name, script, staged, once) in kinds {
         let bench = Bench::new();
         let day_of_staged = day(55, 4, 150, staged);
         let staged = run(&bench, &day_of_staged, 2, &bench.started_by(script), SHORT, RUN);
-        let until = staged.conducted.at.ceil() as usize;
+        let until = staged.conducted.ended_at.ceil() as usize;
         let (other, day_of_once) = (Bench::new(), day(until as u32 + 1, 4, 150, once));
         let once = run(&other, &day_of_once, 2, &other.started_by(sound), SHORT, "true");
-        let code = staged.conducted.code;
+        let code = staged.conducted.exit_code;
         let (staged, once) = (lost(&day_of_staged, &staged, until), lost(&day_of_once, &once, until));
         println!("{name} | {until} s, code {code:?} | {staged:.0} | {once:.0}");
     }
--- a/crates/mixer/tests/fleet.rs
+++ b/crates/mixer/tests/fleet.rs
@@ -4,13 +4,13 @@
 use fernglade_standins::child::{free_address, mixer_config, start_mixer, temp_file};
 use fernglade_standins::client::{read_response, scan_request, send};
 use fernglade_standins::discovery::{agent_with_list, searcher_list};
-use fernglade_standins::fleet::{play, Breach, Day, Figures};
+use fernglade_standins::fleet::{runner, RunStatistics, Scenario, Violation};
 use fernglade_standins::searcher::{answer_parts, start_searcher};
 use std::path::{Path, PathBuf};
 use std::sync::OnceLock;
 use test_case::test_case;
 
-fn day(troubles: &str, mixers: &str) -> Day {
+fn day(troubles: &str, mixers: &str) -> Scenario {
     let text = format!(
         r#"{{
           lasts: "7s", mixers: {mixers}, searchers: {{ cells: 3, replicas: 3, cold_from: 0.3, cold: "4s" }},
@@ -22,16 +22,16 @@
           ],
           troubles: [{troubles}] }}"#
     );
-    Day::read(&text).unwrap()
+    Scenario::parse(&text).unwrap()
 }
 
-fn played(day: &Day, seed: u64) -> (Figures, Vec<Breach>) {
+fn played(day: &Scenario, seed: u64) -> (RunStatistics, Vec<Violation>) {
     played_by(day, seed, None)
 }
 
-fn played_by(day: &Day, seed: u64, operator: Option<&Path>) -> (Figures, Vec<Breach>) {
-    let played = play::play(day, seed, Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), operator).unwrap();
-    (played.figures, played.breaches)
+fn played_by(day: &Scenario, seed: u64, operator: Option<&Path>) -> (RunStatistics, Vec<Violation>) {
+    let played = runner::run(day, seed, Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), operator).unwrap();
+    (played.statistics, played.violations)
 }
 
 /// An operator's file in which the fleet sheds as one. Written once: a mixer of another day may be reading it.
@@ -53,9 +53,9 @@
 fn rules_hold_and_most_is_served(troubles: &str, least: f64, most_sent: f64) {
     let (figures, breaches) = played(&day(troubles, "{ count: 3 }"), 11);
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    let whole = figures.whole();
-    assert!(whole.scans > 400 && whole.share() >= least, "{figures}");
-    assert!(whole.sent_over_asked() <= most_sent, "{figures}");
+    let whole = figures.total();
+    assert!(whole.scans > 400 && whole.served_share() >= least, "{figures}");
+    assert!(whole.relays_per_part() <= most_sent, "{figures}");
 }
 
 #[test_case("{ what: 'stall', at: '2s', lasts: '1500ms', mixers: [1] }"; "a mixer stands still, and its beliefs are old")]
@@ -65,9 +65,9 @@
 fn mixers_that_are_away_break_no_rule_and_the_others_serve_on(troubles: &str) {
     let (figures, breaches) = played(&day(troubles, "{ count: 3 }"), 12);
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    assert!(figures.whole().share() >= 0.4, "{figures}");
-    let last = figures.between(5, 7);
-    assert!(last.share() >= 0.8, "they are back: {figures}");
+    assert!(figures.total().served_share() >= 0.4, "{figures}");
+    let last = figures.sum_between(5, 7);
+    assert!(last.served_share() >= 0.8, "they are back: {figures}");
 }
 
 #[test_case("{ count: 4, first: 0.25 }"; "one has a quarter of all")]
@@ -77,10 +77,10 @@
     let troubles = "{ what: 'crash', at: '1500ms', lasts: '1s', searchers: [0, 1, 3, 4, 6] }";
     let (figures, breaches) = played(&day(troubles, mixers), 13);
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    let last = figures.between(5, 7);
-    assert!(last.share() >= 0.8, "{figures}");
+    let last = figures.sum_between(5, 7);
+    assert!(last.served_share() >= 0.8, "{figures}");
     // Each of four asks a dead one every five seconds, and dials one that is back when it has a part for it.
-    assert!(figures.most_checks() <= 8, "{figures}");
+    assert!(figures.max_probes() <= 8, "{figures}");
 }
 
 /// What the whole fleet's test asks of the program, as far as it can be held here (docs/architecture.md).
@@ -112,7 +112,7 @@
 }
 
 /// Scans that need every cell, edits of twice the worth beside them, and clients of whom half come again at once.
-fn heavy(load: f64, troubles: &str, mixers: &str) -> Day {
+fn heavy(load: f64, troubles: &str, mixers: &str) -> Scenario {
     let text = format!(
         r#"{{
           lasts: "7s", mixers: {mixers}, searchers: {{ cells: 3, replicas: 2, cold_from: 0.3, cold: "3s" }},
@@ -123,7 +123,7 @@
           ],
           troubles: [{troubles}] }}"#
     );
-    Day::read(&text).unwrap().at_load(load)
+    Scenario::parse(&text).unwrap().with_load(load)
 }
 
 /// Shed as one, overload and faults on the links break no rule, are not made worse by relays, and cost the edits little.
@@ -145,9 +145,9 @@
 ) {
     let (figures, breaches) = played_by(&heavy(load, troubles, mixers), 21, Some(as_one()));
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    let whole = figures.whole();
-    assert!(whole.share() >= least, "{figures}");
-    assert!(whole.sent_over_asked() <= 1.2, "{figures}");
+    let whole = figures.total();
+    assert!(whole.served_share() >= least, "{figures}");
+    assert!(whole.relays_per_part() <= 1.2, "{figures}");
     let (_, asked, served) = figures.types["fix"];
     // Of what came to a mixer while it stood still nothing can be served, whatever sheds.
     let stood = figures.stood.get("fix").copied().unwrap_or_default();
@@ -161,9 +161,9 @@
     day.lasts = std::time::Duration::from_secs(11);
     let (figures, breaches) = played_by(&day, 22, Some(as_one()));
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    let (burst, after) = (figures.between(2, 4), figures.between(8, 11));
-    assert!(burst.share() <= 0.7, "it is more than can be done: {figures}");
-    assert!(after.share() >= 0.9, "{figures}");
+    let (burst, after) = (figures.sum_between(2, 4), figures.sum_between(8, 11));
+    assert!(burst.served_share() <= 0.7, "it is more than can be done: {figures}");
+    assert!(after.served_share() >= 0.9, "{figures}");
 }
 
 /// A sixth of the searchers is cut off, their connections open. Those asked whether they are there are asked by each
@@ -178,10 +178,13 @@
           ],
           troubles: [{ what: 'cut', at: '2s', lasts: '3s', searchers: [0, 7, 14] }] }"#;
     let asks = temp_file("asks.json5", "{ searchers: { checks_beside_queue: true } }");
-    let (figures, breaches) = played_by(&Day::read(text).unwrap(), 31, Some(&asks));
+    let (figures, breaches) = played_by(&Scenario::parse(text).unwrap(), 31, Some(&asks));
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    assert!(figures.whole().sent_over_asked() <= 1.2 && figures.between(2, 5).share() >= 0.7, "{figures}");
-    assert!((1..=6).contains(&figures.most_checks()), "{figures}");
+    assert!(
+        figures.total().relays_per_part() <= 1.2 && figures.sum_between(2, 5).served_share() >= 0.7,
+        "{figures}"
+    );
+    assert!((1..=6).contains(&figures.max_probes()), "{figures}");
 }
 
 /// An operator's file in which all mixers together keep to sums, and checks pass by the queue.
@@ -203,10 +206,10 @@
           types: [{{ name: "look", rate: 30, parts: 12, work: "5ms", quoted: "600ms", abandon: "1500ms", repeat: "redoable" }}],
           troubles: [{{ what: 'hang', at: '1s', lasts: '13s', searchers: [7] }}] }}"#
     );
-    let (figures, breaches) = played_by(&Day::read(&text).unwrap(), 41, Some(in_sum()));
+    let (figures, breaches) = played_by(&Scenario::parse(&text).unwrap(), 41, Some(in_sum()));
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    assert!(figures.whole().sent_over_asked() <= 1.2, "{figures}");
-    let asked: Vec<usize> = (4..14).map(|s| figures.most(&[7], s..s + 1, |load| load.checks)).collect();
+    assert!(figures.total().relays_per_part() <= 1.2, "{figures}");
+    let asked: Vec<usize> = (4..14).map(|s| figures.max_load(&[7], s..s + 1, |load| load.probes)).collect();
     assert!(asked.iter().sum::<usize>() <= most, "{asked:?}");
     assert!(asked.iter().filter(|second| **second > 0).count() >= turns, "at the same time: {asked:?}");
 }
@@ -220,9 +223,9 @@
     let trouble = format!("{more} {{ what: 'full', at: '2s', lasts: '3s', searchers: [0, 3, 6] }}");
     let (figures, breaches) = played_by(&day(&trouble, mixers), 42, Some(in_sum()));
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    let whole = figures.whole();
+    let whole = figures.total();
     // A fifth of what was asked for, and of all three cells the few that time earns in ten seconds, twice over at half.
     assert!(whole.further as f64 <= 0.2 * whole.parts as f64 + 3.0 * 2.0 * 10.0, "{figures}");
     assert!(whole.turned_away >= 3, "they were met: {figures}");
-    assert!(whole.share() >= 0.6 && figures.between(6, 7).share() >= 0.8, "{figures}");
+    assert!(whole.served_share() >= 0.6 && figures.sum_between(6, 7).served_share() >= 0.8, "{figures}");
 }
--- a/crates/standins/src/bin/fernglade-fleet.rs
+++ b/crates/standins/src/bin/fernglade-fleet.rs
@@ -1,9 +1,9 @@
 //! Plays a day of several mixers with faults between them, and says what came of it.
 
 use clap::{Parser, Subcommand};
-use fernglade_standins::fleet::figures::Load;
-use fernglade_standins::fleet::play::Cast;
-use fernglade_standins::fleet::{play, Day, Figures, Played};
+use fernglade_standins::fleet::runner::RunOptions;
+use fernglade_standins::fleet::statistics::SearcherLoad;
+use fernglade_standins::fleet::{runner, RunResult, RunStatistics, Scenario};
 use plotters::prelude::*;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -81,17 +81,17 @@
     }
 }
 
-fn read(path: &Path) -> Result<Day, String> {
+fn read(path: &Path) -> Result<Scenario, String> {
     let within = |what: String| format!("{}: {what}", path.display());
     let text = std::fs::read_to_string(path).map_err(|error| within(error.to_string()))?;
-    Day::read(&text).map_err(|wrong| within(wrong.to_string()))
+    Scenario::parse(&text).map_err(|wrong| within(wrong.to_string()))
 }
 
 fn answer(ask: Ask) -> Result<bool, String> {
     match ask {
         Ask::Check { day } => {
             let day = read(&day)?;
-            let (mixers, searchers) = (day.mixers.count, day.posts());
+            let (mixers, searchers) = (day.mixers.count, day.searcher_count());
             println!(
                 "{mixers} mixers, {searchers} searchers, {} troubles, load {:.2}",
                 day.troubles.len(),
@@ -109,18 +109,23 @@
             let days = if loads.is_empty() {
                 vec![day]
             } else {
-                loads.iter().map(|load| day.at_load(*load)).collect()
+                loads.iter().map(|load| day.with_load(*load)).collect()
             };
             let mut broken = false;
             for day in &days {
                 for program in std::iter::once(&program).chain(&against) {
                     let (operator, beside) = (operator.as_deref(), beside.as_deref());
-                    let cast = Cast { program, beside, operator, begin: None };
-                    let (played, _) = play::cast(day, seed, &cast)
+                    let options = RunOptions {
+                        program,
+                        alternate_program: beside,
+                        operator_file: operator,
+                        controller: None,
+                    };
+                    let (played, _) = runner::run_with(day, seed, &options)
                         .map_err(|error| format!("{}: {error}", program.display()))?;
-                    broken |= !played.breaches.is_empty();
+                    broken |= !played.violations.is_empty();
                     tell(day, seed, program, &played, brief);
-                    watch.iter().for_each(|searcher| watched(&played.figures, *searcher));
+                    watch.iter().for_each(|searcher| watched(&played.statistics, *searcher));
                 }
             }
             Ok(broken)
@@ -129,24 +134,24 @@
 }
 
 /// What came to one searcher from all mixers together, second by second.
-fn watched(figures: &Figures, searcher: usize) {
+fn watched(figures: &RunStatistics, searcher: usize) {
     let none = Vec::new();
     let seconds = figures.loads.get(&searcher).unwrap_or(&none);
-    let line = |of: fn(&Load) -> usize| {
+    let line = |of: fn(&SearcherLoad) -> usize| {
         seconds.iter().map(|load| format!("{:>4}", of(load))).collect::<Vec<_>>().join("")
     };
     println!("searcher {searcher}, by second");
     println!("  parts    {}", line(|load| load.parts));
     println!("  further  {}", line(|load| load.further));
     println!("  dials    {}", line(|load| load.dials));
-    println!("  checks   {}", line(|load| load.checks));
+    println!("  checks   {}", line(|load| load.probes));
 }
 
 /// One load, the worth served of what was asked, without and with the operator's file: means of all seeds.
 type Point = (f64, [f64; 2]);
 
 fn curve(
-    day: &Day,
+    day: &Scenario,
     seeds: &[u64],
     program: &Path,
     operator: &Path,
@@ -156,16 +161,16 @@
     let (mut points, mut broken): (Vec<Point>, bool) = (Vec::new(), false);
     println!("{:>5}  {:>9}  {:>9}  {:>9}  {:>9}", "load", "share off", "share on", "worth off", "worth on");
     for load in loads {
-        let day = day.at_load(*load);
+        let day = day.with_load(*load);
         let (mut share, mut worth) = ([0.0; 2], [0.0; 2]);
         for seed in seeds {
             for (at, operator) in [None, Some(operator)].into_iter().enumerate() {
-                let played = play::play(&day, *seed, program, operator).map_err(|e| e.to_string())?;
-                let whole = played.figures.whole();
-                share[at] += whole.share() / seeds.len() as f64;
+                let played = runner::run(&day, *seed, program, operator).map_err(|e| e.to_string())?;
+                let whole = played.statistics.total();
+                share[at] += whole.served_share() / seeds.len() as f64;
                 worth[at] += whole.served / day.lasts.as_secs_f64() / seeds.len() as f64;
-                played.breaches.iter().for_each(|breach| println!("  {breach}"));
-                broken |= !played.breaches.is_empty();
+                played.violations.iter().for_each(|breach| println!("  {breach}"));
+                broken |= !played.violations.is_empty();
             }
         }
         let ([off, on], [worth_off, worth_on]) = (share, worth);
@@ -201,21 +206,21 @@
     Ok(())
 }
 
-fn tell(day: &Day, seed: u64, program: &Path, played: &Played, brief: bool) {
-    let whole = played.figures.whole();
+fn tell(day: &Scenario, seed: u64, program: &Path, played: &RunResult, brief: bool) {
+    let whole = played.statistics.total();
     println!(
         "{} seed {seed} load {:.2}: served {:.3} of {:.0}, {:.3} sent over asked, {} rules broken",
         program.display(),
         day.load(),
-        whole.share(),
+        whole.served_share(),
         whole.worth,
-        whole.sent_over_asked(),
-        played.breaches.len()
+        whole.relays_per_part(),
+        played.violations.len()
     );
     if !brief {
-        print!("{}", played.figures);
+        print!("{}", played.statistics);
     }
-    for breach in played.breaches.iter().take(if brief { 3 } else { 40 }) {
+    for breach in played.violations.iter().take(if brief { 3 } else { 40 }) {
         println!("  {breach}");
     }
 }
--- a/crates/standins/src/fleet/agent.rs
+++ b/crates/standins/src/fleet/agent.rs
@@ -1,6 +1,6 @@
 //! Discovery as one mixer's agent tells it: the whole list, as old as this mixer's news are.
 
-use super::play::World;
+use super::runner::FleetState;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::collections::BTreeMap;
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Life {
+pub enum Lifecycle {
     Serving,
     Draining,
-    Gone,
+    Removed,
 }
 
 /// A change of the list: from when on, of whom, and the start that it tells, in milliseconds of Unix time.
@@ -21,20 +21,20 @@
 pub struct Change {
     pub at: fernglade::Moment,
     pub searcher: usize,
-    pub life: Life,
+    pub life: Lifecycle,
     pub started_ms: u64,
 }
 
-pub async fn listen(world: Rc<World>, mixer: usize, listener: TcpListener) -> io::Result<()> {
+pub async fn listen(state: Rc<FleetState>, mixer: usize, listener: TcpListener) -> io::Result<()> {
     let listener = Async::new(listener)?;
     loop {
         let (stream, _) = listener.accept().await?;
-        let world = world.clone();
-        world.clone().spawn(async move { drop(serve(&world, mixer, stream).await) });
+        let state = state.clone();
+        state.clone().spawn(async move { drop(serve(&state, mixer, stream).await) });
     }
 }
 
-async fn serve(world: &Rc<World>, mixer: usize, mut stream: Async<TcpStream>) -> io::Result<()> {
+async fn serve(state: &Rc<FleetState>, mixer: usize, mut stream: Async<TcpStream>) -> io::Result<()> {
     loop {
         let head = head(&mut stream).await?;
         let asked = |name: &str| {
@@ -43,33 +43,36 @@
         };
         let (after, wait) = (asked("after"), asked("wait_ms").unwrap_or(0).min(60_000));
         let until = Instant::now() + Duration::from_millis(wait);
-        while after.is_some_and(|after| world.news(mixer).len() as u64 == after) && Instant::now() < until {
+        while after.is_some_and(|after| state.visible_changes(mixer).len() as u64 == after)
+            && Instant::now() < until
+        {
             Timer::after(Duration::from_millis(10)).await;
         }
-        let news = world.news(mixer);
+        let news = state.visible_changes(mixer);
         let mut list: BTreeMap<usize, Change> = BTreeMap::new();
         for change in &news {
             list.insert(change.searcher, *change);
         }
-        let body = body(world, mixer, news.len(), &list);
+        let body = body(state, mixer, news.len(), &list);
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         stream.write_all(answer.as_bytes()).await?;
         for change in list.values() {
-            world.told(mixer, change.searcher, change.life == Life::Serving);
+            state.told(mixer, change.searcher, change.life == Lifecycle::Serving);
         }
     }
 }
 
-fn body(world: &World, mixer: usize, version: usize, list: &BTreeMap<usize, Change>) -> String {
+fn body(state: &FleetState, mixer: usize, version: usize, list: &BTreeMap<usize, Change>) -> String {
     let row = |change: &Change| {
-        let (searcher, at) = (change.searcher, world.address(mixer, change.searcher));
-        let life = if change.life == Life::Serving { "SERVING" } else { "DRAINING" };
-        let (cell, started) = (world.day.cell(searcher), change.started_ms);
+        let (searcher, at) = (change.searcher, state.address(mixer, change.searcher));
+        let life = if change.life == Lifecycle::Serving { "SERVING" } else { "DRAINING" };
+        let (cell, started) = (state.day.cell(searcher), change.started_ms);
         format!(
             r#"{{"instanceId":"s{searcher}","hostPort":"{at}","zone":"a","cell":{cell},"lifecycle":"{life}","startedAtMs":{started}}}"#
         )
     };
-    let rows: Vec<String> = list.values().filter(|change| change.life != Life::Gone).map(row).collect();
+    let rows: Vec<String> =
+        list.values().filter(|change| change.life != Lifecycle::Removed).map(row).collect();
     format!(r#"{{"generation":{version},"reset":true,"instances":[{}]}}"#, rows.join(","))
 }
 
--- a/crates/standins/src/fleet/callers.rs
+++ b/crates/standins/src/fleet/client_tasks.rs
@@ -1,8 +1,8 @@
 //! Clients: they come by the clock and not by the answers, wait as long as they said, and come again.
 
-use super::day::{Arrival, Repeat};
-use super::play::World;
-use super::trace::{name_of, Fact};
+use super::runner::FleetState;
+use super::scenario::{Arrival, Idempotency};
+use super::trace::{name_of, TraceEvent};
 use async_io::{Async, Timer};
 use fernglade::Span;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
@@ -16,13 +16,13 @@
 const LISTENS_ON: Duration = Duration::from_secs(1);
 
 /// How a try went.
-enum Went {
+enum TryOutcome {
     Served,
     /// Asking again is harmless, after a while.
-    Bounced(Option<Span>),
+    Rejected(Option<Span>),
     Failed,
     /// Nobody took it.
-    Unheard,
+    Unreachable,
 }
 
 struct Answer {
@@ -33,46 +33,46 @@
 }
 
 /// One scan, from its first try to its last.
-pub async fn scan(world: Rc<World>, arrival: Arrival) {
-    Timer::at(world.began() + arrival.at).await;
-    let sort = world.day.types[arrival.sort].clone();
-    let gives_up = world.began() + arrival.at + sort.abandon;
+pub async fn scan(state: Rc<FleetState>, arrival: Arrival) {
+    Timer::at(state.started_at() + arrival.at).await;
+    let traffic_type = state.day.types[arrival.traffic_type].clone();
+    let gives_up = state.started_at() + arrival.at + traffic_type.abandon;
     let (mut mixer, mut first) = (arrival.mixer, None);
-    for number in 0..world.day.clients.tries.max(1) {
+    for number in 0..state.day.clients.tries.max(1) {
         let left = gives_up.saturating_duration_since(Instant::now());
         if left < Duration::from_millis(20) {
             return;
         }
-        let scan = world.next_scan(arrival.sort, first);
+        let scan = state.next_try(arrival.traffic_type, first);
         let first = *first.get_or_insert(scan);
-        let pause = match ask(&world, scan, first, &arrival, mixer, left, number > 0).await {
-            Went::Served => return,
+        let pause = match ask(&state, scan, first, &arrival, mixer, left, number > 0).await {
+            TryOutcome::Served => return,
             // What may have run is asked again only where that is harmless.
-            Went::Failed if sort.repeat == Repeat::Irreversible => return,
-            Went::Bounced(pause) => pause.filter(|_| world.chance() < world.day.clients.honour),
-            Went::Failed => None,
-            Went::Unheard => {
-                mixer = world.another_mixer(mixer);
+            TryOutcome::Failed if traffic_type.repeat == Idempotency::NonIdempotent => return,
+            TryOutcome::Rejected(pause) => pause.filter(|_| state.random_unit() < state.day.clients.honour),
+            TryOutcome::Failed => None,
+            TryOutcome::Unreachable => {
+                mixer = state.other_available_mixer(mixer);
                 None
             }
         };
-        let pause = pause.map_or(world.day.clients.backoff, |pause| Duration::from_micros(pause.micros()));
+        let pause = pause.map_or(state.day.clients.backoff, |pause| Duration::from_micros(pause.micros()));
         Timer::after(pause).await;
     }
 }
 
 async fn ask(
-    world: &Rc<World>,
+    state: &Rc<FleetState>,
     scan: u32,
     first: u32,
     arrival: &Arrival,
     mixer: usize,
     left: Duration,
     again: bool,
-) -> Went {
-    let sort = &world.day.types[arrival.sort];
+) -> TryOutcome {
+    let traffic_type = &state.day.types[arrival.traffic_type];
     let shards: Vec<u32> =
-        (0..sort.parts as u32).map(|at| (arrival.first + at) % world.day.shards()).collect();
+        (0..traffic_type.parts as u32).map(|at| (arrival.first + at) % state.day.shard_count()).collect();
     let portion = 1.0 / shards.len() as f64;
     let ranges: Vec<String> =
         shards.iter().map(|shard| format!(r#"{{"range":{shard},"portion":{portion}}}"#)).collect();
@@ -80,80 +80,89 @@
     let request = format!(
         "POST /{} HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: {}\r\nX-Priority-Class: {}\r\nX-Tenant-Id: acme\r\n\
          X-Timeout: {:.3}\r\nIdempotency-Key: l{first}\r\n{}Content-Length: {}\r\n\r\n{body}",
-        sort.name,
+        traffic_type.name,
         name_of(scan),
-        sort.name,
+        traffic_type.name,
         left.as_secs_f64(),
         if again { "X-Retried: 1\r\n" } else { "" },
         body.len(),
     );
     let time = Span::of_micros(left.as_micros() as u64);
-    let asked = || Fact::Asked { scan, first, mixer, sort: arrival.sort, shards: shards.clone(), left: time };
-    let spoken = future::or(talk(world, mixer, scan, &request, asked), async {
+    let asked = || TraceEvent::ScanSent {
+        scan,
+        first,
+        mixer,
+        traffic_type: arrival.traffic_type,
+        shards: shards.clone(),
+        left: time,
+    };
+    let spoken = future::or(talk(state, mixer, scan, &request, asked), async {
         Timer::after(left + LISTENS_ON).await;
         Err(io::ErrorKind::TimedOut.into())
     });
     match spoken.await {
-        Ok(Some(answer)) => heard(world, scan, mixer, answer),
+        Ok(Some(answer)) => heard(state, scan, mixer, answer),
         Ok(None) => {
-            world.note(Fact::Unheard { scan, mixer });
-            Went::Unheard
+            state.record(TraceEvent::MixerUnreachable { scan, mixer });
+            TryOutcome::Unreachable
         }
         // The judge sees that no answer came.
-        Err(error) if error.kind() == io::ErrorKind::TimedOut => Went::Failed,
+        Err(error) if error.kind() == io::ErrorKind::TimedOut => TryOutcome::Failed,
         Err(_) => {
-            world.note(Fact::Dropped { scan, mixer });
-            Went::Failed
+            state.record(TraceEvent::ScanDropped { scan, mixer });
+            TryOutcome::Failed
         }
     }
 }
 
-fn heard(world: &World, scan: u32, mixer: usize, answer: Answer) -> Went {
+fn heard(state: &FleetState, scan: u32, mixer: usize, answer: Answer) -> TryOutcome {
     let json: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
     let value = |row: &Value| Some((row["range"].as_u64()? as u32, row["blob"].as_str()?.to_string()));
     let rows = json["answers"].as_array();
     let values = rows.map_or_else(Vec::new, |rows| rows.iter().filter_map(value).collect());
     let (status, pause, whole) = (answer.status, answer.pause, json["total"] == Value::Bool(true));
-    world.note(Fact::Answered { scan, mixer, status, whole, values, pause });
+    state.record(TraceEvent::ScanAnswered { scan, mixer, status, whole, values, pause });
     match status {
-        200 => Went::Served,
-        429 | 503 => Went::Bounced(pause),
-        _ => Went::Failed,
+        200 => TryOutcome::Served,
+        429 | 503 => TryOutcome::Rejected(pause),
+        _ => TryOutcome::Failed,
     }
 }
 
 /// Over a connection that is kept, or a new one; nothing where nobody took it.
 async fn talk(
-    world: &Rc<World>,
+    state: &Rc<FleetState>,
     mixer: usize,
     scan: u32,
     request: &str,
-    asked: impl Fn() -> Fact,
+    asked: impl Fn() -> TraceEvent,
 ) -> io::Result<Option<Answer>> {
-    if let Some(mut kept) = world.kept(mixer) {
+    if let Some(mut kept) = state.take_connection(mixer) {
         if kept.write_all(request.as_bytes()).await.is_ok() {
-            world.note(asked());
+            state.record(asked());
             match answer(&mut kept).await {
                 Ok(Some(answer)) => {
                     if answer.keeps {
-                        world.keep(mixer, kept);
+                        state.return_connection(mixer, kept);
                     }
                     return Ok(Some(answer));
                 }
                 // It ended the connection while this was on its way, and never read it.
-                Ok(None) => world.note(Fact::Crossed { scan }),
+                Ok(None) => state.record(TraceEvent::ScanUnread { scan }),
                 Err(error) => return Err(error),
             }
         }
     }
-    let Ok(mut stream) = Async::<TcpStream>::connect(world.door(mixer)).await else { return Ok(None) };
+    let Ok(mut stream) = Async::<TcpStream>::connect(state.mixer_address(mixer)).await else {
+        return Ok(None);
+    };
     if stream.write_all(request.as_bytes()).await.is_err() {
         return Ok(None);
     }
-    world.note(asked());
+    state.record(asked());
     let Some(answer) = answer(&mut stream).await? else { return Err(io::ErrorKind::UnexpectedEof.into()) };
     if answer.keeps {
-        world.keep(mixer, stream);
+        state.return_connection(mixer, stream);
     }
     Ok(Some(answer))
 }
--- a/crates/standins/src/fleet/way.rs
+++ b/crates/standins/src/fleet/link.rs
@@ -10,29 +10,29 @@
 
 /// Troubles that hold at the same time are counted, so that the end of one leaves the others standing.
 #[derive(Default)]
-pub struct Way {
+pub struct Link {
     /// What the mixer writes is not read; what the searcher writes does not go out.
-    deaf_there: Cell<u32>,
-    deaf_back: Cell<u32>,
+    block_requests: Cell<u32>,
+    block_responses: Cell<u32>,
     /// Cut: nothing passes either way, and no new connection comes up.
     cut: Cell<u32>,
     lag: Cell<Duration>,
     /// The share of answers that never goes out.
-    loses: Cell<f64>,
+    loss_share: Cell<f64>,
     /// Counts the resets: a connection of an earlier count is over.
     resets: Cell<u32>,
     /// Since when nobody listened, the last time that nobody did, and until when.
-    unheard: Cell<(Moment, Moment)>,
+    unread_since: Cell<(Moment, Moment)>,
     changed: Event,
 }
 
-impl Way {
+impl Link {
     fn count(&self, of: &Cell<u32>, begins: bool, now: Moment) {
-        let before = self.hears();
+        let before = self.reads_open();
         of.set(if begins { of.get() + 1 } else { of.get().saturating_sub(1) });
-        match (before, self.hears()) {
-            (true, false) => self.unheard.set((now, now)),
-            (false, true) => self.unheard.set((self.unheard.get().0, now)),
+        match (before, self.reads_open()) {
+            (true, false) => self.unread_since.set((now, now)),
+            (false, true) => self.unread_since.set((self.unread_since.get().0, now)),
             _ => {}
         }
         self.changed.notify(usize::MAX);
@@ -42,20 +42,20 @@
         self.count(&self.cut, begins, now);
     }
 
-    pub fn deaf_there(&self, begins: bool, now: Moment) {
-        self.count(&self.deaf_there, begins, now);
+    pub fn block_requests(&self, begins: bool, now: Moment) {
+        self.count(&self.block_requests, begins, now);
     }
 
-    pub fn deaf_back(&self, begins: bool, now: Moment) {
-        self.count(&self.deaf_back, begins, now);
+    pub fn block_responses(&self, begins: bool, now: Moment) {
+        self.count(&self.block_responses, begins, now);
     }
 
     pub fn set_lag(&self, lag: Duration) {
         self.lag.set(lag);
     }
 
-    pub fn set_loses(&self, share: f64) {
-        self.loses.set(share);
+    pub fn set_loss_share(&self, share: f64) {
+        self.loss_share.set(share);
     }
 
     /// Every open connection is over, with a reset.
@@ -65,7 +65,7 @@
     }
 
     /// Whoever waits for the way to change looks again.
-    pub fn ring(&self) {
+    pub fn notify_waiters(&self) {
         self.changed.notify(usize::MAX);
     }
 
@@ -81,17 +81,17 @@
         self.lag.get()
     }
 
-    pub fn loses(&self) -> f64 {
-        self.loses.get()
+    pub fn loss_share(&self) -> f64 {
+        self.loss_share.get()
     }
 
-    pub fn hears(&self) -> bool {
-        self.cut.get() + self.deaf_there.get() == 0
+    pub fn reads_open(&self) -> bool {
+        self.cut.get() + self.block_requests.get() == 0
     }
 
     /// When what is read now may have been written, at the earliest: it may have waited for somebody to listen.
-    pub fn written(&self, now: Moment) -> Moment {
-        let (from, until) = self.unheard.get();
+    pub fn earliest_write(&self, now: Moment) -> Moment {
+        let (from, until) = self.unread_since.get();
         if until > from && now.since(until) <= CATCHES_UP {
             from
         } else {
@@ -99,8 +99,8 @@
         }
     }
 
-    pub fn speaks(&self) -> bool {
-        self.cut.get() + self.deaf_back.get() == 0
+    pub fn writes_open(&self) -> bool {
+        self.cut.get() + self.block_responses.get() == 0
     }
 
     /// Until `holds` does. Nothing is missed between the look and the wait.
--- a/crates/standins/src/fleet/herd.rs
+++ b/crates/standins/src/fleet/mixer_processes.rs
@@ -1,7 +1,7 @@
 //! The mixers as processes: started, stalled, killed, told to end.
 
-use super::day::{Day, Repeat};
-use super::play::Cast;
+use super::runner::RunOptions;
+use super::scenario::{Idempotency, Scenario};
 use crate::child::temp_file;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-pub struct Herd {
+pub struct MixerProcesses {
     program: PathBuf,
     beside: Option<PathBuf>,
     operator: Option<PathBuf>,
@@ -23,7 +23,7 @@
     files: Vec<PathBuf>,
 }
 
-impl Drop for Herd {
+impl Drop for MixerProcesses {
     fn drop(&mut self) {
         self.kill_all();
         self.files.iter().for_each(|path| drop(std::fs::remove_file(path)));
@@ -35,17 +35,17 @@
 }
 
 /// What a mixer is told at its start.
-pub fn orders(day: &Day, mixer: usize, seed: u64, listen: SocketAddr, discovery: SocketAddr) -> Value {
-    let service = |sort: &super::day::Sort| {
-        let repeat = match sort.repeat {
-            Repeat::Redoable => "pure",
-            Repeat::Labelled => "token",
-            Repeat::Irreversible => "side_effect",
+pub fn orders(day: &Scenario, mixer: usize, seed: u64, listen: SocketAddr, discovery: SocketAddr) -> Value {
+    let service = |traffic_type: &super::scenario::TrafficType| {
+        let repeat = match traffic_type.repeat {
+            Idempotency::Idempotent => "pure",
+            Idempotency::ByKey => "token",
+            Idempotency::NonIdempotent => "side_effect",
         };
-        json!({"name": sort.name, "aim": micros(sort.quoted), "give_up": micros(sort.abandon), "points": sort.credit,
-               "late_worth": 0.1, "repeat": repeat, "window": micros(sort.window)})
+        json!({"name": traffic_type.name, "aim": micros(traffic_type.quoted), "give_up": micros(traffic_type.abandon), "points": traffic_type.credit,
+               "late_worth": 0.1, "repeat": repeat, "window": micros(traffic_type.window)})
     };
-    let each = |of: fn(&super::day::Sort) -> f64| day.types.iter().map(of).collect::<Vec<f64>>();
+    let each = |of: fn(&super::scenario::TrafficType) -> f64| day.types.iter().map(of).collect::<Vec<f64>>();
     let (there, budget) = (&day.searchers, &day.budget);
     json!({
         "name": format!("n{mixer}"), "listen": listen.to_string(), "discovery": discovery.to_string(),
@@ -57,8 +57,8 @@
             "worth_by": "request", "over_share_worth": 1.0,
             "services": day.types.iter().map(service).collect::<Vec<_>>(),
             "customers": [{"name": "acme", "quota_per_s": 1e6}],
-            "family_info": {"cells": there.cells, "width": 1, "slabs": day.shards(), "per_call": 1,
-                "floor_by_class": each(|sort| sort.floor), "complete_from": each(|_| 1.0), "fetch_parts": each(|_| 0.0)},
+            "family_info": {"cells": there.cells, "width": 1, "slabs": day.shard_count(), "per_call": 1,
+                "floor_by_class": each(|traffic_type| traffic_type.floor), "complete_from": each(|_| 1.0), "fetch_parts": each(|_| 0.0)},
             "limits": {"attempts_cap": 3, "cancel": true, "may_probe": true, "may_duplicate": true,
                 "dial_timeout": 250_000, "multiplex": 32, "max_open": 4_000, "retry_after": true,
                 "max_retry_after": 500_000},
@@ -70,9 +70,9 @@
     })
 }
 
-impl Herd {
-    pub fn new(cast: &Cast, count: usize) -> Self {
-        let (operator, copied) = (cast.operator, cast.begin.is_some());
+impl MixerProcesses {
+    pub fn new(options: &RunOptions, count: usize) -> Self {
+        let (operator, copied) = (options.operator_file, options.controller.is_some());
         let children = std::iter::repeat_with(|| None).take(count).collect();
         let text = operator.filter(|_| copied).and_then(|path| std::fs::read_to_string(path).ok());
         let mut files = Vec::new();
@@ -82,8 +82,8 @@
             files.push(temp_file(&name, text.as_deref().unwrap_or_default()));
         }
         Self {
-            program: cast.program.into(),
-            beside: cast.beside.map(Into::into),
+            program: options.program.into(),
+            beside: options.alternate_program.map(Into::into),
             operator: operator.map(Into::into),
             copies: files.clone(),
             orders: vec![PathBuf::new(); count],
--- a/crates/standins/src/fleet/mod.rs
+++ b/crates/standins/src/fleet/mod.rs
@@ -13,18 +13,18 @@
 //! The tasks of `play`: [`agent`] (discovery), [`attend`] (searchers), [`callers`] (clients), [`herd`] (processes).
 
 mod agent;
-mod attend;
-mod callers;
-pub mod day;
-pub mod figures;
-mod herd;
-pub mod judge;
-pub mod play;
-pub mod post;
+mod client_tasks;
+pub mod link;
+mod mixer_processes;
+pub mod rule_checker;
+pub mod runner;
+pub mod scenario;
+pub mod searcher_model;
+mod searcher_tasks;
+pub mod statistics;
 pub mod trace;
-pub mod way;
 
-pub use day::Day;
-pub use figures::Figures;
-pub use judge::{judge, Breach, Rule};
-pub use play::{play, Played};
+pub use rule_checker::{check_rules, Rule, Violation};
+pub use runner::{run, RunResult};
+pub use scenario::Scenario;
+pub use statistics::RunStatistics;
--- a/crates/standins/src/fleet/judge.rs
+++ b/crates/standins/src/fleet/rule_checker.rs
@@ -1,7 +1,7 @@
 //! The six rules and the sums, from what passed on the links alone. Pure.
 
-use super::day::{Day, Repeat, Sort};
-use super::trace::{value_of, End, Fact, Part, Passed};
+use super::scenario::{Idempotency, Scenario, TrafficType};
+use super::trace::{value_of, Part, PartOutcome, TraceEntry, TraceEvent};
 use fernglade::{Moment, Span};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -28,13 +28,13 @@
 
 /// A rule that was broken: when, and what was seen.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
+pub struct Violation {
     pub rule: Rule,
     pub at: Moment,
     pub what: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(to, "{:?} at {:.3} s: {}", self.rule, self.at.micros() as f64 / 1e6, self.what)
     }
@@ -46,7 +46,7 @@
 const ORDER: Span = Span::of_millis(100);
 
 struct Scan<'a> {
-    sort: &'a Sort,
+    traffic_type: &'a TrafficType,
     mixer: usize,
     at: Moment,
     due: Moment,
@@ -55,39 +55,39 @@
 }
 
 #[derive(Default)]
-struct Attempts(Vec<(Moment, usize, Option<End>)>);
+struct Attempts(Vec<(Moment, usize, Option<PartOutcome>)>);
 
 impl Attempts {
     /// The first that may have run: all but those turned away unseen.
     fn may_have_run(&self) -> Option<Moment> {
-        self.0.iter().find(|(_, _, end)| *end != Some(End::Later)).map(|(at, ..)| *at)
+        self.0.iter().find(|(_, _, end)| *end != Some(PartOutcome::Rejected)).map(|(at, ..)| *at)
     }
 }
 
 /// A mixer's budget, as its rule counts it.
 #[derive(Default)]
-struct Purse {
+struct RetryBudget {
     taken: VecDeque<(Moment, usize)>,
     further: VecDeque<Moment>,
 }
 
-struct Judge<'a> {
-    day: &'a Day,
+struct RuleChecker<'a> {
+    day: &'a Scenario,
     scans: BTreeMap<u32, Scan<'a>>,
     attempts: BTreeMap<Part, Attempts>,
-    purses: BTreeMap<usize, Purse>,
+    purses: BTreeMap<usize, RetryBudget>,
     /// Who was told that a searcher is not to be sent to any more, and when.
     told: BTreeMap<(usize, usize), Moment>,
     /// When each mixer last stood still or was not there, and whether it does now.
     away: BTreeMap<usize, (Moment, bool)>,
     asked: usize,
     relayed: usize,
-    breaches: Vec<Breach>,
+    violations: Vec<Violation>,
 }
 
 /// Every rule that was broken, in order.
-pub fn judge(day: &Day, trace: &[Passed]) -> Vec<Breach> {
-    let mut judge = Judge {
+pub fn check_rules(day: &Scenario, trace: &[TraceEntry]) -> Vec<Violation> {
+    let mut checker = RuleChecker {
         day,
         scans: BTreeMap::new(),
         attempts: BTreeMap::new(),
@@ -96,67 +96,78 @@
         away: BTreeMap::new(),
         asked: 0,
         relayed: 0,
-        breaches: Vec::new(),
+        violations: Vec::new(),
     };
     for passed in trace {
-        judge.hear(passed.at, &passed.fact);
+        checker.hear(passed.at, &passed.event);
     }
-    judge.close(trace.last().map_or(Moment::default(), |passed| passed.at));
-    judge.breaches.sort_by_key(|breach| breach.at);
-    judge.breaches
+    checker.close(trace.last().map_or(Moment::default(), |passed| passed.at));
+    checker.violations.sort_by_key(|breach| breach.at);
+    checker.violations
 }
 
-impl<'a> Judge<'a> {
+impl<'a> RuleChecker<'a> {
     fn breach(&mut self, rule: Rule, at: Moment, what: String) {
-        self.breaches.push(Breach { rule, at, what });
+        self.violations.push(Violation { rule, at, what });
     }
 
-    fn hear(&mut self, at: Moment, fact: &Fact) {
-        match fact {
-            Fact::Asked { scan, mixer, sort, shards, left, .. } => {
-                let (sort, shards) = (&self.day.types[*sort], shards.clone());
+    fn hear(&mut self, at: Moment, event: &TraceEvent) {
+        match event {
+            TraceEvent::ScanSent { scan, mixer, traffic_type, shards, left, .. } => {
+                let (traffic_type, shards) = (&self.day.types[*traffic_type], shards.clone());
                 self.asked += shards.len();
                 self.purses.entry(*mixer).or_default().taken.push_back((at, 1 + shards.len()));
-                self.scans
-                    .insert(*scan, Scan { sort, mixer: *mixer, at, due: at + *left, shards, ended: None });
+                self.scans.insert(
+                    *scan,
+                    Scan { traffic_type, mixer: *mixer, at, due: at + *left, shards, ended: None },
+                );
             }
-            Fact::Crossed { scan } => drop(self.scans.remove(scan)),
-            Fact::Answered { scan, status, whole, values, .. } => {
+            TraceEvent::ScanUnread { scan } => drop(self.scans.remove(scan)),
+            TraceEvent::ScanAnswered { scan, status, whole, values, .. } => {
                 self.answered(at, *scan, *status, *whole, values)
             }
-            Fact::Dropped { scan, mixer } => {
+            TraceEvent::ScanDropped { scan, mixer } => {
                 if !self.was_away(*mixer, at) {
                     self.breach(Rule::Answer, at, format!("scan {scan}: mixer {mixer} ended the connection"));
                 }
                 self.scans.get_mut(scan).into_iter().for_each(|scan| scan.ended = Some(at));
             }
-            Fact::Relayed { mixer, searcher, part, written } => {
+            TraceEvent::PartRelayed { mixer, searcher, part, written } => {
                 self.relayed(*written, at, *mixer, *searcher, *part);
             }
-            Fact::Back { searcher, part, end, .. } => {
+            TraceEvent::PartAnswered { searcher, part, end, .. } => {
                 let attempts = self.attempts.entry(*part).or_default();
                 let open = attempts.0.iter_mut().rev().find(|(_, to, end)| to == searcher && end.is_none());
                 open.into_iter().for_each(|attempt| attempt.2 = Some(*end));
             }
-            Fact::Told { mixer, searcher, ready: true } => drop(self.told.remove(&(*mixer, *searcher))),
-            Fact::Told { mixer, searcher, ready: false } => {
+            TraceEvent::DiscoverySent { mixer, searcher, ready: true } => {
+                self.told.remove(&(*mixer, *searcher));
+            }
+            TraceEvent::DiscoverySent { mixer, searcher, ready: false } => {
                 self.told.entry((*mixer, *searcher)).or_insert(at);
             }
-            Fact::Toppled { searcher } => self.breach(Rule::Cold, at, format!("searcher {searcher} toppled")),
-            Fact::Stalled { mixer, still } => drop(self.away.insert(*mixer, (at, *still))),
-            Fact::MixerGone { mixer, asked } => {
+            TraceEvent::SearcherCollapsed { searcher } => {
+                self.breach(Rule::Cold, at, format!("searcher {searcher} toppled"))
+            }
+            TraceEvent::MixerStalled { mixer, still } => drop(self.away.insert(*mixer, (at, *still))),
+            TraceEvent::MixerExited { mixer, asked } => {
                 if !asked {
                     self.breach(Rule::Crash, at, format!("mixer {mixer} ended by itself"));
                 }
                 self.away.insert(*mixer, (at, true));
                 self.told.retain(|(of, _), _| of != mixer);
             }
-            Fact::MixerBegan { mixer } => {
+            TraceEvent::MixerStarted { mixer } => {
                 self.away.insert(*mixer, (at, false));
                 self.purses.remove(mixer);
             }
-            Fact::Unheard { .. } | Fact::Dialled { .. } | Fact::GivenUp { .. } | Fact::Checked { .. } => {}
-            Fact::Began { .. } | Fact::Gone { .. } | Fact::Trouble { .. } => {}
+            TraceEvent::MixerUnreachable { .. }
+            | TraceEvent::LinkOpened { .. }
+            | TraceEvent::PartCancelled { .. }
+            | TraceEvent::ProbeReceived { .. } => {}
+            TraceEvent::SearcherStarted { .. }
+            | TraceEvent::SearcherStopped { .. }
+            | TraceEvent::Fault { .. } => {}
         }
     }
 
@@ -170,8 +181,8 @@
             return self.breach(Rule::Answer, at, format!("scan {id}: an answer to nobody"));
         };
         let twice = scan.ended.replace(at).is_some();
-        let (asked, due, mixer, sort, shards) =
-            (scan.at, scan.due, scan.mixer, scan.sort, scan.shards.clone());
+        let (asked, due, mixer, traffic_type, shards) =
+            (scan.at, scan.due, scan.mixer, scan.traffic_type, scan.shards.clone());
         if twice {
             self.breach(Rule::Answer, at, format!("scan {id}: a second answer"));
         }
@@ -180,8 +191,8 @@
             self.breach(Rule::Answer, at, format!("scan {id}: answered {late} ms after its time"));
         }
         match status {
-            200 => self.honest(at, id, sort, &shards, whole, values),
-            429 | 503 if sort.repeat == Repeat::Irreversible => {
+            200 => self.honest(at, id, traffic_type, &shards, whole, values),
+            429 | 503 if traffic_type.repeat == Idempotency::NonIdempotent => {
                 let ran = |shard: &u32| {
                     self.attempts.get(&Part { scan: id, shard: *shard }).and_then(Attempts::may_have_run)
                 };
@@ -201,14 +212,14 @@
         &mut self,
         at: Moment,
         id: u32,
-        sort: &Sort,
+        traffic_type: &TrafficType,
         shards: &[u32],
         whole: bool,
         values: &[(u32, String)],
     ) {
         let came = |shard: &u32| {
             let attempts = self.attempts.get(&Part { scan: id, shard: *shard });
-            attempts.is_some_and(|all| all.0.iter().any(|(.., end)| *end == Some(End::Honoured)))
+            attempts.is_some_and(|all| all.0.iter().any(|(.., end)| *end == Some(PartOutcome::Succeeded)))
         };
         let mut seen = std::collections::BTreeSet::new();
         let bad = values.iter().find(|(shard, value)| {
@@ -219,7 +230,7 @@
             self.breach(Rule::Honest, at, format!("scan {id}: shard {shard} answered with {value:?}"));
         }
         let share = values.len() as f64 / shards.len() as f64;
-        if share + 1e-4 < sort.floor {
+        if share + 1e-4 < traffic_type.floor {
             self.breach(Rule::Honest, at, format!("scan {id}: answered with {share:.3}, under its floor"));
         }
         if whole && values.len() < shards.len() {
@@ -243,7 +254,7 @@
         let Some(scan) = self.scans.get(&part.scan) else {
             return self.breach(Rule::Answer, at, format!("{part:?} sent, and nobody asked"));
         };
-        let (sort, ended) = (scan.sort, scan.ended);
+        let (traffic_type, ended) = (scan.traffic_type, scan.ended);
         if ended.is_some_and(|ended| at > ended + ORDER) && !self.was_away(mixer, scan.at) {
             self.breach(Rule::Answer, at, format!("{part:?} sent after the final answer"));
         }
@@ -253,20 +264,20 @@
         if number == 0 {
             return;
         }
-        let window = Span::of_micros(sort.window.as_micros() as u64);
-        match (sort.repeat, ran) {
-            (Repeat::Irreversible, Some(_)) => {
+        let window = Span::of_micros(traffic_type.window.as_micros() as u64);
+        match (traffic_type.repeat, ran) {
+            (Idempotency::NonIdempotent, Some(_)) => {
                 self.breach(
                     Rule::Effect,
                     at,
-                    format!("{part:?} of {} sent again, and it may have run", sort.name),
+                    format!("{part:?} of {} sent again, and it may have run", traffic_type.name),
                 );
             }
-            (Repeat::Labelled, Some(ran)) if at > ran + window + SLACK => {
+            (Idempotency::ByKey, Some(ran)) if at > ran + window + SLACK => {
                 self.breach(
                     Rule::Effect,
                     at,
-                    format!("{part:?} of {} sent again past its window", sort.name),
+                    format!("{part:?} of {} sent again past its window", traffic_type.name),
                 );
             }
             _ => {}
@@ -303,10 +314,14 @@
         let lost = |(id, scan): (&u32, &Scan)| {
             let due = scan.due + SLACK;
             let lost = due < end && !self.was_away(scan.mixer, scan.at);
-            lost.then(|| Breach { rule: Rule::Answer, at: due, what: format!("scan {id}: never answered") })
+            lost.then(|| Violation {
+                rule: Rule::Answer,
+                at: due,
+                what: format!("scan {id}: never answered"),
+            })
         };
-        let lost: Vec<Breach> = open.into_iter().filter_map(lost).collect();
-        self.breaches.extend(lost);
+        let lost: Vec<Violation> = open.into_iter().filter_map(lost).collect();
+        self.violations.extend(lost);
         let most = self.day.budget.in_sum * self.asked as f64 + self.day.budget.free;
         if self.relayed as f64 > most {
             let what = format!("{} parts sent of {} asked, by all mixers", self.relayed, self.asked);
--- a/crates/standins/src/fleet/day.rs
+++ b/crates/standins/src/fleet/scenario.rs
@@ -9,19 +9,19 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Day {
+pub struct Scenario {
     /// How long scans come; what is still open then is waited for.
     #[serde(deserialize_with = "time")]
     pub lasts: Duration,
     pub mixers: Mixers,
     pub searchers: Searchers,
-    pub types: Vec<Sort>,
+    pub types: Vec<TrafficType>,
     #[serde(default)]
     pub clients: Clients,
     #[serde(default)]
     pub budget: Budget,
     #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<Fault>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -69,7 +69,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Sort {
+pub struct TrafficType {
     pub name: String,
     /// First tries a second, of all mixers together.
     pub rate: f64,
@@ -85,7 +85,7 @@
     pub abandon: Duration,
     #[serde(default = "one")]
     pub credit: f64,
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// How long a label is known, for labelled ones.
     #[serde(default, deserialize_with = "time")]
     pub window: Duration,
@@ -95,11 +95,13 @@
 
 /// What may happen to a part that is sent twice.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
-#[serde(rename_all = "lowercase")]
-pub enum Repeat {
-    Redoable,
-    Labelled,
-    Irreversible,
+pub enum Idempotency {
+    #[serde(rename = "redoable")]
+    Idempotent,
+    #[serde(rename = "labelled")]
+    ByKey,
+    #[serde(rename = "irreversible")]
+    NonIdempotent,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -128,16 +130,16 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
-    pub what: What,
+pub struct Fault {
+    pub what: FaultKind,
     #[serde(deserialize_with = "time")]
     pub at: Duration,
     #[serde(default, deserialize_with = "time")]
     pub lasts: Duration,
     #[serde(default)]
-    pub mixers: Pick,
+    pub mixers: Selection,
     #[serde(default)]
-    pub searchers: Pick,
+    pub searchers: Selection,
     /// How many times slower, or oftener.
     #[serde(default = "one")]
     pub times: f64,
@@ -153,15 +155,17 @@
 /// What goes wrong, and how it is brought about.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum FaultKind {
     /// Links are reset, once; new ones come up.
     Reset,
     /// Links stay open and silent both ways, and new ones never come up: a partition of those named.
     Cut,
     /// What mixers write is not read; what searchers write still comes.
-    DeafThere,
+    #[serde(rename = "deaf-there")]
+    BlockRequests,
     /// What searchers write does not come back.
-    DeafBack,
+    #[serde(rename = "deaf-back")]
+    BlockResponses,
     /// Every answer takes longer by so much.
     Lag,
     /// A share of the answers never comes.
@@ -191,24 +195,24 @@
 /// Some of them: a share of all, drawn by the seed, or by number.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(untagged)]
-pub enum Pick {
-    These(Vec<usize>),
+pub enum Selection {
+    Indices(Vec<usize>),
     Share(f64),
 }
 
-impl Default for Pick {
+impl Default for Selection {
     fn default() -> Self {
         Self::Share(1.0)
     }
 }
 
-impl Pick {
-    pub fn of(&self, count: usize, chance: &mut Pcg64Mcg) -> Vec<usize> {
+impl Selection {
+    pub fn of(&self, count: usize, rng: &mut Pcg64Mcg) -> Vec<usize> {
         match self {
-            Self::These(these) => these.clone(),
+            Self::Indices(these) => these.clone(),
             Self::Share(share) => {
                 let mut all: Vec<usize> = (0..count).collect();
-                all.shuffle(chance);
+                all.shuffle(rng);
                 all.truncate((share * count as f64).round() as usize);
                 all.sort_unstable();
                 all
@@ -218,7 +222,7 @@
 
     fn check(&self, count: usize) -> Result<(), String> {
         match self {
-            Self::These(these) => match these.iter().find(|at| **at >= count) {
+            Self::Indices(these) => match these.iter().find(|at| **at >= count) {
                 Some(at) => Err(format!("there is no number {at}, {count} are there")),
                 None => Ok(()),
             },
@@ -230,66 +234,70 @@
 
 /// What is wrong with a day, and where.
 #[derive(Debug, PartialEq)]
-pub struct Wrong(pub String);
+pub struct ScenarioError(pub String);
 
-impl fmt::Display for Wrong {
+impl fmt::Display for ScenarioError {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         to.write_str(&self.0)
     }
 }
 
-impl Day {
-    pub fn read(text: &str) -> Result<Self, Wrong> {
+impl Scenario {
+    pub fn parse(text: &str) -> Result<Self, ScenarioError> {
         let mut reader = json5::Deserializer::from_str(text);
         let day: Self = serde_path_to_error::deserialize(&mut reader)
-            .map_err(|error| Wrong(format!("{}: {}", error.path(), error.inner())))?;
+            .map_err(|error| ScenarioError(format!("{}: {}", error.path(), error.inner())))?;
         day.check()?;
         Ok(day)
     }
 
-    fn check(&self) -> Result<(), Wrong> {
-        let wrong = |place: String, what: &str| Err(Wrong(format!("{place}: {what}")));
+    fn check(&self) -> Result<(), ScenarioError> {
+        let wrong = |place: String, what: &str| Err(ScenarioError(format!("{place}: {what}")));
         // An address of loopback's for each pair, and a descriptor for each end, have to be there.
         if !(1..=64).contains(&self.mixers.count) {
             return wrong("mixers.count".into(), "expected 1 to 64");
         }
-        if !(1..=256).contains(&self.posts()) {
+        if !(1..=256).contains(&self.searcher_count()) {
             return wrong("searchers".into(), "expected 1 to 256, cells times replicas");
         }
         if self.lasts > Duration::from_secs(900) {
             return wrong("lasts".into(), "expected 15 minutes at the most");
         }
-        for (at, sort) in self.types.iter().enumerate() {
-            if sort.parts == 0 || sort.parts > self.shards() as usize {
+        for (at, traffic_type) in self.types.iter().enumerate() {
+            if traffic_type.parts == 0 || traffic_type.parts > self.shard_count() as usize {
                 return wrong(format!("types[{at}].parts"), "expected 1 to as many as there are shards");
             }
-            if sort.work.is_zero() || sort.rate < 0.0 || sort.quoted > sort.abandon {
+            if traffic_type.work.is_zero()
+                || traffic_type.rate < 0.0
+                || traffic_type.quoted > traffic_type.abandon
+            {
                 return wrong(
                     format!("types[{at}]"),
                     "expected some work, and a quoted time within the abandon time",
                 );
             }
         }
-        for (at, trouble) in self.troubles.iter().enumerate() {
+        for (at, fault) in self.troubles.iter().enumerate() {
             let place = |key: &str| format!("troubles[{at}].{key}");
-            let within =
-                |what: Result<(), String>, key| what.map_err(|what| Wrong(format!("{}: {what}", place(key))));
-            within(trouble.mixers.check(self.mixers.count), "mixers")?;
-            within(trouble.searchers.check(self.posts()), "searchers")?;
-            let known = |name: &String| self.types.iter().any(|sort| sort.name == *name);
-            if trouble.of.as_ref().is_some_and(|name| !known(name)) {
+            let within = |what: Result<(), String>, key| {
+                what.map_err(|what| ScenarioError(format!("{}: {what}", place(key))))
+            };
+            within(fault.mixers.check(self.mixers.count), "mixers")?;
+            within(fault.searchers.check(self.searcher_count()), "searchers")?;
+            let known = |name: &String| self.types.iter().any(|traffic_type| traffic_type.name == *name);
+            if fault.of.as_ref().is_some_and(|name| !known(name)) {
                 return wrong(place("of"), "there is no such traffic type");
             }
         }
         Ok(())
     }
 
-    pub fn shards(&self) -> u32 {
+    pub fn shard_count(&self) -> u32 {
         self.searchers.cells * self.searchers.shards_per_cell
     }
 
     /// How many searchers there are.
-    pub fn posts(&self) -> usize {
+    pub fn searcher_count(&self) -> usize {
         (self.searchers.cells * self.searchers.replicas) as usize
     }
 
@@ -299,24 +307,26 @@
 
     /// The work that comes a second over the work that can be done, with everybody well and no scan coming again.
     pub fn load(&self) -> f64 {
-        let asked = |sort: &Sort| sort.rate * sort.parts as f64 * sort.work.as_secs_f64();
-        self.types.iter().map(asked).sum::<f64>() / (self.posts() * self.searchers.cores) as f64
+        let asked = |traffic_type: &TrafficType| {
+            traffic_type.rate * traffic_type.parts as f64 * traffic_type.work.as_secs_f64()
+        };
+        self.types.iter().map(asked).sum::<f64>() / (self.searcher_count() * self.searchers.cores) as f64
     }
 
     /// The same day with so much load in place of its own.
-    pub fn at_load(&self, load: f64) -> Self {
+    pub fn with_load(&self, load: f64) -> Self {
         let times = load / self.load();
         let mut day = self.clone();
-        day.types.iter_mut().for_each(|sort| sort.rate *= times);
+        day.types.iter_mut().for_each(|traffic_type| traffic_type.rate *= times);
         day
     }
 
     /// Every first try of the day, in order: when, at which mixer, of which traffic type, from which shard on.
     pub fn arrivals(&self, seed: u64) -> Vec<Arrival> {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let lasts = self.lasts.as_secs_f64();
         let mut all = Vec::new();
-        for (sort, told) in self.types.iter().enumerate() {
+        for (traffic_type, told) in self.types.iter().enumerate() {
             let most = told.rate * self.bursts(told).map(|burst| burst.times).fold(1.0, f64::max);
             if most <= 0.0 {
                 continue;
@@ -324,19 +334,19 @@
             let mut at = 0.0;
             // Thinned from the highest rate: as many of the draws hold as the rate at that time asks for.
             loop {
-                at -= (1.0 - chance.random::<f64>()).ln() / most;
+                at -= (1.0 - rng.random::<f64>()).ln() / most;
                 if at >= lasts {
                     break;
                 }
-                let during = |burst: &&Trouble| {
+                let during = |burst: &&Fault| {
                     let begins = burst.at.as_secs_f64();
                     (begins..begins + burst.lasts.as_secs_f64()).contains(&at)
                 };
                 let rate =
                     told.rate * self.bursts(told).filter(during).map(|burst| burst.times).product::<f64>();
-                let (mixer, first) = (self.mixer(&mut chance), chance.random_range(0..self.shards()));
-                if chance.random::<f64>() * most < rate {
-                    all.push(Arrival { at: Duration::from_secs_f64(at), mixer, sort, first });
+                let (mixer, first) = (self.mixer(&mut rng), rng.random_range(0..self.shard_count()));
+                if rng.random::<f64>() * most < rate {
+                    all.push(Arrival { at: Duration::from_secs_f64(at), mixer, traffic_type, first });
                 }
             }
         }
@@ -344,19 +354,17 @@
         all
     }
 
-    fn bursts<'a>(&'a self, sort: &'a Sort) -> impl Iterator<Item = &'a Trouble> {
-        let bursts = self.troubles.iter().filter(|trouble| trouble.what == What::Burst);
-        bursts.filter(|trouble| trouble.of.as_ref().is_none_or(|name| *name == sort.name))
+    fn bursts<'a>(&'a self, traffic_type: &'a TrafficType) -> impl Iterator<Item = &'a Fault> {
+        let bursts = self.troubles.iter().filter(|fault| fault.what == FaultKind::Burst);
+        bursts.filter(|fault| fault.of.as_ref().is_none_or(|name| *name == traffic_type.name))
     }
 
-    pub fn mixer(&self, chance: &mut Pcg64Mcg) -> usize {
+    pub fn mixer(&self, rng: &mut Pcg64Mcg) -> usize {
         let count = self.mixers.count;
         match self.mixers.first {
-            Some(share) if count > 1 && !chance.random_bool(share.clamp(0.0, 1.0)) => {
-                chance.random_range(1..count)
-            }
+            Some(share) if count > 1 && !rng.random_bool(share.clamp(0.0, 1.0)) => rng.random_range(1..count),
             Some(_) => 0,
-            None => chance.random_range(0..count),
+            None => rng.random_range(0..count),
         }
     }
 }
@@ -365,7 +373,7 @@
 pub struct Arrival {
     pub at: Duration,
     pub mixer: usize,
-    pub sort: usize,
+    pub traffic_type: usize,
     pub first: u32,
 }
 
--- a/crates/standins/src/fleet/attend.rs
+++ b/crates/standins/src/fleet/searcher_tasks.rs
@@ -1,8 +1,8 @@
 //! A searcher as one mixer sees it: an address of its own, calls read and answered, each noted in the trace.
 
-use super::play::World;
-use super::post::Take;
-use super::trace::{scan_of, value_of, End, Fact, Part};
+use super::runner::FleetState;
+use super::searcher_model::Admission;
+use super::trace::{scan_of, value_of, Part, PartOutcome, TraceEvent};
 use crate::searcher::frame;
 use async_io::{Async, Timer};
 use event_listener::Event;
@@ -26,36 +26,36 @@
 
 /// Serves one mixer's connections to one searcher, through its lives.
 pub async fn listen(
-    world: Rc<World>,
+    state: Rc<FleetState>,
     mixer: usize,
     searcher: usize,
     listener: TcpListener,
 ) -> io::Result<()> {
     let at = listener.local_addr()?;
     let mut listener = Async::new(listener)?;
-    let way = world.way(mixer, searcher);
+    let link = state.link(mixer, searcher);
     loop {
-        let gone = world.post(searcher).gone;
+        let gone = state.searcher_model(searcher).gone;
         if gone {
             // Nobody listens: a dial is refused.
             drop(listener);
-            way.until(|_| !world.post(searcher).gone).await;
+            link.until(|_| !state.searcher_model(searcher).gone).await;
             listener = Async::new(bound(at).await?)?;
             continue;
         }
-        if way.is_cut() {
-            keep_out(&listener, at, &way, &world, searcher).await?;
+        if link.is_cut() {
+            keep_out(&listener, at, &link, &state, searcher).await?;
             continue;
         }
         let came = async { listener.accept().await.map(|(stream, _)| Some(stream)) };
         let changed = async {
-            way.until(|way| way.is_cut() || world.post(searcher).gone).await;
+            link.until(|link| link.is_cut() || state.searcher_model(searcher).gone).await;
             Ok(None)
         };
         if let Some(stream) = future::or(came, changed).await? {
-            world.note(Fact::Dialled { mixer, searcher });
-            world.post_mut(searcher).busy(world.now(), world.handshake());
-            world.spawn(attend(world.clone(), mixer, searcher, stream));
+            state.record(TraceEvent::LinkOpened { mixer, searcher });
+            state.searcher_model_mut(searcher).add_work(state.now(), state.handshake());
+            state.spawn(attend(state.clone(), mixer, searcher, stream));
         }
     }
 }
@@ -76,13 +76,13 @@
 async fn keep_out(
     here: &Async<TcpListener>,
     at: SocketAddr,
-    way: &super::way::Way,
-    world: &World,
+    link: &super::link::Link,
+    state: &FleetState,
     searcher: usize,
 ) -> io::Result<()> {
     set_backlog(here, 0)?;
     let filler = TcpStream::connect_timeout(&at, Duration::from_millis(200)).ok();
-    way.until(|way| !way.is_cut() || world.post(searcher).gone).await;
+    link.until(|link| !link.is_cut() || state.searcher_model(searcher).gone).await;
     set_backlog(here, BACKLOG)?;
     if let Some(filler) = filler {
         let ours = filler.local_addr()?;
@@ -97,37 +97,37 @@
 }
 
 /// What goes back, not before its time, and what is noted as it does.
-type Due = (Instant, Vec<u8>, Option<Fact>);
+type QueuedResponse = (Instant, Vec<u8>, Option<TraceEvent>);
 
 /// What goes back over one connection, in order.
 #[derive(Default)]
-struct Back {
-    waiting: RefCell<VecDeque<Due>>,
+struct ResponseQueue {
+    waiting: RefCell<VecDeque<QueuedResponse>>,
     more: Event,
     over: Cell<bool>,
 }
 
-impl Back {
-    fn say(&self, world: &World, way: &super::way::Way, bytes: Vec<u8>, fact: Option<Fact>) {
-        let lost = fact.is_some() && way.loses() > 0.0 && world.chance() < way.loses();
+impl ResponseQueue {
+    fn say(&self, state: &FleetState, link: &super::link::Link, bytes: Vec<u8>, event: Option<TraceEvent>) {
+        let lost = event.is_some() && link.loss_share() > 0.0 && state.random_unit() < link.loss_share();
         if !lost {
-            self.waiting.borrow_mut().push_back((Instant::now() + way.lag(), bytes, fact));
+            self.waiting.borrow_mut().push_back((Instant::now() + link.lag(), bytes, event));
             self.more.notify(usize::MAX);
         }
     }
 }
 
-async fn attend(world: Rc<World>, mixer: usize, searcher: usize, stream: Async<TcpStream>) {
-    let (way, life) = (world.way(mixer, searcher), world.post(searcher).life);
-    let (resets, stream, back) = (way.resets(), Rc::new(stream), Rc::new(Back::default()));
+async fn attend(state: Rc<FleetState>, mixer: usize, searcher: usize, stream: Async<TcpStream>) {
+    let (link, life) = (state.link(mixer, searcher), state.searcher_model(searcher).life);
+    let (resets, stream, back) = (link.resets(), Rc::new(stream), Rc::new(ResponseQueue::default()));
     let over = {
-        let world = world.clone();
-        let (way, back) = (way.clone(), back.clone());
-        move || back.over.get() || way.resets() != resets || world.post(searcher).life != life
+        let state = state.clone();
+        let (link, back) = (link.clone(), back.clone());
+        move || back.over.get() || link.resets() != resets || state.searcher_model(searcher).life != life
     };
-    let writes = write_all(world.clone(), mixer, searcher, stream.clone(), back.clone());
-    let reads = read_all(&world, mixer, searcher, &stream, &back);
-    let ended = way.until(|_| over());
+    let writes = write_all(state.clone(), mixer, searcher, stream.clone(), back.clone());
+    let reads = read_all(&state, mixer, searcher, &stream, &back);
+    let ended = link.until(|_| over());
     let orderly = future::or(
         async {
             let _ = reads.await;
@@ -153,23 +153,23 @@
 }
 
 async fn write_all(
-    world: Rc<World>,
+    state: Rc<FleetState>,
     mixer: usize,
     searcher: usize,
     stream: Rc<Async<TcpStream>>,
-    back: Rc<Back>,
+    back: Rc<ResponseQueue>,
 ) {
-    let way = world.way(mixer, searcher);
+    let link = state.link(mixer, searcher);
     loop {
         let more = back.more.listen();
         let next = back.waiting.borrow_mut().pop_front();
-        let Some((due, bytes, fact)) = next else {
+        let Some((due, bytes, event)) = next else {
             more.await;
             continue;
         };
         Timer::at(due).await;
-        way.until(|way| way.speaks()).await;
-        fact.into_iter().for_each(|fact| world.note(fact));
+        link.until(|link| link.writes_open()).await;
+        event.into_iter().for_each(|event| state.record(event));
         if (&*stream).write_all(&bytes).await.is_err() {
             return;
         }
@@ -177,16 +177,16 @@
 }
 
 async fn read_all(
-    world: &Rc<World>,
+    state: &Rc<FleetState>,
     mixer: usize,
     searcher: usize,
     stream: &Async<TcpStream>,
-    back: &Rc<Back>,
+    back: &Rc<ResponseQueue>,
 ) -> io::Result<()> {
-    let way = world.way(mixer, searcher);
+    let link = state.link(mixer, searcher);
     let mut length = [0; 4];
     loop {
-        way.until(|way| way.hears()).await;
+        link.until(|link| link.reads_open()).await;
         (&*stream).read_exact(&mut length).await?;
         let length = u32::from_be_bytes(length) as usize;
         if length == 0 || length > MOST_FRAME {
@@ -195,19 +195,19 @@
         let mut body = vec![0; length];
         (&*stream).read_exact(&mut body).await?;
         // What came while nobody was listening is heard when the way is whole again.
-        way.until(|way| way.hears()).await;
+        link.until(|link| link.reads_open()).await;
         let rest = std::str::from_utf8(&body[1..]).map_err(|_| io::ErrorKind::InvalidData)?;
         match body[0] {
-            b'm' => call(world, mixer, searcher, rest, back)?,
+            b'm' => call(state, mixer, searcher, rest, back)?,
             b'n' => {
                 let part = part_of(rest).ok_or(io::ErrorKind::InvalidData)?;
-                world.note(Fact::GivenUp { mixer, searcher, part });
+                state.record(TraceEvent::PartCancelled { mixer, searcher, part });
             }
             b'o' | b'p' => {
-                world.note(Fact::Checked { mixer, searcher });
-                let hangs = world.post(searcher).hangs;
-                if !hangs {
-                    back.say(world, &way, frame(body[0], if body[0] == b'o' { "good" } else { "-" }), None);
+                state.record(TraceEvent::ProbeReceived { mixer, searcher });
+                let hanging = state.searcher_model(searcher).hanging;
+                if !hanging {
+                    back.say(state, &link, frame(body[0], if body[0] == b'o' { "good" } else { "-" }), None);
                 }
             }
             _ => return Err(io::ErrorKind::InvalidData.into()),
@@ -221,7 +221,13 @@
 }
 
 /// Each part of a call is `ID SHARD LIST LENGTH`, a line's end, and so many bytes.
-fn call(world: &Rc<World>, mixer: usize, searcher: usize, mut rest: &str, back: &Rc<Back>) -> io::Result<()> {
+fn call(
+    state: &Rc<FleetState>,
+    mixer: usize,
+    searcher: usize,
+    mut rest: &str,
+    back: &Rc<ResponseQueue>,
+) -> io::Result<()> {
     let unread = || io::Error::from(io::ErrorKind::InvalidData);
     while !rest.is_empty() {
         let (line, after) = rest.split_once('\n').ok_or_else(unread)?;
@@ -229,46 +235,49 @@
         let length: usize = length.parse().map_err(|_| unread())?;
         rest = after.get(length..).ok_or_else(unread)?;
         let part = head.split(' ').next().and_then(part_of).ok_or_else(unread)?;
-        let written = world.way(mixer, searcher).written(world.now());
-        world.note(Fact::Relayed { mixer, searcher, part, written });
-        work(world, mixer, searcher, part, back);
+        let written = state.link(mixer, searcher).earliest_write(state.now());
+        state.record(TraceEvent::PartRelayed { mixer, searcher, part, written });
+        work(state, mixer, searcher, part, back);
     }
     Ok(())
 }
 
-fn work(world: &Rc<World>, mixer: usize, searcher: usize, part: Part, back: &Rc<Back>) {
-    let (now, way, life) = (world.now(), world.way(mixer, searcher), world.post(searcher).life);
-    let (take, toppled) = {
-        let mut post = world.post_mut(searcher);
-        let before = post.toppled;
-        (post.take(now, takes(world, part)), post.toppled && !before)
+fn work(state: &Rc<FleetState>, mixer: usize, searcher: usize, part: Part, back: &Rc<ResponseQueue>) {
+    let (now, link, life) = (state.now(), state.link(mixer, searcher), state.searcher_model(searcher).life);
+    let (take, collapsed) = {
+        let mut post = state.searcher_model_mut(searcher);
+        let before = post.collapsed;
+        (post.admit(now, takes(state, part)), post.collapsed && !before)
     };
-    if toppled {
-        world.note(Fact::Toppled { searcher });
+    if collapsed {
+        state.record(TraceEvent::SearcherCollapsed { searcher });
     }
-    let answer = |end: End| {
+    let answer = |end: PartOutcome| {
         let (word, value) = match end {
-            End::Honoured => ("good", value_of(part)),
-            End::Erred => ("bad", String::new()),
-            End::Later => ("later", String::new()),
+            PartOutcome::Succeeded => ("good", value_of(part)),
+            PartOutcome::Failed => ("bad", String::new()),
+            PartOutcome::Rejected => ("later", String::new()),
         };
         let id = format!("{}.{}", super::trace::name_of(part.scan), part.shard);
-        (frame(b'q', &format!("{id} {word} 1 -\n{value}")), Fact::Back { mixer, searcher, part, end })
+        (
+            frame(b'q', &format!("{id} {word} 1 -\n{value}")),
+            TraceEvent::PartAnswered { mixer, searcher, part, end },
+        )
     };
     match take {
-        Take::Never => {}
-        Take::Later => {
-            let (bytes, fact) = answer(End::Later);
-            back.say(world, &way, bytes, Some(fact));
+        Admission::NeverAnswered => {}
+        Admission::Rejected => {
+            let (bytes, event) = answer(PartOutcome::Rejected);
+            back.say(state, &link, bytes, Some(event));
         }
-        Take::Ends(at) => {
-            let (bytes, fact) = answer(End::Honoured);
-            let (world, back) = (world.clone(), back.clone());
-            world.clone().spawn(async move {
-                Timer::at(world.instant(at)).await;
-                let lives = world.post(searcher).life == life && !back.over.get();
+        Admission::CompletesAt(at) => {
+            let (bytes, event) = answer(PartOutcome::Succeeded);
+            let (state, back) = (state.clone(), back.clone());
+            state.clone().spawn(async move {
+                Timer::at(state.instant_of(at)).await;
+                let lives = state.searcher_model(searcher).life == life && !back.over.get();
                 if lives {
-                    back.say(&world, &way, bytes, Some(fact));
+                    back.say(&state, &link, bytes, Some(event));
                 }
             });
         }
@@ -276,15 +285,15 @@
 }
 
 /// What a part needs, by the seed and the part: the same whoever sends it and whenever.
-fn takes(world: &World, part: Part) -> Span {
-    let Some((sort, first)) = world.kind_of(part.scan) else { return Span::of_millis(1) };
-    let sort = &world.day.types[sort];
-    let draw = world.seed ^ (u64::from(first) << 20) ^ u64::from(part.shard);
-    let mut chance = Pcg64Mcg::seed_from_u64(draw);
-    let spread = (1.0 + sort.spread * sort.spread).ln();
+fn takes(state: &FleetState, part: Part) -> Span {
+    let Some((traffic_type, first)) = state.try_info(part.scan) else { return Span::of_millis(1) };
+    let traffic_type = &state.day.types[traffic_type];
+    let draw = state.seed ^ (u64::from(first) << 20) ^ u64::from(part.shard);
+    let mut rng = Pcg64Mcg::seed_from_u64(draw);
+    let spread = (1.0 + traffic_type.spread * traffic_type.spread).ln();
     let times = match LogNormal::new(-spread / 2.0, spread.sqrt()) {
-        Ok(law) => law.sample(&mut chance),
-        Err(_) => chance.random(),
+        Ok(law) => law.sample(&mut rng),
+        Err(_) => rng.random(),
     };
-    Span::of_micros((sort.work.as_micros() as f64 * times).max(100.0) as u64)
+    Span::of_micros((traffic_type.work.as_micros() as f64 * times).max(100.0) as u64)
 }
--- a/crates/standins/src/fleet/figures.rs
+++ b/crates/standins/src/fleet/statistics.rs
@@ -1,14 +1,14 @@
 //! What came of a day, second by second and in all, from what passed on the links. Pure.
 
-use super::day::{Day, Sort};
-use super::trace::{End, Fact, Part, Passed};
+use super::scenario::{Scenario, TrafficType};
+use super::trace::{Part, PartOutcome, TraceEntry, TraceEvent};
 use fernglade::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::ops::Range;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Second {
+pub struct SecondCounts {
     /// First tries, and what they are worth.
     pub scans: usize,
     pub worth: f64,
@@ -21,7 +21,7 @@
     pub parts: usize,
     pub relays: usize,
     pub dials: usize,
-    pub checks: usize,
+    pub probes: usize,
     pub turned_away: usize,
     /// Relays beyond each part's first.
     pub further: usize,
@@ -29,18 +29,18 @@
 
 /// What came to one searcher in a second, from all mixers together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct SearcherLoad {
     pub parts: usize,
     pub further: usize,
     pub dials: usize,
-    pub checks: usize,
+    pub probes: usize,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
-    pub seconds: Vec<Second>,
+pub struct RunStatistics {
+    pub seconds: Vec<SecondCounts>,
     /// By searcher, second by second.
-    pub loads: BTreeMap<usize, Vec<Load>>,
+    pub loads: BTreeMap<usize, Vec<SearcherLoad>>,
     /// By traffic type: first tries, worth, worth served.
     pub types: BTreeMap<String, (usize, f64, f64)>,
     /// By traffic type: the worth that was not served of scans whose mixer stood still in their quoted time.
@@ -48,34 +48,40 @@
     pub tries: usize,
 }
 
-struct First {
+struct FirstTry {
     at: Moment,
-    sort: usize,
+    traffic_type: usize,
     mixer: usize,
     served: bool,
     stood: bool,
 }
 
 /// The platform's slack on sockets.
-fn quoted(told: &Sort) -> Span {
+fn quoted(told: &TrafficType) -> Span {
     Span::of_micros(told.quoted.as_micros() as u64) + Span::of_millis(50)
 }
 
-impl Figures {
-    pub fn of(day: &Day, trace: &[Passed]) -> Self {
+impl RunStatistics {
+    pub fn from_trace(day: &Scenario, trace: &[TraceEntry]) -> Self {
         let mut figures = Self::default();
-        let mut firsts: BTreeMap<u32, First> = BTreeMap::new();
+        let mut firsts: BTreeMap<u32, FirstTry> = BTreeMap::new();
         let mut tries: BTreeMap<u32, (u32, usize)> = BTreeMap::new();
         let mut sent: BTreeMap<Part, usize> = BTreeMap::new();
         let mut still = BTreeSet::new();
-        for Passed { at, fact } in trace {
+        for TraceEntry { at, event } in trace {
             let second = (at.micros() / 1_000_000) as usize;
-            match fact {
-                Fact::Asked { scan, first, mixer, sort, shards, .. } => {
-                    let told = &day.types[*sort];
+            match event {
+                TraceEvent::ScanSent { scan, first, mixer, traffic_type, shards, .. } => {
+                    let told = &day.types[*traffic_type];
                     if scan == first && !firsts.contains_key(first) {
                         let stood = still.contains(mixer);
-                        let asked = First { at: *at, sort: *sort, mixer: *mixer, served: false, stood };
+                        let asked = FirstTry {
+                            at: *at,
+                            traffic_type: *traffic_type,
+                            mixer: *mixer,
+                            served: false,
+                            stood,
+                        };
                         firsts.insert(*first, asked);
                         let here = figures.second(second);
                         (here.scans, here.worth) = (here.scans + 1, here.worth + told.credit);
@@ -87,10 +93,10 @@
                         figures.second(second).parts += shards.len();
                     }
                 }
-                Fact::Answered { scan, status, values, .. } => {
+                TraceEvent::ScanAnswered { scan, status, values, .. } => {
                     let Some((first, parts)) = tries.get(scan) else { continue };
                     let Some(first) = firsts.get_mut(first) else { continue };
-                    let told = &day.types[first.sort];
+                    let told = &day.types[first.traffic_type];
                     match status {
                         200 if !first.served && at.since(first.at) <= quoted(told) => {
                             first.served = true;
@@ -104,7 +110,7 @@
                         _ => figures.second(second).failed += 1,
                     }
                 }
-                Fact::Relayed { searcher, part, .. } => {
+                TraceEvent::PartRelayed { searcher, part, .. } => {
                     let before = sent.entry(*part).or_default();
                     let further = usize::from(*before > 0);
                     *before += 1;
@@ -113,75 +119,82 @@
                     let load = figures.load(*searcher, second);
                     (load.parts, load.further) = (load.parts + 1, load.further + further);
                 }
-                Fact::Stalled { mixer, still: true } => {
+                TraceEvent::MixerStalled { mixer, still: true } => {
                     still.insert(*mixer);
-                    let open = |first: &&mut First| {
-                        first.mixer == *mixer && at.since(first.at) <= quoted(&day.types[first.sort])
+                    let open = |first: &&mut FirstTry| {
+                        first.mixer == *mixer && at.since(first.at) <= quoted(&day.types[first.traffic_type])
                     };
                     firsts.values_mut().filter(open).for_each(|first| first.stood = true);
                 }
-                Fact::Stalled { mixer, still: false } => {
+                TraceEvent::MixerStalled { mixer, still: false } => {
                     still.remove(mixer);
                 }
-                Fact::Back { end: End::Later, .. } => figures.second(second).turned_away += 1,
-                Fact::Dialled { searcher, .. } => {
+                TraceEvent::PartAnswered { end: PartOutcome::Rejected, .. } => {
+                    figures.second(second).turned_away += 1
+                }
+                TraceEvent::LinkOpened { searcher, .. } => {
                     figures.second(second).dials += 1;
                     figures.load(*searcher, second).dials += 1;
                 }
-                Fact::Checked { searcher, .. } => {
-                    figures.second(second).checks += 1;
-                    figures.load(*searcher, second).checks += 1;
+                TraceEvent::ProbeReceived { searcher, .. } => {
+                    figures.second(second).probes += 1;
+                    figures.load(*searcher, second).probes += 1;
                 }
                 _ => {}
             }
         }
         for first in firsts.values().filter(|first| first.stood && !first.served) {
-            let told = &day.types[first.sort];
+            let told = &day.types[first.traffic_type];
             *figures.stood.entry(told.name.clone()).or_default() += told.credit;
         }
         figures
     }
 
-    fn load(&mut self, searcher: usize, second: usize) -> &mut Load {
+    fn load(&mut self, searcher: usize, second: usize) -> &mut SearcherLoad {
         let seconds = self.loads.entry(searcher).or_default();
         if seconds.len() <= second {
-            seconds.resize(second + 1, Load::default());
+            seconds.resize(second + 1, SearcherLoad::default());
         }
         &mut seconds[second]
     }
 
     /// The most of something that came to any of these searchers in any of these seconds.
-    pub fn most(&self, searchers: &[usize], seconds: Range<usize>, of: impl Fn(&Load) -> usize) -> usize {
+    pub fn max_load(
+        &self,
+        searchers: &[usize],
+        seconds: Range<usize>,
+        of: impl Fn(&SearcherLoad) -> usize,
+    ) -> usize {
         let here = searchers.iter().filter_map(|searcher| self.loads.get(searcher));
         let within = here.flat_map(|all| all.iter().take(seconds.end).skip(seconds.start));
         within.map(of).max().unwrap_or(0)
     }
 
     /// The most that one searcher was dialled in any second, by all mixers together.
-    pub fn most_dials(&self) -> usize {
+    pub fn max_dials(&self) -> usize {
         self.most_of_all(|load| load.dials)
     }
 
     /// The same of checks.
-    pub fn most_checks(&self) -> usize {
-        self.most_of_all(|load| load.checks)
+    pub fn max_probes(&self) -> usize {
+        self.most_of_all(|load| load.probes)
     }
 
-    fn most_of_all(&self, of: impl Fn(&Load) -> usize) -> usize {
+    fn most_of_all(&self, of: impl Fn(&SearcherLoad) -> usize) -> usize {
         self.loads.values().flatten().map(of).max().unwrap_or(0)
     }
 
-    fn second(&mut self, at: usize) -> &mut Second {
+    fn second(&mut self, at: usize) -> &mut SecondCounts {
         if self.seconds.len() <= at {
-            self.seconds.resize(at + 1, Second::default());
+            self.seconds.resize(at + 1, SecondCounts::default());
         }
         &mut self.seconds[at]
     }
 
     /// The sum of some seconds.
-    pub fn between(&self, from: usize, until: usize) -> Second {
+    pub fn sum_between(&self, from: usize, until: usize) -> SecondCounts {
         let seconds = self.seconds.iter().skip(from).take(until.saturating_sub(from));
-        seconds.fold(Second::default(), |sum, one| Second {
+        seconds.fold(SecondCounts::default(), |sum, one| SecondCounts {
             scans: sum.scans + one.scans,
             worth: sum.worth + one.worth,
             served: sum.served + one.served,
@@ -190,24 +203,24 @@
             parts: sum.parts + one.parts,
             relays: sum.relays + one.relays,
             dials: sum.dials + one.dials,
-            checks: sum.checks + one.checks,
+            probes: sum.probes + one.probes,
             turned_away: sum.turned_away + one.turned_away,
             further: sum.further + one.further,
         })
     }
 
-    pub fn whole(&self) -> Second {
-        self.between(0, self.seconds.len())
+    pub fn total(&self) -> SecondCounts {
+        self.sum_between(0, self.seconds.len())
     }
 
     /// The share of a traffic type's worth that was served.
-    pub fn served(&self, name: &str) -> f64 {
+    pub fn served_share_of(&self, name: &str) -> f64 {
         self.types.get(name).map_or(1.0, |(_, worth, served)| served / worth.max(f64::MIN_POSITIVE))
     }
 }
 
-impl Second {
-    pub fn share(&self) -> f64 {
+impl SecondCounts {
+    pub fn served_share(&self) -> f64 {
         if self.worth > 0.0 {
             self.served / self.worth
         } else {
@@ -216,37 +229,38 @@
     }
 
     /// Relays over the parts that were asked for, in tries that come again too.
-    pub fn sent_over_asked(&self) -> f64 {
+    pub fn relays_per_part(&self) -> f64 {
         self.relays as f64 / self.parts.max(1) as f64
     }
 }
 
-impl fmt::Display for Figures {
+impl fmt::Display for RunStatistics {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(to, "second  scans  served  refused  failed   parts  relays  turned away  dials  checks")?;
         for (at, second) in self.seconds.iter().enumerate() {
-            let Second { scans, refused, failed, parts, relays, dials, checks, turned_away, .. } = second;
-            let share = second.share();
+            let SecondCounts { scans, refused, failed, parts, relays, dials, probes, turned_away, .. } =
+                second;
+            let share = second.served_share();
             writeln!(
                 to,
                 "{at:>6}  {scans:>5}  {share:>6.3}  {refused:>7}  {failed:>6}  {parts:>6}  {relays:>6}  \
-                 {turned_away:>11}  {dials:>5}  {checks:>6}"
+                 {turned_away:>11}  {dials:>5}  {probes:>6}"
             )?;
         }
-        let whole = self.whole();
+        let whole = self.total();
         writeln!(
             to,
             "served {:.3} of the worth of {} scans in {} tries; {:.2} relays a part asked; one searcher dialled {} \
              times in its worst second, checked {} times",
-            whole.share(),
+            whole.served_share(),
             whole.scans,
             self.tries,
-            whole.sent_over_asked(),
-            self.most_dials(),
-            self.most_checks()
+            whole.relays_per_part(),
+            self.max_dials(),
+            self.max_probes()
         )?;
         for name in self.types.keys() {
-            writeln!(to, "{name}: served {:.3}", self.served(name))?;
+            writeln!(to, "{name}: served {:.3}", self.served_share_of(name))?;
         }
         Ok(())
     }
@@ -260,24 +274,27 @@
     fn what_waits_at_a_mixer_that_stands_still_is_told_apart_unless_it_is_served() {
         let text = r#"{ lasts: "9s", mixers: { count: 2 }, searchers: { cells: 1, replicas: 1 },
             types: [{ name: "look", rate: 1, parts: 1, work: "1ms", quoted: "500ms", abandon: "1s", repeat: "redoable" }] }"#;
-        let day = Day::read(text).unwrap();
-        let at = |millis: u64, fact| Passed { at: Moment::at_micros(millis * 1_000), fact };
+        let day = Scenario::parse(text).unwrap();
+        let at = |millis: u64, event| TraceEntry { at: Moment::at_micros(millis * 1_000), event };
         let asked = |scan, mixer| {
             let left = Span::of_millis(1_000);
-            Fact::Asked { scan, first: scan, mixer, sort: 0, shards: vec![0], left }
+            TraceEvent::ScanSent { scan, first: scan, mixer, traffic_type: 0, shards: vec![0], left }
         };
         let (status, whole, values) = (200, true, vec![(0, "v".to_string())]);
-        let answered = Fact::Answered { scan: 4, mixer: 0, status, whole, values, pause: None };
+        let answered = TraceEvent::ScanAnswered { scan: 4, mixer: 0, status, whole, values, pause: None };
         let trace = [
             at(1_000, asked(1, 0)), // Its quoted time was over before.
             at(1_800, asked(2, 0)),
-            at(2_000, Fact::Stalled { mixer: 0, still: true }),
+            at(2_000, TraceEvent::MixerStalled { mixer: 0, still: true }),
             at(2_100, asked(3, 1)), // The other one moves.
             at(3_300, asked(4, 0)), // Served as soon as it goes on.
-            at(3_500, Fact::Stalled { mixer: 0, still: false }),
+            at(3_500, TraceEvent::MixerStalled { mixer: 0, still: false }),
             at(3_510, answered),
             at(4_000, asked(5, 0)),
         ];
-        assert_eq!(Figures::of(&day, &trace).stood, BTreeMap::from([("look".to_string(), 1.0)]));
+        assert_eq!(
+            RunStatistics::from_trace(&day, &trace).stood,
+            BTreeMap::from([("look".to_string(), 1.0)])
+        );
     }
 }
--- a/crates/standins/src/fleet/trace.rs
+++ b/crates/standins/src/fleet/trace.rs
@@ -4,11 +4,11 @@
 
 /// How a searcher answered a part.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
-    Honoured,
-    Erred,
+pub enum PartOutcome {
+    Succeeded,
+    Failed,
     /// Turned away unseen.
-    Later,
+    Rejected,
 }
 
 /// A part of a try: `scan` counts tries, not scans that come again.
@@ -19,22 +19,22 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fact {
+pub enum TraceEvent {
     /// A request's last byte was written. `first` is the first try of the same scan.
-    Asked {
+    ScanSent {
         scan: u32,
         first: u32,
         mixer: usize,
-        sort: usize,
+        traffic_type: usize,
         shards: Vec<u32>,
         left: Span,
     },
     /// It crossed the end of a connection that was kept: nobody took it, and it goes out anew.
-    Crossed {
+    ScanUnread {
         scan: u32,
     },
     /// A whole answer: its status, whether it calls itself whole, its values, when to come back.
-    Answered {
+    ScanAnswered {
         scan: u32,
         mixer: usize,
         status: u16,
@@ -43,81 +43,81 @@
         pause: Option<Span>,
     },
     /// The connection ended in place of an answer.
-    Dropped {
+    ScanDropped {
         scan: u32,
         mixer: usize,
     },
     /// Nobody was there to ask.
-    Unheard {
+    MixerUnreachable {
         scan: u32,
         mixer: usize,
     },
-    Dialled {
+    LinkOpened {
         mixer: usize,
         searcher: usize,
     },
     /// A part's call was read to its last byte; it was written then, or while nobody listened, since `written`.
-    Relayed {
+    PartRelayed {
         mixer: usize,
         searcher: usize,
         part: Part,
         written: Moment,
     },
     /// An answer was written to the link.
-    Back {
+    PartAnswered {
         mixer: usize,
         searcher: usize,
         part: Part,
-        end: End,
+        end: PartOutcome,
     },
-    GivenUp {
+    PartCancelled {
         mixer: usize,
         searcher: usize,
         part: Part,
     },
-    Checked {
+    ProbeReceived {
         mixer: usize,
         searcher: usize,
     },
     /// Discovery's answer with this in it was written to the mixer.
-    Told {
+    DiscoverySent {
         mixer: usize,
         searcher: usize,
         ready: bool,
     },
-    Began {
+    SearcherStarted {
         searcher: usize,
     },
-    Gone {
+    SearcherStopped {
         searcher: usize,
     },
-    Toppled {
+    SearcherCollapsed {
         searcher: usize,
     },
-    MixerBegan {
+    MixerStarted {
         mixer: usize,
     },
     /// It was killed, or ended by itself, or crashed.
-    MixerGone {
+    MixerExited {
         mixer: usize,
         asked: bool,
     },
     /// It stands still, or goes on.
-    Stalled {
+    MixerStalled {
         mixer: usize,
         still: bool,
     },
     /// A trouble of the day's, by its number, begins or ends.
-    Trouble {
+    Fault {
         number: usize,
         begins: bool,
     },
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Passed {
+pub struct TraceEntry {
     pub at: Moment,
-    pub fact: Fact,
+    pub event: TraceEvent,
 }
 
 /// What a searcher makes for a part: nobody else can have made it.
--- a/crates/standins/tests/days.rs
+++ b/crates/standins/tests/days.rs
@@ -1,6 +1,6 @@
 //! The shipped days, and what is wrong with others.
 
-use fernglade_standins::fleet::Day;
+use fernglade_standins::fleet::Scenario;
 use std::path::Path;
 use test_case::test_case;
 
@@ -8,11 +8,11 @@
 fn every_shipped_day_is_read_and_asks_for_the_same_on_the_same_seed() {
     let days = std::fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("days")).unwrap();
     for path in days.map(|entry| entry.unwrap().path()) {
-        let day = Day::read(&std::fs::read_to_string(&path).unwrap());
+        let day = Scenario::parse(&std::fs::read_to_string(&path).unwrap());
         let day = day.unwrap_or_else(|wrong| panic!("{}: {wrong}", path.display()));
         let arrivals = day.arrivals(5);
         assert!(arrivals.len() > 100 && arrivals == day.arrivals(5) && arrivals != day.arrivals(6));
-        let half = day.at_load(0.5 * day.load()).arrivals(5).len() as f64 / arrivals.len() as f64;
+        let half = day.with_load(0.5 * day.load()).arrivals(5).len() as f64 / arrivals.len() as f64;
         assert!((0.4..0.6).contains(&half), "{}: {half}", path.display());
     }
 }
@@ -25,11 +25,11 @@
 
 #[test]
 fn a_burst_brings_so_many_more_and_a_skew_gives_one_mixer_its_share() {
-    let day = Day::read(&SOUND.replace("lasts: \"1s\", mixers", "lasts: \"300s\", mixers")).unwrap();
+    let day = Scenario::parse(&SOUND.replace("lasts: \"1s\", mixers", "lasts: \"300s\", mixers")).unwrap();
     let arrivals = day.arrivals(1);
     let first = arrivals.iter().filter(|arrival| arrival.at.as_secs() < 1).count();
     assert!((20..80).contains(&first), "{first} in a second of 45");
-    let skewed = Day::read(
+    let skewed = Scenario::parse(
         &SOUND.replace("count: 2", "count: 5, first: 0.75").replace("\"1s\", mix", "\"300s\", mix"),
     );
     let arrivals = skewed.unwrap().arrivals(1);
@@ -47,6 +47,6 @@
 #[test_case("what: \"burst\"", "what: \"thunder\"", "troubles[0].what"; "an unknown trouble")]
 #[test_case("rate: 5", "rat: 5", "types[0]"; "an unknown key")]
 fn what_is_wrong_is_told_with_its_place(from: &str, to: &str, says: &str) {
-    let wrong = Day::read(&SOUND.replace(from, to)).unwrap_err().to_string();
+    let wrong = Scenario::parse(&SOUND.replace(from, to)).unwrap_err().to_string();
     assert!(wrong.starts_with(says), "{wrong}");
 }
--- a/crates/standins/tests/judge.rs
+++ b/crates/standins/tests/judge.rs
@@ -1,8 +1,8 @@
 //! The judge itself: a sound trace is found sound, and one planted fault of each kind is named.
 
 use fernglade::{Moment, Span};
-use fernglade_standins::fleet::trace::{value_of, End, Fact, Part, Passed};
-use fernglade_standins::fleet::{judge, Day, Rule};
+use fernglade_standins::fleet::trace::{value_of, Part, PartOutcome, TraceEntry, TraceEvent};
+use fernglade_standins::fleet::{check_rules, Rule, Scenario};
 use test_case::test_case;
 
 const DAY: &str = r#"{
@@ -24,57 +24,87 @@
 }
 
 #[derive(Default)]
-struct Tale(Vec<Passed>);
+struct Tale(Vec<TraceEntry>);
 
 impl Tale {
-    fn at(&mut self, millis: u64, fact: Fact) -> &mut Self {
-        self.0.push(Passed { at: at(millis), fact });
+    fn at(&mut self, millis: u64, event: TraceEvent) -> &mut Self {
+        self.0.push(TraceEntry { at: at(millis), event });
         self
     }
 
-    fn asked(&mut self, millis: u64, scan: u32, sort: usize) -> &mut Self {
-        let left = Span::of_millis(if sort == TAG { 9_000 } else { 1_000 });
-        self.at(millis, Fact::Asked { scan, first: scan, mixer: 0, sort, shards: vec![0, 1], left })
+    fn asked(&mut self, millis: u64, scan: u32, traffic_type: usize) -> &mut Self {
+        let left = Span::of_millis(if traffic_type == TAG { 9_000 } else { 1_000 });
+        self.at(
+            millis,
+            TraceEvent::ScanSent { scan, first: scan, mixer: 0, traffic_type, shards: vec![0, 1], left },
+        )
     }
 
     fn relayed(&mut self, millis: u64, scan: u32, shard: u32, searcher: usize) -> &mut Self {
-        self.at(millis, Fact::Relayed { mixer: 0, searcher, part: Part { scan, shard }, written: at(millis) })
+        self.at(
+            millis,
+            TraceEvent::PartRelayed { mixer: 0, searcher, part: Part { scan, shard }, written: at(millis) },
+        )
     }
 
-    fn back(&mut self, millis: u64, scan: u32, shard: u32, searcher: usize, end: End) -> &mut Self {
-        self.at(millis, Fact::Back { mixer: 0, searcher, part: Part { scan, shard }, end })
+    fn back(&mut self, millis: u64, scan: u32, shard: u32, searcher: usize, end: PartOutcome) -> &mut Self {
+        self.at(millis, TraceEvent::PartAnswered { mixer: 0, searcher, part: Part { scan, shard }, end })
     }
 
     fn answered(&mut self, millis: u64, scan: u32, status: u16, whole: bool, shards: &[u32]) -> &mut Self {
         let values = shards.iter().map(|shard| (*shard, value_of(Part { scan, shard: *shard }))).collect();
-        self.at(millis, Fact::Answered { scan, mixer: 0, status, whole, values, pause: None })
+        self.at(millis, TraceEvent::ScanAnswered { scan, mixer: 0, status, whole, values, pause: None })
     }
 
     fn rules(&mut self) -> Vec<Rule> {
         // The day goes on, so that what is never answered is past its time.
         self.0.sort_by_key(|passed| passed.at);
-        self.at(30_000, Fact::Checked { mixer: 0, searcher: 0 });
-        let breaches = judge(&Day::read(DAY).expect("a sound day"), &self.0);
-        breaches.into_iter().map(|breach| breach.rule).collect()
+        self.at(30_000, TraceEvent::ProbeReceived { mixer: 0, searcher: 0 });
+        let violations = check_rules(&Scenario::parse(DAY).expect("a sound day"), &self.0);
+        violations.into_iter().map(|violation| violation.rule).collect()
     }
 }
 
 /// A scan of each type that goes well; of the first, one part is turned away and goes to another searcher.
 fn sound() -> Tale {
     let mut tale = Tale::default();
-    tale.asked(100, 1, LOOK).relayed(101, 1, 0, 0).relayed(101, 1, 1, 1).back(102, 1, 0, 0, End::Later);
-    tale.relayed(103, 1, 0, 2).back(120, 1, 0, 2, End::Honoured).back(121, 1, 1, 1, End::Honoured);
+    tale.asked(100, 1, LOOK).relayed(101, 1, 0, 0).relayed(101, 1, 1, 1).back(
+        102,
+        1,
+        0,
+        0,
+        PartOutcome::Rejected,
+    );
+    tale.relayed(103, 1, 0, 2).back(120, 1, 0, 2, PartOutcome::Succeeded).back(
+        121,
+        1,
+        1,
+        1,
+        PartOutcome::Succeeded,
+    );
     tale.answered(122, 1, 200, true, &[0, 1]);
     tale.asked(200, 2, FIX).relayed(201, 2, 0, 0).relayed(201, 2, 1, 1);
-    tale.back(220, 2, 0, 0, End::Honoured).back(221, 2, 1, 1, End::Honoured).answered(
+    tale.back(220, 2, 0, 0, PartOutcome::Succeeded).back(221, 2, 1, 1, PartOutcome::Succeeded).answered(
         222,
         2,
         200,
         true,
         &[0, 1],
     );
-    tale.asked(300, 3, TAG).relayed(301, 3, 0, 0).relayed(301, 3, 1, 1).back(330, 3, 1, 1, End::Honoured);
-    tale.relayed(900, 3, 0, 2).back(930, 3, 0, 2, End::Honoured).answered(931, 3, 200, true, &[0, 1]);
+    tale.asked(300, 3, TAG).relayed(301, 3, 0, 0).relayed(301, 3, 1, 1).back(
+        330,
+        3,
+        1,
+        1,
+        PartOutcome::Succeeded,
+    );
+    tale.relayed(900, 3, 0, 2).back(930, 3, 0, 2, PartOutcome::Succeeded).answered(
+        931,
+        3,
+        200,
+        true,
+        &[0, 1],
+    );
     tale
 }
 
@@ -87,11 +117,11 @@
 #[test_case(Rule::Answer, |tale| tale.asked(400, 9, LOOK).relayed(401, 9, 0, 0); "a scan unanswered")]
 #[test_case(Rule::Answer, |tale| tale.answered(140, 1, 200, true, &[0, 1]); "a second answer")]
 #[test_case(Rule::Answer, |tale| tale.relayed(400, 1, 1, 2); "a relay after the final answer")]
-#[test_case(Rule::Answer, |tale| tale.asked(400, 9, LOOK).at(450, Fact::Dropped { scan: 9, mixer: 0 }); "a connection ended in place of an answer")]
+#[test_case(Rule::Answer, |tale| tale.asked(400, 9, LOOK).at(450, TraceEvent::ScanDropped { scan: 9, mixer: 0 }); "a connection ended in place of an answer")]
 #[test_case(Rule::Answer, |tale| tale.asked(400, 9, LOOK).answered(1_800, 9, 503, false, &[]); "an answer long after its time")]
 #[test_case(Rule::Answer, |tale| tale.relayed(400, 77, 0, 0); "a part that nobody asked for")]
-#[test_case(Rule::Crash, |tale| tale.at(5_000, Fact::MixerGone { mixer: 1, asked: false }); "a mixer that ended by itself")]
-#[test_case(Rule::Cold, |tale| tale.at(5_000, Fact::Toppled { searcher: 1 }); "a cold searcher toppled")]
+#[test_case(Rule::Crash, |tale| tale.at(5_000, TraceEvent::MixerExited { mixer: 1, asked: false }); "a mixer that ended by itself")]
+#[test_case(Rule::Cold, |tale| tale.at(5_000, TraceEvent::SearcherCollapsed { searcher: 1 }); "a cold searcher toppled")]
 fn a_planted_fault_is_named(rule: Rule, plant: fn(&mut Tale) -> &mut Tale) {
     let mut tale = sound();
     plant(&mut tale);
@@ -102,12 +132,12 @@
 #[test_case(true, &[]; "by a mixer that stood still meanwhile and could not read it")]
 fn a_searcher_that_drains_is_left_alone(stalled: bool, rules: &[Rule]) {
     let mut tale = Tale::default();
-    tale.at(100, Fact::Told { mixer: 0, searcher: 0, ready: false });
+    tale.at(100, TraceEvent::DiscoverySent { mixer: 0, searcher: 0, ready: false });
     if stalled {
-        tale.at(90, Fact::Stalled { mixer: 0, still: true })
-            .at(950, Fact::Stalled { mixer: 0, still: false });
+        tale.at(90, TraceEvent::MixerStalled { mixer: 0, still: true })
+            .at(950, TraceEvent::MixerStalled { mixer: 0, still: false });
     }
-    tale.asked(960, 1, LOOK).relayed(980, 1, 0, 0).back(990, 1, 0, 0, End::Honoured);
+    tale.asked(960, 1, LOOK).relayed(980, 1, 0, 0).back(990, 1, 0, 0, PartOutcome::Succeeded);
     tale.answered(1_000, 1, 200, false, &[0]);
     assert_eq!(tale.rules(), rules);
 }
@@ -118,10 +148,10 @@
 #[test_case(400, &[Rule::Answer]; "it was written then")]
 fn what_a_cut_link_held_back_was_sent_when_it_was_written(written: u64, rules: &[Rule]) {
     let mut tale = Tale::default();
-    tale.asked(100, 1, LOOK).relayed(101, 1, 1, 1).back(110, 1, 1, 1, End::Honoured);
+    tale.asked(100, 1, LOOK).relayed(101, 1, 1, 1).back(110, 1, 1, 1, PartOutcome::Succeeded);
     tale.answered(200, 1, 200, false, &[1]);
     let part = Part { scan: 1, shard: 0 };
-    tale.at(400, Fact::Relayed { mixer: 0, searcher: 0, part, written: at(written) });
+    tale.at(400, TraceEvent::PartRelayed { mixer: 0, searcher: 0, part, written: at(written) });
     assert_eq!(tale.rules(), rules);
 }
 
@@ -129,7 +159,13 @@
 #[test_case(500, &[]; "written off, which promises nothing")]
 fn an_edit_is_bounced_only_where_nothing_ran(status: u16, rules: &[Rule]) {
     let mut tale = Tale::default();
-    tale.asked(100, 1, FIX).relayed(101, 1, 0, 0).relayed(101, 1, 1, 1).back(103, 1, 1, 1, End::Later);
+    tale.asked(100, 1, FIX).relayed(101, 1, 0, 0).relayed(101, 1, 1, 1).back(
+        103,
+        1,
+        1,
+        1,
+        PartOutcome::Rejected,
+    );
     tale.answered(600, 1, status, false, &[]);
     assert_eq!(tale.rules(), rules);
 }
@@ -137,7 +173,7 @@
 #[test]
 fn an_edit_that_was_turned_away_everywhere_may_be_bounced() {
     let mut tale = Tale::default();
-    tale.asked(100, 1, FIX).relayed(101, 1, 0, 0).back(103, 1, 0, 0, End::Later);
+    tale.asked(100, 1, FIX).relayed(101, 1, 0, 0).back(103, 1, 0, 0, PartOutcome::Rejected);
     assert_eq!(tale.answered(600, 1, 503, false, &[]).rules(), []);
 }
 
@@ -145,8 +181,14 @@
 #[test_case(1_800, &[Rule::Effect]; "past its window")]
 fn a_labelled_part_goes_again_inside_its_window(millis: u64, rules: &[Rule]) {
     let mut tale = Tale::default();
-    tale.asked(100, 1, TAG).relayed(101, 1, 0, 0).relayed(101, 1, 1, 1).back(110, 1, 1, 1, End::Honoured);
-    tale.relayed(millis, 1, 0, 2).back(millis + 10, 1, 0, 2, End::Honoured);
+    tale.asked(100, 1, TAG).relayed(101, 1, 0, 0).relayed(101, 1, 1, 1).back(
+        110,
+        1,
+        1,
+        1,
+        PartOutcome::Succeeded,
+    );
+    tale.relayed(millis, 1, 0, 2).back(millis + 10, 1, 0, 2, PartOutcome::Succeeded);
     assert_eq!(tale.answered(millis + 20, 1, 200, true, &[0, 1]).rules(), rules);
 }
 
@@ -156,7 +198,13 @@
 #[test_case(true, &[0, 1], &[Rule::Honest]; "with a value that no searcher made")]
 fn answers_are_honest(whole: bool, shards: &[u32], rules: &[Rule]) {
     let mut tale = Tale::default();
-    tale.asked(100, 1, LOOK).relayed(101, 1, 0, 0).relayed(101, 1, 1, 1).back(110, 1, 0, 0, End::Honoured);
+    tale.asked(100, 1, LOOK).relayed(101, 1, 0, 0).relayed(101, 1, 1, 1).back(
+        110,
+        1,
+        0,
+        0,
+        PartOutcome::Succeeded,
+    );
     assert_eq!(tale.answered(200, 1, 200, whole, shards).rules(), rules);
 }
 
@@ -168,25 +216,37 @@
     for number in 0..30 {
         let (mixer, millis) = (number as usize % 3, 100 + 350 * u64::from(number / 3));
         let (scan, left) = (number, Span::of_millis(1_000));
-        tale.at(millis, Fact::Asked { scan, first: scan, mixer, sort: LOOK, shards: vec![0, 1], left });
+        tale.at(
+            millis,
+            TraceEvent::ScanSent { scan, first: scan, mixer, traffic_type: LOOK, shards: vec![0, 1], left },
+        );
         for (after, searcher) in [(1, 0), (2, 1)].into_iter().take(if number < 15 { 2 } else { 1 }) {
             let part = Part { scan, shard: 0 };
-            tale.at(millis + after, Fact::Relayed { mixer, searcher, part, written: at(millis + after) });
             tale.at(
                 millis + after,
-                Fact::Back {
+                TraceEvent::PartRelayed { mixer, searcher, part, written: at(millis + after) },
+            );
+            tale.at(
+                millis + after,
+                TraceEvent::PartAnswered {
                     mixer,
                     searcher,
                     part,
-                    end: if after == 1 { End::Erred } else { End::Honoured },
+                    end: if after == 1 { PartOutcome::Failed } else { PartOutcome::Succeeded },
                 },
             );
         }
         let part = Part { scan, shard: 1 };
-        tale.at(millis + 3, Fact::Relayed { mixer, searcher: 2, part, written: at(millis + 3) });
-        tale.at(millis + 4, Fact::Back { mixer, searcher: 2, part, end: End::Honoured });
+        tale.at(millis + 3, TraceEvent::PartRelayed { mixer, searcher: 2, part, written: at(millis + 3) });
+        tale.at(
+            millis + 4,
+            TraceEvent::PartAnswered { mixer, searcher: 2, part, end: PartOutcome::Succeeded },
+        );
         let (values, pause) = (vec![(1, value_of(part))], None);
-        tale.at(millis + 5, Fact::Answered { scan, mixer, status: 200, whole: false, values, pause });
+        tale.at(
+            millis + 5,
+            TraceEvent::ScanAnswered { scan, mixer, status: 200, whole: false, values, pause },
+        );
     }
     // 60 parts were asked for, and 75 sent: 74 are allowed.
     assert_eq!(tale.rules(), [Rule::Sum]);
--- a/crates/standins/tests/planted.rs
+++ b/crates/standins/tests/planted.rs
@@ -1,7 +1,7 @@
 //! The rig and its judge together: the plainest mixer, as three processes, sound or with one planted fault.
 
 use fernglade_standins::child::temp_file;
-use fernglade_standins::fleet::{play, Day, Rule};
+use fernglade_standins::fleet::{runner, Rule, Scenario};
 use std::path::Path;
 use test_case::test_case;
 
@@ -22,14 +22,14 @@
 #[test_case("boasts", "{ what: 'hang', at: '500ms', lasts: '2s', searchers: [0] }", &[Rule::Honest], &[Rule::Drain, Rule::Sum]; "half is called whole")]
 #[test_case("hasty", "", &[Rule::Answer], &[Rule::Drain, Rule::Sum]; "parts are sent after the answer")]
 fn what_is_planted_is_found_and_nothing_else(fault: &str, trouble: &str, found: &[Rule], clean: &[Rule]) {
-    let day = Day::read(&DAY.replace("TROUBLE", trouble)).unwrap();
+    let day = Scenario::parse(&DAY.replace("TROUBLE", trouble)).unwrap();
     let operator = temp_file(&format!("planted-{fault}"), fault);
     let program = Path::new(env!("CARGO_BIN_EXE_naive-mixer"));
-    let played = play::play(&day, 21, program, Some(&operator)).unwrap();
+    let played = runner::run(&day, 21, program, Some(&operator)).unwrap();
     let _ = std::fs::remove_file(operator);
-    let rules: Vec<Rule> = played.breaches.iter().map(|breach| breach.rule).collect();
-    assert!(played.figures.whole().scans > 100, "{}", played.figures);
-    assert!(found.iter().all(|rule| rules.contains(rule)), "{found:?} wanted: {:#?}", played.breaches);
-    assert!(clean.iter().all(|rule| !rules.contains(rule)), "{clean:?} unwanted: {:#?}", played.breaches);
-    assert!(!found.is_empty() || rules.is_empty(), "{:#?}\n{}", played.breaches, played.figures);
+    let rules: Vec<Rule> = played.violations.iter().map(|violation| violation.rule).collect();
+    assert!(played.statistics.total().scans > 100, "{}", played.statistics);
+    assert!(found.iter().all(|rule| rules.contains(rule)), "{found:?} wanted: {:#?}", played.violations);
+    assert!(clean.iter().all(|rule| !rules.contains(rule)), "{clean:?} unwanted: {:#?}", played.violations);
+    assert!(!found.is_empty() || rules.is_empty(), "{:#?}\n{}", played.violations, played.statistics);
 }
