--- a/crates/standins/src/child.rs
+++ b/crates/standins/src/child.rs
@@ -1,4 +1,4 @@
-//! The built mixer as a child process.
+//! Runs the built mixer as a child process.
 
 use crate::client::{connect_client, try_read_response, HEALTH_REQUEST};
 use std::io::Write;
@@ -9,7 +9,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Orders for one mixer: `look` may run again, `fix` never, once it may have run.
+/// The configuration of one mixer with two traffic types: `look` is idempotent, `fix` must not be sent again
+/// once it may have run.
 pub fn mixer_config(listen: &str, discovery: SocketAddr, known: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"7","limits":{{"sockets":256}},
@@ -22,14 +23,15 @@
     )
 }
 
-/// A file of this process's own in the system's folder for such.
+/// Writes a file to the system's temporary directory under a name that is unique to this process.
 pub fn temp_file(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("fernglade-{}-{name}", std::process::id()));
-    std::fs::write(&path, text).expect("a file can be written");
+    std::fs::write(&path, text).expect("failed to write a temporary file");
     path
 }
 
-/// An address where nobody listens yet: the loopback has a million, and no two tests share one.
+/// A loopback address on which nothing listens. Derived from the process id and a counter, so that tests
+/// running at the same time get different ones.
 pub fn free_address() -> SocketAddr {
     static COUNT: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
@@ -37,9 +39,12 @@
         .into()
 }
 
+/// A running mixer. Dropping it kills the process and removes its files.
 pub struct MixerProcess {
     pub child: Child,
+    /// Where it accepts clients.
     pub address: SocketAddr,
+    /// Files to remove when it is dropped.
     pub files: Vec<PathBuf>,
 }
 
@@ -51,37 +56,38 @@
     }
 }
 
-/// Starts `program` with so many descriptors allowed by the system and waits until it says that it can serve.
+/// Starts `program` with at most `max_descriptors` open files and waits until it reports that it is ready.
 pub fn start_mixer(
     program: &Path,
-    held: usize,
-    orders: PathBuf,
+    max_descriptors: usize,
+    config: PathBuf,
     operator: Option<PathBuf>,
     at: SocketAddr,
 ) -> MixerProcess {
-    let mut shell = format!("ulimit -n {held}; exec \"$0\"");
+    let mut shell = format!("ulimit -n {max_descriptors}; exec \"$0\"");
     let mut command = Command::new("sh");
     if operator.is_some() {
         shell += " --operator \"$1\"";
     }
-    command.args(["-c", &shell]).arg(program).args(&operator).env("ROUTER_CONFIG", &orders);
-    let child = command.stdin(Stdio::null()).stderr(Stdio::null()).spawn().expect("a shell");
+    command.args(["-c", &shell]).arg(program).args(&operator).env("ROUTER_CONFIG", &config);
+    let child = command.stdin(Stdio::null()).stderr(Stdio::null()).spawn().expect("failed to start a shell");
     wait_until_serving(MixerProcess {
         child,
         address: at,
-        files: std::iter::once(orders).chain(operator).collect(),
+        files: std::iter::once(config).chain(operator).collect(),
     })
 }
 
-/// Starts `program` with its log going where it is told.
-pub fn start_with_log(program: &Path, orders: PathBuf, at: SocketAddr, log: Stdio) -> MixerProcess {
+/// Starts `program` with its log written to `log`.
+pub fn start_with_log(program: &Path, config: PathBuf, at: SocketAddr, log: Stdio) -> MixerProcess {
     let mut command = Command::new(program);
-    command.env("ROUTER_CONFIG", &orders).stdin(Stdio::null()).stderr(log);
-    let child = command.spawn().expect("the program starts");
-    wait_until_serving(MixerProcess { child, address: at, files: vec![orders] })
+    command.env("ROUTER_CONFIG", &config).stdin(Stdio::null()).stderr(log);
+    let child = command.spawn().expect("failed to start the program");
+    wait_until_serving(MixerProcess { child, address: at, files: vec![config] })
 }
 
-/// A system call that fails: which, with what error, and at which of its uses (`FIRST+STEP`, as strace has it).
+/// A system call that strace makes fail: its name, the error, and at which invocations (`FIRST+STEP` in
+/// strace syntax).
 #[derive(Clone, Copy)]
 pub struct SyscallFault {
     pub call: &'static str,
@@ -90,90 +96,97 @@
 }
 
 impl SyscallFault {
-    fn argument(&self) -> String {
+    fn strace_argument(&self) -> String {
         format!("inject={}:error={}:when={}", self.call, self.error, self.when)
     }
 }
 
-/// Starts `program` under strace, which has system calls of it fail. Its log goes to a file beside the orders.
+/// Starts `program` under strace with injected system call errors. Its log goes to a file next to the
+/// configuration.
 pub fn start_with_syscall_faults(
     program: &Path,
-    orders: PathBuf,
+    config: PathBuf,
     at: SocketAddr,
     faults: &[SyscallFault],
 ) -> MixerProcess {
     let calls: Vec<&str> = faults.iter().map(|fault| fault.call).collect();
     let mut arguments = ["--seccomp-bpf", "-o", "/dev/null", "-e"].map(String::from).to_vec();
     arguments.push(format!("trace={}", calls.join(",")));
-    arguments.extend(faults.iter().flat_map(|fault| ["-e".to_string(), fault.argument()]));
-    start_under_strace(program, orders, at, &arguments)
+    arguments.extend(faults.iter().flat_map(|fault| ["-e".to_string(), fault.strace_argument()]));
+    start_under_strace(program, config, at, &arguments)
 }
 
-/// Starts `program` under strace, which writes how often it made each system call to `counts` at its end.
+/// Starts `program` under strace, which writes the number of each system call to `counts` when the program
+/// exits.
 pub fn start_counting_syscalls(
     program: &Path,
-    orders: PathBuf,
+    config: PathBuf,
     at: SocketAddr,
     counts: &Path,
 ) -> MixerProcess {
     let arguments = ["-c", "-U", "calls,name", "-o"].map(String::from).to_vec();
     let arguments = [arguments, vec![counts.display().to_string()]].concat();
-    start_under_strace(program, orders, at, &arguments)
+    start_under_strace(program, config, at, &arguments)
 }
 
-/// The program stays the direct child: the tracer detaches itself from the test.
-fn start_under_strace(program: &Path, orders: PathBuf, at: SocketAddr, arguments: &[String]) -> MixerProcess {
-    let log = orders.with_extension("log");
-    let stderr = std::fs::File::create(&log).expect("a log can be written");
+/// The program stays the direct child of this process: `-D` runs the tracer as a detached grandchild.
+fn start_under_strace(program: &Path, config: PathBuf, at: SocketAddr, arguments: &[String]) -> MixerProcess {
+    let log = config.with_extension("log");
+    let stderr = std::fs::File::create(&log).expect("failed to create the log file");
     let mut command = Command::new("strace");
     command.args(["-D", "-f", "-qq"]).args(arguments);
-    command.arg(program).env("ROUTER_CONFIG", &orders).stdin(Stdio::null()).stderr(stderr);
-    let child = command.spawn().expect("strace is installed (.ci/run does so)");
-    wait_until_serving(MixerProcess { child, address: at, files: vec![orders, log] })
+    command.arg(program).env("ROUTER_CONFIG", &config).stdin(Stdio::null()).stderr(stderr);
+    let child = command.spawn().expect("failed to start strace; .ci/run installs it");
+    wait_until_serving(MixerProcess { child, address: at, files: vec![config, log] })
 }
 
-/// How long a mixer may take until it serves, and to answer whether it does.
-const SERVES_WITHIN: Duration = Duration::from_secs(20);
-const ANSWERS_WITHIN: Duration = Duration::from_secs(2);
+/// How long a mixer may take to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long it may take to answer one health request.
+const HEALTH_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// Polls the health endpoint until the mixer reports that it is ready; panics after [`READY_TIMEOUT`].
 pub fn wait_until_serving(mixer: MixerProcess) -> MixerProcess {
-    let began = Instant::now();
-    while began.elapsed() < SERVES_WITHIN {
+    let started = Instant::now();
+    while started.elapsed() < READY_TIMEOUT {
         if let Ok(stream) = std::net::TcpStream::connect(mixer.address) {
-            let mut asks = crate::client::client_from_stream(stream);
-            let _ = asks.get_mut().set_read_timeout(Some(ANSWERS_WITHIN));
-            if asks.get_mut().write_all(HEALTH_REQUEST.as_bytes()).is_ok()
-                && try_read_response(&mut asks).is_ok_and(|a| a.0 == 200)
+            let mut client = crate::client::client_from_stream(stream);
+            let _ = client.get_mut().set_read_timeout(Some(HEALTH_TIMEOUT));
+            if client.get_mut().write_all(HEALTH_REQUEST.as_bytes()).is_ok()
+                && try_read_response(&mut client).is_ok_and(|a| a.0 == 200)
             {
                 return mixer;
             }
         }
         thread::sleep(Duration::from_millis(25));
     }
-    panic!("the mixer never served");
+    panic!("the mixer did not become ready in time");
 }
 
 impl MixerProcess {
+    /// Opens a client connection to it.
     pub fn connect(&self) -> crate::client::Client {
         connect_client(self.address)
     }
 
-    pub fn signal(&self, which: &str) {
+    /// Sends it a signal by running `kill`, e.g. with `-TERM`.
+    pub fn signal(&self, option: &str) {
         let id = self.child.id().to_string();
-        let status = Command::new("kill").args([which, &id]).status();
-        assert!(status.expect("kill runs").success());
+        let status = Command::new("kill").args([option, &id]).status();
+        assert!(status.expect("failed to run kill").success());
     }
 
-    /// `/proc` counts its descriptors, its time on the processor in hundredths of a second, and its memory in
-    /// kilobytes.
+    /// Reads from `/proc` its number of open descriptors, its CPU time in hundredths of a second and its
+    /// resident memory in kilobytes.
     pub fn resource_usage(&self) -> (usize, u64, u64) {
         let path = format!("/proc/{}", self.child.id());
-        let read = |name: &str| std::fs::read_to_string(format!("{path}/{name}")).expect("it runs");
+        let read =
+            |name: &str| std::fs::read_to_string(format!("{path}/{name}")).expect("the mixer is running");
         let stat = read("stat");
         let times = stat.split(' ').skip(13).take(2).filter_map(|time| time.parse::<u64>().ok()).sum();
         let status = read("status");
         let memory = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let memory = memory.and_then(|line| line.trim().split(' ').next()?.parse().ok()).unwrap_or(0);
-        (std::fs::read_dir(format!("{path}/fd")).expect("it runs").count(), times, memory)
+        (std::fs::read_dir(format!("{path}/fd")).expect("the mixer is running").count(), times, memory)
     }
 }
--- a/crates/standins/src/documents.rs
+++ b/crates/standins/src/documents.rs
@@ -1,8 +1,9 @@
-//! A shard of cues with a small index of its own: words to documents, so that scores, totals, the best hits and
-//! buckets can be held against one who walks all documents. Planted by a seed.
+//! A shard of generated documents with a small inverted index, used to check the scores, totals, top hits and
+//! buckets of merged answers. Documents are generated from a seed.
 //!
-//! A document's score is how often the words that are asked for stand in it: that does not depend on what else is in the
-//! shard, so that many shards' answers can be compared with those of one shard that has all of it.
+//! A document's score is the number of times it contains the query's words. It doesn't depend on the other
+//! documents of the shard, so that the merged answers of many shards can be compared with those of one shard
+//! that holds everything.
 
 use fernglade_dialect::aggregation::{Aggregation, Buckets, Key, Partial};
 use fernglade_dialect::merge::{Hit, ShardFound};
@@ -14,84 +15,88 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A document: its id and its fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Document {
     pub id: String,
     pub fields: Vec<(String, Node)>,
 }
 
-/// Few enough to meet often.
+/// A small vocabulary, so that documents often share words.
 const WORDS: [&str; 16] = [
     "hola", "mundo", "noche", "estreno", "serie", "gracias", "adios", "casa", "lluvia", "nunca", "siempre",
     "amor", "ciudad", "viento", "luz", "voz",
 ];
 const LANGUAGES: [&str; 5] = ["es", "en", "pt", "fr", "de"];
 
-/// So many cues, the same for a seed. One in ten has no time.
+/// Generates `count` documents, the same ones for the same seed. One in ten has no `at` field.
 pub fn generate_documents(seed: u64, count: usize) -> Vec<Document> {
-    let mut chance = Pcg32::seed_from_u64(seed);
-    let cue = |number: usize| {
-        let length = chance.random_range(1..8);
-        let text: Vec<&str> = (0..length).map(|_| WORDS[chance.random_range(0..WORDS.len())]).collect();
+    let mut rng = Pcg32::seed_from_u64(seed);
+    let document = |number: usize| {
+        let length = rng.random_range(1..8);
+        let text: Vec<&str> = (0..length).map(|_| WORDS[rng.random_range(0..WORDS.len())]).collect();
         let mut fields = vec![
             ("cue".to_string(), Node::Text(text.join(" "))),
-            ("lang".into(), Node::Text(LANGUAGES[chance.random_range(0..LANGUAGES.len())].into())),
+            ("lang".into(), Node::Text(LANGUAGES[rng.random_range(0..LANGUAGES.len())].into())),
         ];
-        if chance.random_range(0..10) > 0 {
-            fields.push(("at".into(), Node::Whole(chance.random_range(0..1_000))));
+        if rng.random_range(0..10) > 0 {
+            fields.push(("at".into(), Node::Whole(rng.random_range(0..1_000))));
         }
         Document { id: format!("c{number}"), fields }
     };
-    (0..count).map(cue).collect()
+    (0..count).map(document).collect()
 }
 
-/// One shard: its documents, and by field and word which of them have it how often.
+/// One shard: its documents, and for each field and word the documents that contain it, with the number of
+/// occurrences.
 #[derive(Default)]
 pub struct Shard {
-    cues: Vec<Document>,
+    documents: Vec<Document>,
     postings: BTreeMap<(String, String), BTreeMap<usize, u32>>,
 }
 
 impl Shard {
-    pub fn new(cues: Vec<Document>) -> Self {
+    /// Indexes the documents.
+    pub fn new(documents: Vec<Document>) -> Self {
         let mut postings: BTreeMap<(String, String), BTreeMap<usize, u32>> = BTreeMap::new();
-        for (at, cue) in cues.iter().enumerate() {
-            for (field, value) in &cue.fields {
+        for (at, document) in documents.iter().enumerate() {
+            for (field, value) in &document.fields {
                 let Node::Text(text) = value else { continue };
                 for word in words(text) {
                     *postings.entry((field.clone(), word)).or_default().entry(at).or_default() += 1;
                 }
             }
         }
-        Self { cues, postings }
+        Self { documents, postings }
     }
 
     fn value(&self, at: usize, field: &str) -> Option<&Node> {
-        self.cues[at].fields.iter().find(|(name, _)| name == field).map(|(_, value)| value)
+        self.documents[at].fields.iter().find(|(name, _)| name == field).map(|(_, value)| value)
     }
 
-    /// The documents that a query finds, each with its score.
-    fn found(&self, query: &Query) -> BTreeMap<usize, f64> {
-        let all = || 0..self.cues.len();
-        let those = |fits: &dyn Fn(usize) -> bool| all().filter(|at| fits(*at)).map(|at| (at, 1.0)).collect();
+    /// The documents that match a query, with their scores.
+    fn matches(&self, query: &Query) -> BTreeMap<usize, f64> {
+        let all = || 0..self.documents.len();
+        let select =
+            |matches: &dyn Fn(usize) -> bool| all().filter(|at| matches(*at)).map(|at| (at, 1.0)).collect();
         match query {
-            Query::All => those(&|_| true),
-            Query::Match { field, words, every } => self.matching(field, words, *every),
-            Query::Terms { field, values } => those(&|at| {
-                self.value(at, field).is_some_and(|value| values.iter().any(|one| alike(one, value)))
+            Query::All => select(&|_| true),
+            Query::Match { field, words, every } => self.match_words(field, words, *every),
+            Query::Terms { field, values } => select(&|at| {
+                self.value(at, field).is_some_and(|value| values.iter().any(|one| values_equal(one, value)))
             }),
-            Query::Range { field, above, below } => those(&|at| {
+            Query::Range { field, above, below } => select(&|at| {
                 self.value(at, field).is_some_and(|value| {
-                    within(value, above.as_ref(), Ordering::Greater)
-                        && within(value, below.as_ref(), Ordering::Less)
+                    satisfies_bound(value, above.as_ref(), Ordering::Greater)
+                        && satisfies_bound(value, below.as_ref(), Ordering::Less)
                 })
             }),
-            Query::Ids(ids) => those(&|at| ids.contains(&self.cues[at].id)),
-            Query::Bool(clauses) => self.both(clauses),
+            Query::Ids(ids) => select(&|at| ids.contains(&self.documents[at].id)),
+            Query::Bool(clauses) => self.match_clauses(clauses),
         }
     }
 
-    fn matching(&self, field: &str, words: &[String], every: bool) -> BTreeMap<usize, f64> {
+    fn match_words(&self, field: &str, words: &[String], every: bool) -> BTreeMap<usize, f64> {
         let asked: BTreeSet<&String> = words.iter().collect();
         let mut found: BTreeMap<usize, (usize, f64)> = BTreeMap::new();
         for word in &asked {
@@ -101,16 +106,16 @@
                 (*words, *score) = (*words + 1, *score + f64::from(*count));
             }
         }
-        let least = if every { asked.len() } else { 1 };
+        let min_words = if every { asked.len() } else { 1 };
         found
             .into_iter()
-            .filter(|(_, (words, _))| *words >= least)
+            .filter(|(_, (words, _))| *words >= min_words)
             .map(|(at, (_, score))| (at, score))
             .collect()
     }
 
-    fn both(&self, clauses: &Clauses) -> BTreeMap<usize, f64> {
-        let find = |queries: &[Query]| queries.iter().map(|query| self.found(query)).collect::<Vec<_>>();
+    fn match_clauses(&self, clauses: &Clauses) -> BTreeMap<usize, f64> {
+        let find = |queries: &[Query]| queries.iter().map(|query| self.matches(query)).collect::<Vec<_>>();
         let (must, filter) = (find(&clauses.must), find(&clauses.filter));
         let (should, must_not) = (find(&clauses.should), find(&clauses.must_not));
         let score = |at: usize| {
@@ -121,22 +126,22 @@
             let sum = || must.iter().chain(&should).filter_map(|found| found.get(&at)).sum::<f64>();
             holds.then(sum)
         };
-        (0..self.cues.len()).filter_map(|at| Some((at, score(at)?))).collect()
+        (0..self.documents.len()).filter_map(|at| Some((at, score(at)?))).collect()
     }
 
-    /// What a node gives for this shard.
+    /// The answer of a node for this shard.
     pub fn search(&self, search: &Search) -> ShardFound {
-        let found = self.found(&search.query);
+        let found = self.matches(&search.query);
         let hit = |(at, score): (&usize, &f64)| {
             let sort = match &search.order.by {
                 By::Score => None,
                 By::Field(field) => self.value(*at, field).cloned(),
             };
-            let source = Node::Object(self.cues[*at].fields.clone());
-            Hit { id: self.cues[*at].id.clone(), score: Some(*score), sort, source }
+            let source = Node::Object(self.documents[*at].fields.clone());
+            Hit { id: self.documents[*at].id.clone(), score: Some(*score), sort, source }
         };
         let mut hits: Vec<Hit> = found.iter().map(hit).collect();
-        hits.sort_by(|a, b| before(search, a, b));
+        hits.sort_by(|a, b| compare_hits(search, a, b));
         hits.truncate(search.window());
         let part = |(name, of): &(String, Aggregation)| (name.clone(), self.part(of, found.keys().copied()));
         let aggregations = search.aggregations.iter().map(part).collect();
@@ -173,25 +178,25 @@
                         _ => {}
                     }
                 }
-                let mut told: Vec<(Key, u64)> = counts.into_iter().collect();
-                told.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
-                let whole = told.len() <= *shard_size;
-                let others = told.iter().skip(*shard_size).map(|(_, count)| count).sum();
-                told.truncate(*shard_size);
-                Partial::Terms(Buckets::of_shard(told, others, whole))
+                let mut buckets: Vec<(Key, u64)> = counts.into_iter().collect();
+                buckets.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
+                let whole = buckets.len() <= *shard_size;
+                let others = buckets.iter().skip(*shard_size).map(|(_, count)| count).sum();
+                buckets.truncate(*shard_size);
+                Partial::Terms(Buckets::of_shard(buckets, others, whole))
             }
         }
     }
 }
 
-fn alike(a: &Node, b: &Node) -> bool {
+fn values_equal(a: &Node, b: &Node) -> bool {
     match (a.number(), b.number()) {
         (Some(a), Some(b)) => a == b,
         _ => a == b,
     }
 }
 
-fn within(value: &Node, edge: Option<&Edge>, side: Ordering) -> bool {
+fn satisfies_bound(value: &Node, edge: Option<&Edge>, side: Ordering) -> bool {
     let Some(edge) = edge else { return true };
     let order = match (value, &edge.value) {
         (Node::Text(a), Node::Text(b)) => Some(a.cmp(b)),
@@ -200,65 +205,70 @@
     order.is_some_and(|order| order == side || edge.inclusive && order == Ordering::Equal)
 }
 
-/// The order of one shard's hits: as asked for, then by id.
-fn before(search: &Search, a: &Hit, b: &Hit) -> Ordering {
-    let turn = |order: Ordering| if search.order.rising { order } else { order.reverse() };
+/// The order of one shard's hits: the requested order, then by id.
+fn compare_hits(search: &Search, a: &Hit, b: &Hit) -> Ordering {
+    let directed = |order: Ordering| if search.order.rising { order } else { order.reverse() };
     let first = match &search.order.by {
-        By::Score => turn(a.score.unwrap_or(0.0).total_cmp(&b.score.unwrap_or(0.0))),
+        By::Score => directed(a.score.unwrap_or(0.0).total_cmp(&b.score.unwrap_or(0.0))),
         By::Field(_) => match (&a.sort, &b.sort) {
-            (Some(Node::Text(a)), Some(Node::Text(b))) => turn(a.cmp(b)),
-            (Some(a), Some(b)) => turn(a.number().unwrap_or(0.0).total_cmp(&b.number().unwrap_or(0.0))),
+            (Some(Node::Text(a)), Some(Node::Text(b))) => directed(a.cmp(b)),
+            (Some(a), Some(b)) => directed(a.number().unwrap_or(0.0).total_cmp(&b.number().unwrap_or(0.0))),
             (a, b) => a.is_none().cmp(&b.is_none()),
         },
     };
     first.then_with(|| a.id.cmp(&b.id))
 }
 
-/// How a node that speaks the dialect answers, and ways in which one that half understands it does.
+/// How a node answers a search: correctly, or in one of the ways in which a faulty or incompatible node does.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AnswerMode {
     Valid,
-    /// Answers for all shards, whichever was preferred.
+    /// Answers for all shards and ignores the preference.
     AllShards,
+    /// Reports that the search timed out.
     TimedOut,
+    /// Reports that its shard failed.
     ShardFailed,
-    /// Its total is lower than what it gives.
+    /// Reports a total lower than the number of hits.
     WrongTotal,
-    /// Sorts by what it likes.
+    /// Sends hits in the wrong order.
     Unsorted,
-    /// Gives more than it was asked for.
+    /// Sends more hits than requested.
     TooManyHits,
-    /// Hits of another index, or without an id.
+    /// Sends hits of another index.
     WrongIndex,
+    /// Sends hits without ids.
     MissingIds,
-    /// A field from another version.
+    /// Sends a field that only another version has.
     UnknownField,
+    /// Sends half of the body.
     Truncated,
-    /// An error page of something between.
+    /// Sends the HTML error page of an intermediary.
     ErrorPage,
+    /// Leaves out the aggregations.
     MissingAggregations,
 }
 
 impl Shard {
-    /// A node's answer to a search of this shard: its body.
-    pub fn body(&self, index: &str, search: &Search, manner: AnswerMode) -> Vec<u8> {
+    /// The body of a node's answer to a search of this shard.
+    pub fn body(&self, index: &str, search: &Search, mode: AnswerMode) -> Vec<u8> {
         use serde_json::json;
-        if manner == AnswerMode::ErrorPage {
+        if mode == AnswerMode::ErrorPage {
             return b"<html><body>502 Bad Gateway</body></html>".to_vec();
         }
-        let asked = if manner == AnswerMode::TooManyHits {
+        let asked = if mode == AnswerMode::TooManyHits {
             Search { size: search.size + 3, ..search.clone() }
         } else {
             search.clone()
         };
         let mut found = self.search(&asked);
-        if manner == AnswerMode::Unsorted {
+        if mode == AnswerMode::Unsorted {
             found.hits.reverse();
         }
         let hit = |hit: &Hit| {
-            let index = if manner == AnswerMode::WrongIndex { "others" } else { index };
+            let index = if mode == AnswerMode::WrongIndex { "others" } else { index };
             let mut written = json!({"_index": index, "_score": hit.score, "_source": hit.source.write()});
-            if manner != AnswerMode::MissingIds {
+            if mode != AnswerMode::MissingIds {
                 written["_id"] = hit.id.as_str().into();
             }
             if search.order.by != By::Score {
@@ -266,12 +276,12 @@
             }
             written
         };
-        let shards = if manner == AnswerMode::AllShards { 5 } else { 1 };
-        let failed = u64::from(manner == AnswerMode::ShardFailed);
-        let total = if manner == AnswerMode::WrongTotal { 0 } else { found.total };
+        let shards = if mode == AnswerMode::AllShards { 5 } else { 1 };
+        let failed = u64::from(mode == AnswerMode::ShardFailed);
+        let total = if mode == AnswerMode::WrongTotal { 0 } else { found.total };
         let mut body = json!({
             "took": 1,
-            "timed_out": manner == AnswerMode::TimedOut,
+            "timed_out": mode == AnswerMode::TimedOut,
             "_shards": {"total": shards, "successful": shards - failed, "skipped": 0, "failed": failed},
             "hits": {
                 "total": {"value": total, "relation": "eq"},
@@ -279,25 +289,27 @@
                 "hits": found.hits.iter().map(hit).collect::<Vec<_>>(),
             },
         });
-        if manner == AnswerMode::UnknownField {
+        if mode == AnswerMode::UnknownField {
             body["terminated_early"] = true.into();
         }
-        if !search.aggregations.is_empty() && manner != AnswerMode::MissingAggregations {
+        if !search.aggregations.is_empty() && mode != AnswerMode::MissingAggregations {
             let of =
                 |name: &String| search.aggregations.iter().find(|(asked, _)| asked == name).map(|(_, of)| of);
-            let write = |(name, part): &(String, Partial)| Some((name.clone(), node_part(part, of(name)?)));
+            let write =
+                |(name, part): &(String, Partial)| Some((name.clone(), partial_of_node(part, of(name)?)));
             body["aggregations"] = found.aggregations.iter().filter_map(write).collect();
         }
         let mut bytes = body.to_string().into_bytes();
-        if manner == AnswerMode::Truncated {
+        if mode == AnswerMode::Truncated {
             bytes.truncate(bytes.len() / 2);
         }
         bytes
     }
 }
 
-/// A shard's part of an aggregation: of terms, all that it was asked to tell; of an average, also of how many.
-fn node_part(part: &Partial, of: &Aggregation) -> serde_json::Value {
+/// A shard's partial aggregation as a node sends it: for terms, up to `shard_size` buckets; for an average,
+/// also the number of values.
+fn partial_of_node(part: &Partial, of: &Aggregation) -> serde_json::Value {
     match (part, of) {
         (Partial::Terms(_), Aggregation::Terms { field, shard_size, .. }) => {
             let all = Aggregation::Terms { field: field.clone(), size: *shard_size, shard_size: *shard_size };
@@ -312,32 +324,41 @@
     }
 }
 
-/// How many cues a stand-in shard has.
+/// The number of documents in a shard made by [`build_shard`].
 pub const DOCUMENTS_PER_SHARD: usize = 120;
 
-/// The shard of that number, as every stand-in node has it.
+/// Builds the shard with this number. Every searcher and node builds the same one.
 pub fn build_shard(number: u32) -> Shard {
-    let cues = generate_documents(u64::from(number), DOCUMENTS_PER_SHARD);
-    Shard::new(cues.into_iter().map(|cue| Document { id: format!("{}-{}", number, cue.id), ..cue }).collect())
+    let documents = generate_documents(u64::from(number), DOCUMENTS_PER_SHARD);
+    Shard::new(
+        documents
+            .into_iter()
+            .map(|document| Document { id: format!("{}-{}", number, document.id), ..document })
+            .collect(),
+    )
 }
 
-/// A searcher of the platform's frames whose parts are of the query dialect: an edit is saved, a search is answered
-/// from its shard.
+/// A frame handler whose parts carry the query API: it answers a search from the part's shard, and confirms
+/// an edit.
 pub fn answer_searches(letter: u8, rest: &str) -> Option<Vec<u8>> {
-    answer_as(letter, rest, |_| AnswerMode::Valid)
+    answer_with(letter, rest, |_| AnswerMode::Valid)
 }
 
-/// One that half understands: it never gives a sound answer.
+/// Like [`answer_searches`], but ignores which shard is requested, so that no answer to a search is valid.
 pub fn answer_for_all_shards(letter: u8, rest: &str) -> Option<Vec<u8>> {
-    answer_as(letter, rest, |_| AnswerMode::AllShards)
+    answer_with(letter, rest, |_| AnswerMode::AllShards)
 }
 
-/// One of whose shards the odd ones fail.
+/// Like [`answer_searches`], but shards with odd numbers fail.
 pub fn fail_odd_shards(letter: u8, rest: &str) -> Option<Vec<u8>> {
-    answer_as(letter, rest, |shard| if shard % 2 == 1 { AnswerMode::ShardFailed } else { AnswerMode::Valid })
+    answer_with(
+        letter,
+        rest,
+        |shard| if shard % 2 == 1 { AnswerMode::ShardFailed } else { AnswerMode::Valid },
+    )
 }
 
-fn answer_as(letter: u8, rest: &str, manner: impl Fn(u32) -> AnswerMode) -> Option<Vec<u8>> {
+fn answer_with(letter: u8, rest: &str, mode: impl Fn(u32) -> AnswerMode) -> Option<Vec<u8>> {
     if letter != b'm' {
         return Some(Vec::new());
     }
@@ -349,9 +370,7 @@
         let (text, behind) = after.split_at(length.parse().ok()?);
         rest = behind;
         let value = match Search::read(text.as_bytes()) {
-            Ok(search) => {
-                build_shard(number.parse().ok()?).body("cues", &search, manner(number.parse().ok()?))
-            }
+            Ok(search) => build_shard(number.parse().ok()?).body("cues", &search, mode(number.parse().ok()?)),
             Err(_) => b"saved".to_vec(),
         };
         let value = String::from_utf8(value).ok()?;
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,14 +1,17 @@
-//! Scripted peers on loopback, written from the platform's public pages: searchers, discovery, clients and crowds of
-//! them, and the built mixer as a child. For tests and measurements only; threads and blocking sockets.
+//! Scripted peers of a mixer on loopback: searchers, discovery agents, clients, connection floods, and the
+//! built mixer as a child process. They follow the platform's published protocols. For tests and measurements
+//! only; except for [`fleet`] they use threads and blocking sockets.
 //!
-//! - [`searcher`]: frames in, frames out, by a habit
-//! - [`node`]: a node of the query dialect over HTTP/1.1
-//! - [`discovery`]: the list of searchers, given once or as told
-//! - [`child`]: orders, the operator's file, a mixer's life from start to end
-//! - [`client`]: one connection, from any loopback address
-//! - [`cues`]: a shard with a small index, for those who speak the query dialect
-//! - [`fleet`]: several mixers, searchers and clients as processes and tasks, with faults on the links between them
-//! - [`crowd`]: thousands of connections that misbehave, bounded in count and time
+//! - [`searcher`]: speaks the searchers' frame protocol, with a chosen handler
+//! - [`node`]: a node of the query API over HTTP/1.1
+//! - [`discovery`]: serves the list of searchers, once or on demand
+//! - [`child`]: writes configuration files, and starts, observes and stops a mixer process
+//! - [`client`]: one client connection, from any loopback address
+//! - [`documents`]: generated documents in a shard with a small index, for searchers that answer the query
+//!   API
+//! - [`fleet`]: several mixers, searchers and clients as processes and tasks, with faults on the links
+//!   between them
+//! - [`flood`]: thousands of misbehaving connections, bounded in count and time
 
 pub mod child;
 pub mod client;
@@ -21,5 +24,5 @@
 
 use std::time::Duration;
 
-/// Only keeps a failure from hanging: nothing is judged by it.
+/// Ends a wait in a test that would otherwise hang; no result depends on its length.
 pub const HANG_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/standins/src/node.rs
+++ b/crates/standins/src/node.rs
@@ -1,4 +1,5 @@
-//! A node of the query dialect over HTTP/1.1, with all shards of planted cues: sound, or failing in one way.
+//! A node of the query API over HTTP/1.1 that holds all shards of generated documents. It answers correctly
+//! or fails in one chosen way.
 
 use crate::documents::{build_shard, AnswerMode};
 use fernglade_dialect::endpoint::{endpoint, preferred, Endpoint};
@@ -11,75 +12,76 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a node does with each search or edit.
+/// How a node handles each search or edit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NodeMode {
-    /// Answers it, in a manner.
+    /// Answers it, correctly or not.
     Answers(AnswerMode),
-    /// Its queue is full.
+    /// Answers that its queue is full.
     QueueFull,
+    /// Answers with this status and an HTML body.
     Status(u16),
-    /// Reads all of it and ends the connection.
+    /// Reads the whole request and closes the connection.
     CloseAfterRequest,
-    /// Ends the connection amid its answer.
+    /// Closes the connection in the middle of its answer.
     CloseMidAnswer,
-    /// A chunk after another, without end.
+    /// Sends chunks without end.
     EndlessChunks,
-    /// Reads, and says nothing.
+    /// Reads the request and never answers.
     NeverAnswer,
-    /// One answer a connection.
+    /// Closes the connection after one answer.
     CloseAfterAnswer,
-    /// The same with no length told: it ends where the connection does, in order or by a reset.
-    AnswerUntilClose {
-        resets: bool,
-    },
+    /// Like `CloseAfterAnswer`, without a length: the answer ends when the connection is closed, orderly or
+    /// by a reset.
+    AnswerUntilClose { resets: bool },
 }
 
-/// What it was asked: method, target, head and body.
+/// A request that a node has read: method, target, head and body.
 pub type NodeRequest = (String, String, String, String);
 
-/// A node on a port of its own; every search and edit it reads is also told.
-pub fn start_node(way: NodeMode) -> (SocketAddr, Receiver<NodeRequest>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
-    let (address, (tell, told)) = (listener.local_addr().expect("its address"), channel());
+/// Starts a node on a free port. The channel receives every search and edit that it reads.
+pub fn start_node(mode: NodeMode) -> (SocketAddr, Receiver<NodeRequest>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
+    let (address, (sender, requests)) =
+        (listener.local_addr().expect("failed to read the listener's address"), channel());
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let tell = tell.clone();
-            thread::spawn(move || attend(stream, way, &tell));
+            let sender = sender.clone();
+            thread::spawn(move || serve_connection(stream, mode, &sender));
         }
     });
-    (address, told)
+    (address, requests)
 }
 
-fn attend(stream: TcpStream, way: NodeMode, tell: &Sender<NodeRequest>) -> Option<()> {
+fn serve_connection(stream: TcpStream, mode: NodeMode, sender: &Sender<NodeRequest>) -> Option<()> {
     let _ = stream.set_nodelay(true);
-    let mut asks = BufReader::new(stream);
+    let mut reader = BufReader::new(stream);
     loop {
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
-            if asks.read_line(&mut head).ok()? == 0 {
+            if reader.read_line(&mut head).ok()? == 0 {
                 return None;
             }
         }
         let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: ")).unwrap_or("0");
         let mut body = vec![0; length.parse().ok()?];
-        asks.read_exact(&mut body).ok()?;
+        reader.read_exact(&mut body).ok()?;
         let body = String::from_utf8(body).ok()?;
         let mut words = head.split(' ');
         let (method, target) = (words.next()?.to_string(), words.next()?.to_string());
-        let to = asks.get_mut();
+        let to = reader.get_mut();
         if method == "GET" {
             let root = if target == "/" { r#"{"version":{"number":"2.11.0"}}"# } else { "{}" };
-            say(to, 200, root, false)?;
+            respond(to, 200, root, false)?;
             continue;
         }
-        let _ = tell.send((method, target.clone(), head, body.clone()));
+        let _ = sender.send((method, target.clone(), head, body.clone()));
         let answer = |manner| answer(&target, &body, manner);
-        match way {
-            NodeMode::Answers(manner) => say(to, 200, &answer(manner)?, false)?,
-            NodeMode::CloseAfterAnswer => return say(to, 200, &answer(AnswerMode::Valid)?, true),
-            NodeMode::QueueFull => say(to, 429, "{}", false)?,
-            NodeMode::Status(status) => say(to, status, "<html>no</html>", false)?,
+        match mode {
+            NodeMode::Answers(manner) => respond(to, 200, &answer(manner)?, false)?,
+            NodeMode::CloseAfterAnswer => return respond(to, 200, &answer(AnswerMode::Valid)?, true),
+            NodeMode::QueueFull => respond(to, 429, "{}", false)?,
+            NodeMode::Status(status) => respond(to, status, "<html>no</html>", false)?,
             NodeMode::CloseAfterRequest => return None,
             NodeMode::CloseMidAnswer => {
                 let whole = answer(AnswerMode::Valid)?;
@@ -89,7 +91,7 @@
             NodeMode::AnswerUntilClose { resets } => {
                 let head = "HTTP/1.1 200 OK\r\n\r\n".to_string();
                 to.write_all((head + &answer(AnswerMode::Valid)?).as_bytes()).ok()?;
-                let socket = Socket::from(asks.into_inner());
+                let socket = Socket::from(reader.into_inner());
                 return socket.set_linger(resets.then_some(Duration::ZERO)).ok();
             }
             NodeMode::EndlessChunks => {
@@ -104,13 +106,13 @@
     }
 }
 
-fn say(to: &mut TcpStream, status: u16, body: &str, close: bool) -> Option<()> {
+fn respond(to: &mut TcpStream, status: u16, body: &str, close: bool) -> Option<()> {
     let close = if close { "Connection: close\r\n" } else { "" };
     let head = format!("HTTP/1.1 {status} -\r\n{close}Content-Length: {}\r\n\r\n", body.len());
     to.write_all((head + body).as_bytes()).ok()
 }
 
-/// A search's answer for the shard that is preferred, an edit's that it is saved.
+/// The answer to a search of the shard named by the preference, or to an edit.
 fn answer(target: &str, body: &str, manner: AnswerMode) -> Option<String> {
     let (endpoint, parameters) = endpoint("POST", target).ok()?;
     match endpoint {
--- a/crates/standins/src/searcher.rs
+++ b/crates/standins/src/searcher.rs
@@ -1,4 +1,5 @@
-//! A searcher: reads frames, answers them by its habit, and tells of each that it read.
+//! Searchers that speak the frame protocol: a handler answers each frame, and a channel reports every frame
+//! read.
 
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
@@ -9,36 +10,43 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a searcher does with each frame: letter and rest in, bytes out; none ends the connection.
+/// Maps a frame (its letter and the rest) to the bytes to send back; `None` closes the connection.
 pub type FrameHandler = fn(u8, &str) -> Option<Vec<u8>>;
 
+/// Encodes a frame: its length, letter and the rest.
 pub fn frame(letter: u8, rest: &str) -> Vec<u8> {
     [&(rest.len() as u32 + 1).to_be_bytes()[..], &[letter], rest.as_bytes()].concat()
 }
 
+/// Answers each call with success, and ignores other frames.
 pub fn answer_parts(letter: u8, rest: &str) -> Option<Vec<u8>> {
     let id = rest.split(' ').next().unwrap_or_default();
     Some(if letter == b'm' { frame(b'q', &format!("{id} good 1 -\nof {id}")) } else { Vec::new() })
 }
 
+/// Like [`answer_parts`], 300 ms late.
 pub fn answer_slowly(letter: u8, rest: &str) -> Option<Vec<u8>> {
     thread::sleep(Duration::from_millis(300));
     answer_parts(letter, rest)
 }
 
+/// Answers nothing.
 pub fn ignore_frames(_: u8, _: &str) -> Option<Vec<u8>> {
     Some(Vec::new())
 }
 
+/// Answers with a frame of an unknown letter.
 pub fn send_invalid_frame(_: u8, _: &str) -> Option<Vec<u8>> {
     Some(frame(b'z', "?"))
 }
 
+/// Closes the connection on a call.
 pub fn close_on_call(letter: u8, _: &str) -> Option<Vec<u8>> {
     (letter != b'm').then(Vec::new)
 }
 
-/// Answers a part, and ends the connection with it: the next one dials anew.
+/// Answers calls, but closes the connection on one that contains "last", so that the next call needs a new
+/// connection.
 pub fn close_on_last(letter: u8, rest: &str) -> Option<Vec<u8>> {
     if letter == b'm' && rest.contains("last") {
         return None;
@@ -46,37 +54,37 @@
     answer_parts(letter, rest)
 }
 
-/// A searcher on a port of its own; every frame it reads is also told.
-pub fn start_searcher(habit: FrameHandler) -> (SocketAddr, Receiver<(u8, String)>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port on loopback");
-    let address = listener.local_addr().expect("its address");
-    (address, start_searcher_on(listener, habit))
+/// Starts a searcher on a free port. The channel receives every frame that it reads.
+pub fn start_searcher(handler: FrameHandler) -> (SocketAddr, Receiver<(u8, String)>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
+    let address = listener.local_addr().expect("failed to read the listener's address");
+    (address, start_searcher_on(listener, handler))
 }
 
-/// The same where it is to be.
-pub fn start_searcher_on(listener: TcpListener, habit: FrameHandler) -> Receiver<(u8, String)> {
-    start_counting_searcher_on(listener, habit).0
+/// Like [`start_searcher`], on a given listener.
+pub fn start_searcher_on(listener: TcpListener, handler: FrameHandler) -> Receiver<(u8, String)> {
+    start_counting_searcher_on(listener, handler).0
 }
 
-/// The same, and how many connections it has accepted.
+/// Like [`start_searcher_on`], and also returns a counter of accepted connections.
 pub fn start_counting_searcher_on(
     listener: TcpListener,
-    habit: FrameHandler,
+    handler: FrameHandler,
 ) -> (Receiver<(u8, String)>, Arc<AtomicUsize>) {
-    let (tell, told) = channel();
+    let (sender, frames) = channel();
     let accepted = Arc::new(AtomicUsize::new(0));
-    let counter = accepted.clone();
+    let count = accepted.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            counter.fetch_add(1, Ordering::Relaxed);
-            let tell = tell.clone();
-            thread::spawn(move || attend(stream, habit, &tell));
+            count.fetch_add(1, Ordering::Relaxed);
+            let sender = sender.clone();
+            thread::spawn(move || serve_connection(stream, handler, &sender));
         }
     });
-    (told, accepted)
+    (frames, accepted)
 }
 
-fn attend(mut stream: TcpStream, habit: FrameHandler, tell: &Sender<(u8, String)>) {
+fn serve_connection(mut stream: TcpStream, handler: FrameHandler, sender: &Sender<(u8, String)>) {
     let _ = stream.set_nodelay(true);
     let mut length = [0; 4];
     while stream.read_exact(&mut length).is_ok() {
@@ -84,22 +92,23 @@
         if stream.read_exact(&mut body).is_err() {
             return;
         }
-        let rest = String::from_utf8(body.split_off(1)).expect("frames are text");
-        let _ = tell.send((body[0], rest.clone()));
-        let Some(answer) = habit(body[0], &rest) else { return };
+        let rest = String::from_utf8(body.split_off(1)).expect("frames are UTF-8");
+        let _ = sender.send((body[0], rest.clone()));
+        let Some(answer) = handler(body[0], &rest) else { return };
         let _ = stream.write_all(&answer);
     }
 }
 
-/// A searcher's port behind which no further connection comes up: its queue is full of those given back with it.
-/// Whoever dials meanwhile is up once somebody accepts, as the system tries again within seconds.
+/// A listener whose accept queue is full of the connections returned with it, so that no further connection
+/// is established. A peer that connects meanwhile succeeds once one is accepted, as the kernel retries within
+/// seconds.
 pub fn listener_with_full_backlog() -> (TcpListener, Vec<TcpStream>) {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port on loopback");
-    socket.listen(0).expect("it listens");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("failed to create a socket");
+    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("failed to bind a loopback port");
+    socket.listen(0).expect("failed to listen");
     let listener = TcpListener::from(socket);
-    let address = listener.local_addr().expect("its address");
-    let up = || TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
-    let queue = std::iter::from_fn(up).take(8).collect();
+    let address = listener.local_addr().expect("failed to read the listener's address");
+    let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
+    let queue = std::iter::from_fn(connect).take(8).collect();
     (listener, queue)
 }
