--- a/crates/mixer/tests/fleet.rs
+++ b/crates/mixer/tests/fleet.rs
@@ -150,7 +150,7 @@
     assert!(whole.relays_per_part() <= 1.2, "{figures}");
     let (_, asked, served) = figures.types["fix"];
     // Of what came to a mixer while it stood still nothing can be served, whatever sheds.
-    let stood = figures.stood.get("fix").copied().unwrap_or_default();
+    let stood = figures.lost_to_stalls.get("fix").copied().unwrap_or_default();
     assert!(served >= 0.9 * (asked - stood), "edits go before lookups, {stood} stood: {figures}");
 }
 
@@ -225,7 +225,7 @@
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
     let whole = figures.total();
     // A fifth of what was asked for, and of all three cells the few that time earns in ten seconds, twice over at half.
-    assert!(whole.further as f64 <= 0.2 * whole.parts as f64 + 3.0 * 2.0 * 10.0, "{figures}");
-    assert!(whole.turned_away >= 3, "they were met: {figures}");
+    assert!(whole.retries as f64 <= 0.2 * whole.parts as f64 + 3.0 * 2.0 * 10.0, "{figures}");
+    assert!(whole.rejected_parts >= 3, "they were met: {figures}");
     assert!(whole.served_share() >= 0.6 && figures.sum_between(6, 7).served_share() >= 0.8, "{figures}");
 }
--- a/crates/standins/src/bin/fernglade-fleet.rs
+++ b/crates/standins/src/bin/fernglade-fleet.rs
@@ -142,7 +142,7 @@
     };
     println!("searcher {searcher}, by second");
     println!("  parts    {}", line(|load| load.parts));
-    println!("  further  {}", line(|load| load.further));
+    println!("  further  {}", line(|load| load.retries));
     println!("  dials    {}", line(|load| load.dials));
     println!("  checks   {}", line(|load| load.probes));
 }
--- a/crates/standins/src/fleet/statistics.rs
+++ b/crates/standins/src/fleet/statistics.rs
@@ -22,16 +22,16 @@
     pub relays: usize,
     pub dials: usize,
     pub probes: usize,
-    pub turned_away: usize,
+    pub rejected_parts: usize,
     /// Relays beyond each part's first.
-    pub further: usize,
+    pub retries: usize,
 }
 
 /// What came to one searcher in a second, from all mixers together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SearcherLoad {
     pub parts: usize,
-    pub further: usize,
+    pub retries: usize,
     pub dials: usize,
     pub probes: usize,
 }
@@ -44,7 +44,7 @@
     /// By traffic type: first tries, worth, worth served.
     pub types: BTreeMap<String, (usize, f64, f64)>,
     /// By traffic type: the worth that was not served of scans whose mixer stood still in their quoted time.
-    pub stood: BTreeMap<String, f64>,
+    pub lost_to_stalls: BTreeMap<String, f64>,
     pub tries: usize,
 }
 
@@ -112,12 +112,12 @@
                 }
                 TraceEvent::PartRelayed { searcher, part, .. } => {
                     let before = sent.entry(*part).or_default();
-                    let further = usize::from(*before > 0);
+                    let retries = usize::from(*before > 0);
                     *before += 1;
                     let here = figures.second(second);
-                    (here.relays, here.further) = (here.relays + 1, here.further + further);
+                    (here.relays, here.retries) = (here.relays + 1, here.retries + retries);
                     let load = figures.load(*searcher, second);
-                    (load.parts, load.further) = (load.parts + 1, load.further + further);
+                    (load.parts, load.retries) = (load.parts + 1, load.retries + retries);
                 }
                 TraceEvent::MixerStalled { mixer, still: true } => {
                     still.insert(*mixer);
@@ -130,7 +130,7 @@
                     still.remove(mixer);
                 }
                 TraceEvent::PartAnswered { end: PartOutcome::Rejected, .. } => {
-                    figures.second(second).turned_away += 1
+                    figures.second(second).rejected_parts += 1
                 }
                 TraceEvent::LinkOpened { searcher, .. } => {
                     figures.second(second).dials += 1;
@@ -145,7 +145,7 @@
         }
         for first in firsts.values().filter(|first| first.stood && !first.served) {
             let told = &day.types[first.traffic_type];
-            *figures.stood.entry(told.name.clone()).or_default() += told.credit;
+            *figures.lost_to_stalls.entry(told.name.clone()).or_default() += told.credit;
         }
         figures
     }
@@ -204,8 +204,8 @@
             relays: sum.relays + one.relays,
             dials: sum.dials + one.dials,
             probes: sum.probes + one.probes,
-            turned_away: sum.turned_away + one.turned_away,
-            further: sum.further + one.further,
+            rejected_parts: sum.rejected_parts + one.rejected_parts,
+            retries: sum.retries + one.retries,
         })
     }
 
@@ -238,13 +238,13 @@
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(to, "second  scans  served  refused  failed   parts  relays  turned away  dials  checks")?;
         for (at, second) in self.seconds.iter().enumerate() {
-            let SecondCounts { scans, refused, failed, parts, relays, dials, probes, turned_away, .. } =
+            let SecondCounts { scans, refused, failed, parts, relays, dials, probes, rejected_parts, .. } =
                 second;
             let share = second.served_share();
             writeln!(
                 to,
                 "{at:>6}  {scans:>5}  {share:>6.3}  {refused:>7}  {failed:>6}  {parts:>6}  {relays:>6}  \
-                 {turned_away:>11}  {dials:>5}  {probes:>6}"
+                 {rejected_parts:>11}  {dials:>5}  {probes:>6}"
             )?;
         }
         let whole = self.total();
@@ -293,7 +293,7 @@
             at(4_000, asked(5, 0)),
         ];
         assert_eq!(
-            RunStatistics::from_trace(&day, &trace).stood,
+            RunStatistics::from_trace(&day, &trace).lost_to_stalls,
             BTreeMap::from([("look".to_string(), 1.0)])
         );
     }
