--- a/crates/standins/src/fleet/agent.rs
+++ b/crates/standins/src/fleet/agent.rs
@@ -1,4 +1,5 @@
-//! Discovery as one mixer's agent tells it: the whole list, as old as this mixer's news are.
+//! The discovery agent of one mixer. It always sends the whole list, with the changes that have reached it so
+//! far.
 
 use super::runner::FleetState;
 use async_io::{Async, Timer};
@@ -9,6 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+/// The lifecycle of a searcher in the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lifecycle {
     Serving,
@@ -16,7 +18,8 @@
     Removed,
 }
 
-/// A change of the list: from when on, of whom, and the start that it tells, in milliseconds of Unix time.
+/// A change of the list: its time, the searcher, its new lifecycle, and its start time in milliseconds of
+/// Unix time.
 #[derive(Clone, Copy, Debug)]
 pub struct Change {
     pub at: fernglade::Moment,
@@ -25,6 +28,7 @@
     pub started_ms: u64,
 }
 
+/// Serves the list to one mixer.
 pub async fn listen(state: Rc<FleetState>, mixer: usize, listener: TcpListener) -> io::Result<()> {
     let listener = Async::new(listener)?;
     loop {
@@ -37,36 +41,36 @@
 async fn serve(state: &Rc<FleetState>, mixer: usize, mut stream: Async<TcpStream>) -> io::Result<()> {
     loop {
         let head = head(&mut stream).await?;
-        let asked = |name: &str| {
+        let parameter = |name: &str| {
             let (_, rest) = head.split_once(&format!("{name}="))?;
             rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<u64>().ok()
         };
-        let (after, wait) = (asked("after"), asked("wait_ms").unwrap_or(0).min(60_000));
-        let until = Instant::now() + Duration::from_millis(wait);
+        let (after, wait) = (parameter("after"), parameter("wait_ms").unwrap_or(0).min(60_000));
+        let deadline = Instant::now() + Duration::from_millis(wait);
         while after.is_some_and(|after| state.visible_changes(mixer).len() as u64 == after)
-            && Instant::now() < until
+            && Instant::now() < deadline
         {
             Timer::after(Duration::from_millis(10)).await;
         }
-        let news = state.visible_changes(mixer);
+        let changes = state.visible_changes(mixer);
         let mut list: BTreeMap<usize, Change> = BTreeMap::new();
-        for change in &news {
+        for change in &changes {
             list.insert(change.searcher, *change);
         }
-        let body = body(state, mixer, news.len(), &list);
+        let body = body(state, mixer, changes.len(), &list);
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         stream.write_all(answer.as_bytes()).await?;
         for change in list.values() {
-            state.told(mixer, change.searcher, change.life == Lifecycle::Serving);
+            state.discovery_sent(mixer, change.searcher, change.life == Lifecycle::Serving);
         }
     }
 }
 
 fn body(state: &FleetState, mixer: usize, version: usize, list: &BTreeMap<usize, Change>) -> String {
     let row = |change: &Change| {
-        let (searcher, at) = (change.searcher, state.address(mixer, change.searcher));
+        let (searcher, at) = (change.searcher, state.searcher_address(mixer, change.searcher));
         let life = if change.life == Lifecycle::Serving { "SERVING" } else { "DRAINING" };
-        let (cell, started) = (state.day.cell(searcher), change.started_ms);
+        let (cell, started) = (state.scenario.cell(searcher), change.started_ms);
         format!(
             r#"{{"instanceId":"s{searcher}","hostPort":"{at}","zone":"a","cell":{cell},"lifecycle":"{life}","startedAtMs":{started}}}"#
         )
@@ -76,15 +80,16 @@
     format!(r#"{{"generation":{version},"reset":true,"instances":[{}]}}"#, rows.join(","))
 }
 
+/// Reads the head of a request.
 async fn head(stream: &mut Async<TcpStream>) -> io::Result<String> {
     let mut bytes = Vec::new();
     while !bytes.ends_with(b"\r\n\r\n") {
-        let mut one = [0; 512];
-        let count = stream.read(&mut one).await?;
+        let mut buffer = [0; 512];
+        let count = stream.read(&mut buffer).await?;
         if count == 0 || bytes.len() > 8 * 1024 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        bytes.extend_from_slice(&one[..count]);
+        bytes.extend_from_slice(&buffer[..count]);
     }
     String::from_utf8(bytes).map_err(|_| io::ErrorKind::InvalidData.into())
 }
--- a/crates/standins/src/fleet/client_tasks.rs
+++ b/crates/standins/src/fleet/client_tasks.rs
@@ -1,4 +1,5 @@
-//! Clients: they come by the clock and not by the answers, wait as long as they said, and come again.
+//! Clients: an open-loop load, sent at fixed times whatever the answers. Each waits for its timeout and
+//! retries.
 
 use super::runner::FleetState;
 use super::scenario::{Arrival, Idempotency};
@@ -12,67 +13,72 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long after its time a client still listens, so that an answer that comes late is seen.
-const LISTENS_ON: Duration = Duration::from_secs(1);
+/// How long a client still reads after its timeout, so that a late answer is recorded.
+const LATE_READ_TIME: Duration = Duration::from_secs(1);
 
-/// How a try went.
+/// The outcome of a try.
 enum TryOutcome {
     Served,
-    /// Asking again is harmless, after a while.
+    /// Rejected without running; may be retried, after the given delay if there is one.
     Rejected(Option<Span>),
     Failed,
-    /// Nobody took it.
+    /// The mixer could not be reached.
     Unreachable,
 }
 
-struct Answer {
+struct Response {
     status: u16,
-    keeps: bool,
-    pause: Option<Span>,
+    keep_alive: bool,
+    retry_after: Option<Span>,
     body: Vec<u8>,
 }
 
-/// One scan, from its first try to its last.
+/// Sends one scan, from its first try to its last.
 pub async fn scan(state: Rc<FleetState>, arrival: Arrival) {
     Timer::at(state.started_at() + arrival.at).await;
-    let traffic_type = state.day.types[arrival.traffic_type].clone();
-    let gives_up = state.started_at() + arrival.at + traffic_type.abandon;
+    let traffic_type = state.scenario.types[arrival.traffic_type].clone();
+    let deadline = state.started_at() + arrival.at + traffic_type.abandon;
     let (mut mixer, mut first) = (arrival.mixer, None);
-    for number in 0..state.day.clients.tries.max(1) {
-        let left = gives_up.saturating_duration_since(Instant::now());
+    for number in 0..state.scenario.clients.tries.max(1) {
+        let left = deadline.saturating_duration_since(Instant::now());
         if left < Duration::from_millis(20) {
             return;
         }
         let scan = state.next_try(arrival.traffic_type, first);
         let first = *first.get_or_insert(scan);
-        let pause = match ask(&state, scan, first, &arrival, mixer, left, number > 0).await {
+        let retry_after = match send_try(&state, scan, first, &arrival, mixer, left, number > 0).await {
             TryOutcome::Served => return,
-            // What may have run is asked again only where that is harmless.
+            // What may have run is only retried where that is harmless.
             TryOutcome::Failed if traffic_type.repeat == Idempotency::NonIdempotent => return,
-            TryOutcome::Rejected(pause) => pause.filter(|_| state.random_unit() < state.day.clients.honour),
+            TryOutcome::Rejected(retry_after) => {
+                retry_after.filter(|_| state.random_unit() < state.scenario.clients.honour)
+            }
             TryOutcome::Failed => None,
             TryOutcome::Unreachable => {
                 mixer = state.other_available_mixer(mixer);
                 None
             }
         };
-        let pause = pause.map_or(state.day.clients.backoff, |pause| Duration::from_micros(pause.micros()));
-        Timer::after(pause).await;
+        let retry_after = retry_after.map_or(state.scenario.clients.backoff, |retry_after| {
+            Duration::from_micros(retry_after.micros())
+        });
+        Timer::after(retry_after).await;
     }
 }
 
-async fn ask(
+async fn send_try(
     state: &Rc<FleetState>,
     scan: u32,
     first: u32,
     arrival: &Arrival,
     mixer: usize,
     left: Duration,
-    again: bool,
+    is_retry: bool,
 ) -> TryOutcome {
-    let traffic_type = &state.day.types[arrival.traffic_type];
-    let shards: Vec<u32> =
-        (0..traffic_type.parts as u32).map(|at| (arrival.first + at) % state.day.shard_count()).collect();
+    let traffic_type = &state.scenario.types[arrival.traffic_type];
+    let shards: Vec<u32> = (0..traffic_type.parts as u32)
+        .map(|at| (arrival.first_shard + at) % state.scenario.shard_count())
+        .collect();
     let portion = 1.0 / shards.len() as f64;
     let ranges: Vec<String> =
         shards.iter().map(|shard| format!(r#"{{"range":{shard},"portion":{portion}}}"#)).collect();
@@ -84,29 +90,29 @@
         name_of(scan),
         traffic_type.name,
         left.as_secs_f64(),
-        if again { "X-Retried: 1\r\n" } else { "" },
+        if is_retry { "X-Retried: 1\r\n" } else { "" },
         body.len(),
     );
     let time = Span::of_micros(left.as_micros() as u64);
-    let asked = || TraceEvent::ScanSent {
+    let scan_sent = || TraceEvent::ScanSent {
         scan,
-        first,
+        first_try: first,
         mixer,
         traffic_type: arrival.traffic_type,
         shards: shards.clone(),
-        left: time,
+        timeout: time,
     };
-    let spoken = future::or(talk(state, mixer, scan, &request, asked), async {
-        Timer::after(left + LISTENS_ON).await;
+    let exchanged = future::or(exchange(state, mixer, scan, &request, scan_sent), async {
+        Timer::after(left + LATE_READ_TIME).await;
         Err(io::ErrorKind::TimedOut.into())
     });
-    match spoken.await {
-        Ok(Some(answer)) => heard(state, scan, mixer, answer),
+    match exchanged.await {
+        Ok(Some(answer)) => record_answer(state, scan, mixer, answer),
         Ok(None) => {
             state.record(TraceEvent::MixerUnreachable { scan, mixer });
             TryOutcome::Unreachable
         }
-        // The judge sees that no answer came.
+        // The rule checker notices the missing answer.
         Err(error) if error.kind() == io::ErrorKind::TimedOut => TryOutcome::Failed,
         Err(_) => {
             state.record(TraceEvent::ScanDropped { scan, mixer });
@@ -115,39 +121,41 @@
     }
 }
 
-fn heard(state: &FleetState, scan: u32, mixer: usize, answer: Answer) -> TryOutcome {
+fn record_answer(state: &FleetState, scan: u32, mixer: usize, answer: Response) -> TryOutcome {
     let json: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
     let value = |row: &Value| Some((row["range"].as_u64()? as u32, row["blob"].as_str()?.to_string()));
     let rows = json["answers"].as_array();
     let values = rows.map_or_else(Vec::new, |rows| rows.iter().filter_map(value).collect());
-    let (status, pause, whole) = (answer.status, answer.pause, json["total"] == Value::Bool(true));
-    state.record(TraceEvent::ScanAnswered { scan, mixer, status, whole, values, pause });
+    let (status, retry_after, complete) =
+        (answer.status, answer.retry_after, json["total"] == Value::Bool(true));
+    state.record(TraceEvent::ScanAnswered { scan, mixer, status, complete, values, retry_after });
     match status {
         200 => TryOutcome::Served,
-        429 | 503 => TryOutcome::Rejected(pause),
+        429 | 503 => TryOutcome::Rejected(retry_after),
         _ => TryOutcome::Failed,
     }
 }
 
-/// Over a connection that is kept, or a new one; nothing where nobody took it.
-async fn talk(
+/// Sends a request over an idle connection, or a new one, and reads the response. `None` if the mixer could
+/// not be reached.
+async fn exchange(
     state: &Rc<FleetState>,
     mixer: usize,
     scan: u32,
     request: &str,
-    asked: impl Fn() -> TraceEvent,
-) -> io::Result<Option<Answer>> {
-    if let Some(mut kept) = state.take_connection(mixer) {
-        if kept.write_all(request.as_bytes()).await.is_ok() {
-            state.record(asked());
-            match answer(&mut kept).await {
+    scan_sent: impl Fn() -> TraceEvent,
+) -> io::Result<Option<Response>> {
+    if let Some(mut idle) = state.take_connection(mixer) {
+        if idle.write_all(request.as_bytes()).await.is_ok() {
+            state.record(scan_sent());
+            match read_response(&mut idle).await {
                 Ok(Some(answer)) => {
-                    if answer.keeps {
-                        state.return_connection(mixer, kept);
+                    if answer.keep_alive {
+                        state.return_connection(mixer, idle);
                     }
                     return Ok(Some(answer));
                 }
-                // It ended the connection while this was on its way, and never read it.
+                // The mixer closed the connection while the request was on its way, and never read it.
                 Ok(None) => state.record(TraceEvent::ScanUnread { scan }),
                 Err(error) => return Err(error),
             }
@@ -159,40 +167,42 @@
     if stream.write_all(request.as_bytes()).await.is_err() {
         return Ok(None);
     }
-    state.record(asked());
-    let Some(answer) = answer(&mut stream).await? else { return Err(io::ErrorKind::UnexpectedEof.into()) };
-    if answer.keeps {
+    state.record(scan_sent());
+    let Some(answer) = read_response(&mut stream).await? else {
+        return Err(io::ErrorKind::UnexpectedEof.into());
+    };
+    if answer.keep_alive {
         state.return_connection(mixer, stream);
     }
     Ok(Some(answer))
 }
 
-/// Nothing where the connection ended before a byte of it.
-async fn answer(stream: &mut Async<TcpStream>) -> io::Result<Option<Answer>> {
+/// Reads a response; `None` if the connection was closed before its first byte.
+async fn read_response(stream: &mut Async<TcpStream>) -> io::Result<Option<Response>> {
     let mut bytes = Vec::new();
-    let ends = loop {
-        if let Some(at) = bytes.windows(4).position(|four| four == b"\r\n\r\n") {
+    let head_length = loop {
+        if let Some(at) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
             break at + 4;
         }
-        let mut more = [0; 2048];
-        match stream.read(&mut more).await {
+        let mut buffer = [0; 2048];
+        match stream.read(&mut buffer).await {
             Ok(0) if bytes.is_empty() => return Ok(None),
             Err(_) if bytes.is_empty() => return Ok(None),
             Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-            Ok(count) => bytes.extend_from_slice(&more[..count]),
+            Ok(count) => bytes.extend_from_slice(&buffer[..count]),
             Err(error) => return Err(error),
         }
     };
-    let head = String::from_utf8_lossy(&bytes[..ends]).to_ascii_lowercase();
+    let head = String::from_utf8_lossy(&bytes[..head_length]).to_ascii_lowercase();
     let header = |name: &str| head.lines().find_map(|line| line.strip_prefix(name)).map(str::trim);
     let length: usize = header("content-length:").and_then(|text| text.parse().ok()).unwrap_or(0);
     let status = head.get(9..12).and_then(|text| text.parse().ok()).ok_or(io::ErrorKind::InvalidData)?;
     let seconds = header("retry-after:").and_then(|text| text.parse::<f64>().ok());
-    let pause = seconds.map(|seconds| Span::of_micros((seconds * 1e6) as u64));
-    let keeps = header("connection:") != Some("close");
-    let mut body = bytes.split_off(ends);
-    let have = body.len().min(length);
+    let retry_after = seconds.map(|seconds| Span::of_micros((seconds * 1e6) as u64));
+    let keep_alive = header("connection:") != Some("close");
+    let mut body = bytes.split_off(head_length);
+    let received = body.len().min(length);
     body.resize(length, 0);
-    stream.read_exact(&mut body[have..]).await?;
-    Ok(Some(Answer { status, keeps, pause, body }))
+    stream.read_exact(&mut body[received..]).await?;
+    Ok(Some(Response { status, keep_alive, retry_after, body }))
 }
--- a/crates/standins/src/fleet/mod.rs
+++ b/crates/standins/src/fleet/mod.rs
@@ -1,16 +1,17 @@
-//! A fleet under faults: several processes of the built mixer on loopback, scripted searchers, an agent of discovery
-//! for each mixer and clients that come again, with a link of ours between any two that can be cut, stalled or slowed.
-//! One JSON5 file and a seed say what happens; a judge reads what passed on the links, never the mixers' own counts.
+//! A fleet under faults: several processes of the built mixer on loopback, scripted searchers, one discovery
+//! agent per mixer, and clients that retry. Every link between a mixer and a searcher passes through this
+//! process, so that it can be cut, stalled or slowed down. A JSON5 file, the scenario, and a seed determine
+//! what happens. A checker reads what passed on the links, never the mixers' own counters.
 //!
-//! - [`day`]: the file, its checks and its draws
-//! - [`post`]: what a searcher has room for: cores, a queue, a cold start, the point at which it topples
-//! - [`way`]: the link between a mixer and a searcher, and its faults
-//! - [`trace`]: what passed, and when
-//! - [`judge`]: the six rules and the sums, from the trace alone
-//! - [`figures`]: what was served, sent, asked and dialled, second by second
-//! - [`play`]: starts, runs and ends it all; one thread, bounded in time
+//! - [`scenario`]: the file, its checks and its random draws
+//! - [`searcher_model`]: a searcher's capacity: cores, a queue, a cold start, the point at which it collapses
+//! - [`link`]: the link between a mixer and a searcher, and its faults
+//! - [`trace`]: what passed on the links, and when
+//! - [`rule_checker`]: the platform's six rules and the fleet's totals, from the trace alone
+//! - [`statistics`]: what was served, sent, probed and dialled, second by second
+//! - [`runner`]: starts, runs and stops everything; one thread, bounded in time
 //!
-//! The tasks of `play`: [`agent`] (discovery), [`attend`] (searchers), [`callers`] (clients), [`herd`] (processes).
+//! The tasks of `runner` are in `agent` (discovery), `searcher_tasks`, `client_tasks` and `mixer_processes`.
 
 mod agent;
 mod client_tasks;
--- a/crates/standins/src/fleet/rule_checker.rs
+++ b/crates/standins/src/fleet/rule_checker.rs
@@ -1,4 +1,4 @@
-//! The six rules and the sums, from what passed on the links alone. Pure.
+//! Checks the platform's six rules and the fleet's totals against a trace. Does no I/O.
 
 use super::scenario::{Idempotency, Scenario, TrafficType};
 use super::trace::{value_of, Part, PartOutcome, TraceEntry, TraceEvent};
@@ -6,31 +6,36 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
+/// A rule of the platform, by its number, or a check beyond them. `fernglade-fleet` prints the names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// 1: one final answer a scan, in time, and nothing sent after it.
+    /// 1: each scan gets one final answer, in time, and no part is sent after it.
     Answer,
-    /// 2: no effect twice.
+    /// 2: no part that must not be repeated runs twice.
     Effect,
-    /// 3: nothing to a searcher that drains or is gone.
+    /// 3: nothing is sent to a searcher that drains or has left the list.
     Drain,
-    /// 4: no cold searcher is toppled.
+    /// 4: no cold searcher collapses under too much work.
     Cold,
-    /// 5: no answer under the floor, or called whole that is not, or with what no searcher made.
+    /// 5: no answer has fewer parts than the floor, claims to be complete when it is not, or has a value that
+    /// no searcher sent.
     Honest,
-    /// 6: relays beyond each part's first, by mixer.
+    /// 6: each mixer keeps its retry budget.
     Budget,
-    /// The same over the whole fleet and day.
+    /// The whole fleet keeps its retry budget over the run.
     Sum,
-    /// A mixer ended that nobody had told to.
+    /// No mixer exits without being told to.
     Crash,
 }
 
-/// A rule that was broken: when, and what was seen.
+/// A violation of a rule: when, and what happened.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
+    /// The rule.
     pub rule: Rule,
+    /// When it was violated, from the start of the run.
     pub at: Moment,
+    /// What happened.
     pub what: String,
 }
 
@@ -40,11 +45,13 @@
     }
 }
 
-/// The rules' own slack on sockets (50 ms), and what a machine that plays everybody at once may be late.
-pub const SLACK: Span = Span::of_millis(350);
-/// The order of two links is known only so well: each is read by a task of its own.
-const ORDER: Span = Span::of_millis(100);
+/// How late something may be: the rules' tolerance on sockets (50 ms), and delays of a machine that runs the
+/// whole fleet.
+pub const TOLERANCE: Span = Span::of_millis(350);
+/// How far the recorded order of events on two links may be wrong, as each link is read by its own task.
+const ORDER_TOLERANCE: Span = Span::of_millis(100);
 
+/// A try of a scan.
 struct Scan<'a> {
     traffic_type: &'a TrafficType,
     mixer: usize,
@@ -54,112 +61,120 @@
     ended: Option<Moment>,
 }
 
+/// The relays of a part: when each was read, by which searcher, and its outcome so far.
 #[derive(Default)]
 struct Attempts(Vec<(Moment, usize, Option<PartOutcome>)>);
 
 impl Attempts {
-    /// The first that may have run: all but those turned away unseen.
+    /// The time of the first relay that may have run, i.e. that was not rejected.
     fn may_have_run(&self) -> Option<Moment> {
-        self.0.iter().find(|(_, _, end)| *end != Some(PartOutcome::Rejected)).map(|(at, ..)| *at)
+        self.0.iter().find(|(_, _, outcome)| *outcome != Some(PartOutcome::Rejected)).map(|(at, ..)| *at)
     }
 }
 
-/// A mixer's budget, as its rule counts it.
+/// The retry budget of a mixer: what counts towards it within the window.
 #[derive(Default)]
 struct RetryBudget {
-    taken: VecDeque<(Moment, usize)>,
-    further: VecDeque<Moment>,
+    /// Scans received, with their cost: one each and one for each part.
+    received: VecDeque<(Moment, usize)>,
+    /// Relays beyond the first of each part.
+    retries: VecDeque<Moment>,
 }
 
 struct RuleChecker<'a> {
-    day: &'a Scenario,
+    scenario: &'a Scenario,
     scans: BTreeMap<u32, Scan<'a>>,
     attempts: BTreeMap<Part, Attempts>,
-    purses: BTreeMap<usize, RetryBudget>,
-    /// Who was told that a searcher is not to be sent to any more, and when.
-    told: BTreeMap<(usize, usize), Moment>,
-    /// When each mixer last stood still or was not there, and whether it does now.
+    retry_budgets: BTreeMap<usize, RetryBudget>,
+    /// When each mixer was told that a searcher is no longer ready.
+    not_ready_since: BTreeMap<(usize, usize), Moment>,
+    /// When each mixer was last suspended, resumed, stopped or started, and whether it is away now.
     away: BTreeMap<usize, (Moment, bool)>,
-    asked: usize,
-    relayed: usize,
+    requested_parts: usize,
+    relayed_parts: usize,
     violations: Vec<Violation>,
 }
 
-/// Every rule that was broken, in order.
-pub fn check_rules(day: &Scenario, trace: &[TraceEntry]) -> Vec<Violation> {
+/// Returns all violations, in order of time.
+pub fn check_rules(scenario: &Scenario, trace: &[TraceEntry]) -> Vec<Violation> {
     let mut checker = RuleChecker {
-        day,
+        scenario,
         scans: BTreeMap::new(),
         attempts: BTreeMap::new(),
-        purses: BTreeMap::new(),
-        told: BTreeMap::new(),
+        retry_budgets: BTreeMap::new(),
+        not_ready_since: BTreeMap::new(),
         away: BTreeMap::new(),
-        asked: 0,
-        relayed: 0,
+        requested_parts: 0,
+        relayed_parts: 0,
         violations: Vec::new(),
     };
-    for passed in trace {
-        checker.hear(passed.at, &passed.event);
+    for entry in trace {
+        checker.handle(entry.at, &entry.event);
     }
-    checker.close(trace.last().map_or(Moment::default(), |passed| passed.at));
-    checker.violations.sort_by_key(|breach| breach.at);
+    checker.finish(trace.last().map_or(Moment::default(), |entry| entry.at));
+    checker.violations.sort_by_key(|violation| violation.at);
     checker.violations
 }
 
 impl<'a> RuleChecker<'a> {
-    fn breach(&mut self, rule: Rule, at: Moment, what: String) {
+    fn report(&mut self, rule: Rule, at: Moment, what: String) {
         self.violations.push(Violation { rule, at, what });
     }
 
-    fn hear(&mut self, at: Moment, event: &TraceEvent) {
+    fn handle(&mut self, at: Moment, event: &TraceEvent) {
         match event {
-            TraceEvent::ScanSent { scan, mixer, traffic_type, shards, left, .. } => {
-                let (traffic_type, shards) = (&self.day.types[*traffic_type], shards.clone());
-                self.asked += shards.len();
-                self.purses.entry(*mixer).or_default().taken.push_back((at, 1 + shards.len()));
+            TraceEvent::ScanSent { scan, mixer, traffic_type, shards, timeout, .. } => {
+                let (traffic_type, shards) = (&self.scenario.types[*traffic_type], shards.clone());
+                self.requested_parts += shards.len();
+                self.retry_budgets.entry(*mixer).or_default().received.push_back((at, 1 + shards.len()));
                 self.scans.insert(
                     *scan,
-                    Scan { traffic_type, mixer: *mixer, at, due: at + *left, shards, ended: None },
+                    Scan { traffic_type, mixer: *mixer, at, due: at + *timeout, shards, ended: None },
                 );
             }
             TraceEvent::ScanUnread { scan } => drop(self.scans.remove(scan)),
-            TraceEvent::ScanAnswered { scan, status, whole, values, .. } => {
-                self.answered(at, *scan, *status, *whole, values)
+            TraceEvent::ScanAnswered { scan, status, complete, values, .. } => {
+                self.answered(at, *scan, *status, *complete, values)
             }
             TraceEvent::ScanDropped { scan, mixer } => {
                 if !self.was_away(*mixer, at) {
-                    self.breach(Rule::Answer, at, format!("scan {scan}: mixer {mixer} ended the connection"));
+                    self.report(
+                        Rule::Answer,
+                        at,
+                        format!("scan {scan}: mixer {mixer} closed the connection without an answer"),
+                    );
                 }
                 self.scans.get_mut(scan).into_iter().for_each(|scan| scan.ended = Some(at));
             }
-            TraceEvent::PartRelayed { mixer, searcher, part, written } => {
-                self.relayed(*written, at, *mixer, *searcher, *part);
+            TraceEvent::PartRelayed { mixer, searcher, part, earliest_write } => {
+                self.part_relayed(*earliest_write, at, *mixer, *searcher, *part);
             }
-            TraceEvent::PartAnswered { searcher, part, end, .. } => {
+            TraceEvent::PartAnswered { searcher, part, outcome, .. } => {
                 let attempts = self.attempts.entry(*part).or_default();
-                let open = attempts.0.iter_mut().rev().find(|(_, to, end)| to == searcher && end.is_none());
-                open.into_iter().for_each(|attempt| attempt.2 = Some(*end));
+                let open =
+                    attempts.0.iter_mut().rev().find(|(_, to, outcome)| to == searcher && outcome.is_none());
+                open.into_iter().for_each(|attempt| attempt.2 = Some(*outcome));
             }
             TraceEvent::DiscoverySent { mixer, searcher, ready: true } => {
-                self.told.remove(&(*mixer, *searcher));
+                self.not_ready_since.remove(&(*mixer, *searcher));
             }
             TraceEvent::DiscoverySent { mixer, searcher, ready: false } => {
-                self.told.entry((*mixer, *searcher)).or_insert(at);
+                self.not_ready_since.entry((*mixer, *searcher)).or_insert(at);
             }
             TraceEvent::SearcherCollapsed { searcher } => {
-                self.breach(Rule::Cold, at, format!("searcher {searcher} toppled"))
+                self.report(Rule::Cold, at, format!("searcher {searcher} collapsed"))
             }
-            TraceEvent::MixerStalled { mixer, still } => drop(self.away.insert(*mixer, (at, *still))),
-            TraceEvent::MixerExited { mixer, asked } => {
-                if !asked {
-                    self.breach(Rule::Crash, at, format!("mixer {mixer} ended by itself"));
+            TraceEvent::MixerStalled { mixer, stalled } => drop(self.away.insert(*mixer, (at, *stalled))),
+            TraceEvent::MixerExited { mixer, expected } => {
+                if !expected {
+                    self.report(Rule::Crash, at, format!("mixer {mixer} exited without being told to"));
                 }
                 self.away.insert(*mixer, (at, true));
-                self.told.retain(|(of, _), _| of != mixer);
+                self.not_ready_since.retain(|(of, _), _| of != mixer);
             }
             TraceEvent::MixerStarted { mixer } => {
                 self.away.insert(*mixer, (at, false));
-                self.purses.remove(mixer);
+                self.retry_budgets.remove(mixer);
             }
             TraceEvent::MixerUnreachable { .. }
             | TraceEvent::LinkOpened { .. }
@@ -171,36 +186,36 @@
         }
     }
 
-    /// Whether a mixer stands still or is not there, or was so since then.
+    /// Whether a mixer is suspended or not running, or was so since `since`.
     fn was_away(&self, mixer: usize, since: Moment) -> bool {
-        self.away.get(&mixer).is_some_and(|(at, still)| *still || *at >= since)
+        self.away.get(&mixer).is_some_and(|(at, is_away)| *is_away || *at >= since)
     }
 
-    fn answered(&mut self, at: Moment, id: u32, status: u16, whole: bool, values: &[(u32, String)]) {
+    fn answered(&mut self, at: Moment, id: u32, status: u16, complete: bool, values: &[(u32, String)]) {
         let Some(scan) = self.scans.get_mut(&id) else {
-            return self.breach(Rule::Answer, at, format!("scan {id}: an answer to nobody"));
+            return self.report(Rule::Answer, at, format!("scan {id}: an answer without a request"));
         };
         let twice = scan.ended.replace(at).is_some();
-        let (asked, due, mixer, traffic_type, shards) =
+        let (sent_at, due, mixer, traffic_type, shards) =
             (scan.at, scan.due, scan.mixer, scan.traffic_type, scan.shards.clone());
         if twice {
-            self.breach(Rule::Answer, at, format!("scan {id}: a second answer"));
+            self.report(Rule::Answer, at, format!("scan {id}: a second answer"));
         }
-        if at > due + SLACK && !self.was_away(mixer, asked) {
+        if at > due + TOLERANCE && !self.was_away(mixer, sent_at) {
             let late = at.since(due).micros() / 1000;
-            self.breach(Rule::Answer, at, format!("scan {id}: answered {late} ms after its time"));
+            self.report(Rule::Answer, at, format!("scan {id}: answered {late} ms after its deadline"));
         }
         match status {
-            200 => self.honest(at, id, traffic_type, &shards, whole, values),
+            200 => self.check_answer(at, id, traffic_type, &shards, complete, values),
             429 | 503 if traffic_type.repeat == Idempotency::NonIdempotent => {
                 let ran = |shard: &u32| {
                     self.attempts.get(&Part { scan: id, shard: *shard }).and_then(Attempts::may_have_run)
                 };
                 if let Some(shard) = shards.iter().find(|shard| ran(shard).is_some()) {
-                    self.breach(
+                    self.report(
                         Rule::Effect,
                         at,
-                        format!("scan {id}: bounced, and shard {shard} may have run"),
+                        format!("scan {id}: rejected, but shard {shard} may have run"),
                     );
                 }
             }
@@ -208,55 +223,59 @@
         }
     }
 
-    fn honest(
+    /// Checks the content of a successful answer.
+    fn check_answer(
         &mut self,
         at: Moment,
         id: u32,
         traffic_type: &TrafficType,
         shards: &[u32],
-        whole: bool,
+        complete: bool,
         values: &[(u32, String)],
     ) {
-        let came = |shard: &u32| {
+        let was_served = |shard: &u32| {
             let attempts = self.attempts.get(&Part { scan: id, shard: *shard });
-            attempts.is_some_and(|all| all.0.iter().any(|(.., end)| *end == Some(PartOutcome::Succeeded)))
+            attempts
+                .is_some_and(|all| all.0.iter().any(|(.., outcome)| *outcome == Some(PartOutcome::Succeeded)))
         };
         let mut seen = std::collections::BTreeSet::new();
         let bad = values.iter().find(|(shard, value)| {
             let part = Part { scan: id, shard: *shard };
-            !shards.contains(shard) || *value != value_of(part) || !came(shard) || !seen.insert(*shard)
+            !shards.contains(shard) || *value != value_of(part) || !was_served(shard) || !seen.insert(*shard)
         });
         if let Some((shard, value)) = bad {
-            self.breach(Rule::Honest, at, format!("scan {id}: shard {shard} answered with {value:?}"));
+            self.report(Rule::Honest, at, format!("scan {id}: shard {shard} answered with {value:?}"));
         }
         let share = values.len() as f64 / shards.len() as f64;
         if share + 1e-4 < traffic_type.floor {
-            self.breach(Rule::Honest, at, format!("scan {id}: answered with {share:.3}, under its floor"));
+            self.report(Rule::Honest, at, format!("scan {id}: answered with {share:.3}, below its floor"));
         }
-        if whole && values.len() < shards.len() {
-            self.breach(Rule::Honest, at, format!("scan {id}: called whole with {share:.3}"));
+        if complete && values.len() < shards.len() {
+            self.report(Rule::Honest, at, format!("scan {id}: claims to be complete with {share:.3}"));
         }
     }
 
-    /// What is sent counts from when it may have been written at the earliest: a breach is what can be proved.
-    fn relayed(&mut self, at: Moment, read: Moment, mixer: usize, searcher: usize, part: Part) {
-        self.relayed += 1;
-        let late = self.told.get(&(mixer, searcher)).copied().filter(|told| {
-            let grace = Span::of_micros(self.day.searchers.drain_grace.as_micros() as u64);
-            at > *told + grace + SLACK && !self.was_away(mixer, *told)
+    /// Checks a relay at the earliest time at which the mixer may have written it, so that only proven
+    /// violations count.
+    fn part_relayed(&mut self, at: Moment, read: Moment, mixer: usize, searcher: usize, part: Part) {
+        self.relayed_parts += 1;
+        let late = self.not_ready_since.get(&(mixer, searcher)).copied().filter(|told| {
+            let grace = Span::of_micros(self.scenario.searchers.drain_grace.as_micros() as u64);
+            at > *told + grace + TOLERANCE && !self.was_away(mixer, *told)
         });
         if let Some(told) = late {
             let after = at.since(told).micros() / 1000;
-            let what =
-                format!("mixer {mixer} sent to searcher {searcher} {after} ms after it was told not to");
-            self.breach(Rule::Drain, at, what);
+            let what = format!(
+                "mixer {mixer} sent to searcher {searcher} {after} ms after it was told that it drains"
+            );
+            self.report(Rule::Drain, at, what);
         }
         let Some(scan) = self.scans.get(&part.scan) else {
-            return self.breach(Rule::Answer, at, format!("{part:?} sent, and nobody asked"));
+            return self.report(Rule::Answer, at, format!("{part:?} sent without a request"));
         };
         let (traffic_type, ended) = (scan.traffic_type, scan.ended);
-        if ended.is_some_and(|ended| at > ended + ORDER) && !self.was_away(mixer, scan.at) {
-            self.breach(Rule::Answer, at, format!("{part:?} sent after the final answer"));
+        if ended.is_some_and(|ended| at > ended + ORDER_TOLERANCE) && !self.was_away(mixer, scan.at) {
+            self.report(Rule::Answer, at, format!("{part:?} sent after the final answer"));
         }
         let attempts = self.attempts.entry(part).or_default();
         let (number, ran) = (attempts.0.len(), attempts.may_have_run());
@@ -267,52 +286,49 @@
         let window = Span::of_micros(traffic_type.window.as_micros() as u64);
         match (traffic_type.repeat, ran) {
             (Idempotency::NonIdempotent, Some(_)) => {
-                self.breach(
+                self.report(
                     Rule::Effect,
                     at,
-                    format!("{part:?} of {} sent again, and it may have run", traffic_type.name),
+                    format!("{part:?} of {} sent again, though it may have run", traffic_type.name),
                 );
             }
-            (Idempotency::ByKey, Some(ran)) if at > ran + window + SLACK => {
-                self.breach(
+            (Idempotency::ByKey, Some(ran)) if at > ran + window + TOLERANCE => {
+                self.report(
                     Rule::Effect,
                     at,
-                    format!("{part:?} of {} sent again past its window", traffic_type.name),
+                    format!("{part:?} of {} sent again after its window", traffic_type.name),
                 );
             }
             _ => {}
         }
-        self.spend(read, mixer);
+        self.count_retry(read, mixer);
     }
 
-    /// A relay beyond a part's first.
-    fn spend(&mut self, at: Moment, mixer: usize) {
-        let budget = &self.day.budget;
+    /// Counts a retry against the budget of its mixer.
+    fn count_retry(&mut self, at: Moment, mixer: usize) {
+        let budget = &self.scenario.budget;
         let window = Span::of_micros(budget.window.as_micros() as u64);
-        let purse = self.purses.entry(mixer).or_default();
-        purse.further.push_back(at);
-        while purse.further.front().is_some_and(|then| at.since(*then) > window) {
-            purse.further.pop_front();
+        let budget_use = self.retry_budgets.entry(mixer).or_default();
+        budget_use.retries.push_back(at);
+        while budget_use.retries.front().is_some_and(|then| at.since(*then) > window) {
+            budget_use.retries.pop_front();
         }
-        while purse.taken.front().is_some_and(|(then, _)| at.since(*then) > window + SLACK) {
-            purse.taken.pop_front();
+        while budget_use.received.front().is_some_and(|(then, _)| at.since(*then) > window + TOLERANCE) {
+            budget_use.received.pop_front();
         }
-        let taken: usize = purse.taken.iter().map(|(_, count)| count).sum();
-        let may = budget.free + budget.share * taken as f64;
-        let further = purse.further.len();
-        if further as f64 > may {
-            self.breach(
-                Rule::Budget,
-                at,
-                format!("mixer {mixer}: {further} further relays, {may:.1} allowed"),
-            );
+        let received: usize = budget_use.received.iter().map(|(_, count)| count).sum();
+        let allowed = budget.free + budget.share * received as f64;
+        let retries = budget_use.retries.len();
+        if retries as f64 > allowed {
+            self.report(Rule::Budget, at, format!("mixer {mixer}: {retries} retries, {allowed:.1} allowed"));
         }
     }
 
-    fn close(&mut self, end: Moment) {
+    /// Checks at the end of the trace what was never answered, and the total of relays.
+    fn finish(&mut self, end: Moment) {
         let open: Vec<_> = self.scans.iter().filter(|(_, scan)| scan.ended.is_none()).collect();
         let lost = |(id, scan): (&u32, &Scan)| {
-            let due = scan.due + SLACK;
+            let due = scan.due + TOLERANCE;
             let lost = due < end && !self.was_away(scan.mixer, scan.at);
             lost.then(|| Violation {
                 rule: Rule::Answer,
@@ -322,10 +338,13 @@
         };
         let lost: Vec<Violation> = open.into_iter().filter_map(lost).collect();
         self.violations.extend(lost);
-        let most = self.day.budget.in_sum * self.asked as f64 + self.day.budget.free;
-        if self.relayed as f64 > most {
-            let what = format!("{} parts sent of {} asked, by all mixers", self.relayed, self.asked);
-            self.breach(Rule::Sum, end, what);
+        let allowed = self.scenario.budget.in_sum * self.requested_parts as f64 + self.scenario.budget.free;
+        if self.relayed_parts as f64 > allowed {
+            let what = format!(
+                "{} parts sent for {} requested, over all mixers",
+                self.relayed_parts, self.requested_parts
+            );
+            self.report(Rule::Sum, end, what);
         }
     }
 }
--- a/crates/standins/src/fleet/scenario.rs
+++ b/crates/standins/src/fleet/scenario.rs
@@ -1,4 +1,5 @@
-//! A day: who is there, what is asked, and what goes wrong when. Read from JSON5, whole or not at all.
+//! A scenario: the fleet, its load, and which faults occur when. Read from a JSON5 file, which must be valid
+//! as a whole. The keys of the file are the names of the fields.
 
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -7,196 +8,237 @@
 use std::fmt;
 use std::time::Duration;
 
+/// A whole scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// How long scans come; what is still open then is waited for.
+    /// How long new scans arrive. Scans still open at the end are waited for.
     #[serde(deserialize_with = "time")]
     pub lasts: Duration,
+    /// The mixers.
     pub mixers: Mixers,
+    /// The searchers.
     pub searchers: Searchers,
+    /// The traffic types.
     pub types: Vec<TrafficType>,
+    /// How clients retry.
     #[serde(default)]
     pub clients: Clients,
+    /// The retry budget that the checker applies.
     #[serde(default)]
     pub budget: Budget,
+    /// The faults.
     #[serde(default)]
     pub troubles: Vec<Fault>,
 }
 
+/// The mixers of a fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Mixers {
+    /// How many there are.
     pub count: usize,
-    /// What they are told that their number is, where that is wrong.
+    /// The fleet size in their configuration, if it is to be wrong.
     pub told: Option<f64>,
-    /// The share of all scans that the first one has; the others have the rest alike.
+    /// The share of all scans that the first mixer receives; the others share the rest evenly.
     pub first: Option<f64>,
 }
 
+/// The searchers of a fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Searchers {
+    /// Number of cells.
     pub cells: u32,
+    /// Searchers in each cell.
     pub replicas: u32,
+    /// Shards held by each cell.
     #[serde(default = "four")]
     pub shards_per_cell: u32,
+    /// Parts that a searcher works on at the same time.
     #[serde(default = "two")]
     pub cores: usize,
-    /// How many parts may wait; more are turned away.
+    /// Parts that may wait; further ones are rejected.
     #[serde(default = "twenty")]
     pub queue: usize,
-    /// The share of its speed that it starts with, and how long it takes to reach all of it.
+    /// The share of its full speed with which a searcher starts.
     #[serde(default = "third")]
     pub cold_from: f64,
+    /// How long a started searcher takes to reach full speed.
     #[serde(default = "six", deserialize_with = "time")]
     pub cold: Duration,
-    /// Sent more than so many times what it can do for so long while it is cold, it topples.
+    /// A cold searcher collapses when the work it receives during `fall` exceeds its capacity by this factor.
     #[serde(default = "multiple")]
     pub fall_multiple: f64,
+    /// The window over which `fall_multiple` is measured.
     #[serde(default = "fall", deserialize_with = "time")]
     pub fall: Duration,
-    /// What a new connection costs it.
+    /// Work of a core for each new connection.
     #[serde(default = "handshake", deserialize_with = "time")]
     pub handshake: Duration,
-    /// How late a change of the list is told, at the earliest and at the latest.
+    /// The shortest and longest delay after which discovery reports a change.
     #[serde(default = "notice", deserialize_with = "times")]
     pub notice: (Duration, Duration),
-    /// How long after it is told that a searcher drains a mixer may still send there.
+    /// How long a mixer may still send to a searcher after discovery reported that it drains.
     #[serde(default = "grace", deserialize_with = "time")]
     pub drain_grace: Duration,
 }
 
+/// A traffic type.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrafficType {
+    /// Its name, which is also the path of its requests.
     pub name: String,
-    /// First tries a second, of all mixers together.
+    /// First tries per second, over all mixers.
     pub rate: f64,
+    /// Parts in each scan.
     pub parts: usize,
-    /// What a part takes of a core: the mean, and the spread about it (a standard deviation, as a share of it).
+    /// Mean time of a core that a part takes.
     #[serde(deserialize_with = "time")]
     pub work: Duration,
+    /// Standard deviation of that time, as a share of the mean.
     #[serde(default = "spread")]
     pub spread: f64,
+    /// The target latency: a scan served within it earns its credit.
     #[serde(deserialize_with = "time")]
     pub quoted: Duration,
+    /// How long a client waits in all, over its tries.
     #[serde(deserialize_with = "time")]
     pub abandon: Duration,
+    /// The worth of one served scan.
     #[serde(default = "one")]
     pub credit: f64,
+    /// Whether a part may be sent again.
     pub repeat: Idempotency,
-    /// How long a label is known, for labelled ones.
+    /// How long searchers remember an idempotency key, for types that use one.
     #[serde(default, deserialize_with = "time")]
     pub window: Duration,
+    /// The least share of a scan's parts with which it may be answered.
     #[serde(default = "one")]
     pub floor: f64,
 }
 
-/// What may happen to a part that is sent twice.
+/// Whether a part may be sent to more than one searcher.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub enum Idempotency {
+    /// It may be repeated at any time.
     #[serde(rename = "redoable")]
     Idempotent,
+    /// Repeats are recognized by their idempotency key, for a limited time.
     #[serde(rename = "labelled")]
     ByKey,
+    /// It must not be repeated once it may have run.
     #[serde(rename = "irreversible")]
     NonIdempotent,
 }
 
+/// How clients retry.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// How often one asks, the first time included.
+    /// Tries per scan, the first one included.
     pub tries: usize,
-    /// How long it waits before it asks again, where it is not told.
+    /// How long a client waits before a retry if no `Retry-After` tells it.
     #[serde(deserialize_with = "time")]
     pub backoff: Duration,
-    /// The share of them who keep to what they are told.
+    /// The share of clients that obey `Retry-After`.
     pub honour: f64,
 }
 
-/// Rule 6, for each mixer, and for all of them together.
+/// The retry budget of rule 6, for each mixer and for the whole fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Budget {
+    /// Retries allowed as a share of the scans and parts received within `window`.
     pub share: f64,
+    /// Retries allowed within `window` beyond that share.
     pub free: f64,
+    /// The window over which a mixer's budget is measured.
     #[serde(deserialize_with = "time")]
     pub window: Duration,
-    /// Relays over parts asked, of all mixers over the whole day.
+    /// Allowed relays per requested part, over all mixers and the whole run.
     pub in_sum: f64,
 }
 
+/// A fault, its time and whom it affects.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
+    /// Its kind.
     pub what: FaultKind,
+    /// When it begins, from the start of the run.
     #[serde(deserialize_with = "time")]
     pub at: Duration,
+    /// How long it lasts. At zero it is never undone.
     #[serde(default, deserialize_with = "time")]
     pub lasts: Duration,
+    /// The mixers affected.
     #[serde(default)]
     pub mixers: Selection,
+    /// The searchers affected.
     #[serde(default)]
     pub searchers: Selection,
-    /// How many times slower, or oftener.
+    /// The factor of `slow` and `burst`.
     #[serde(default = "one")]
     pub times: f64,
+    /// The delay of `lag` and `late-list`.
     #[serde(default, deserialize_with = "time")]
     pub by: Duration,
-    /// The share of answers.
+    /// The share of answers that `lose-answers` drops.
     #[serde(default = "one")]
     pub share: f64,
-    /// The traffic type that is meant, if not all are.
+    /// The traffic type of a `burst`; all types if absent.
     pub of: Option<String>,
 }
 
-/// What goes wrong, and how it is brought about.
+/// The kinds of faults.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Links are reset, once; new ones come up.
+    /// Connections are reset, once; new ones can be established.
     Reset,
-    /// Links stay open and silent both ways, and new ones never come up: a partition of those named.
+    /// A network partition: connections stay open and pass nothing either way, and no new one is established.
     Cut,
-    /// What mixers write is not read; what searchers write still comes.
+    /// What mixers write is not read; what searchers write still arrives.
     #[serde(rename = "deaf-there")]
     BlockRequests,
-    /// What searchers write does not come back.
+    /// What searchers write does not arrive; what mixers write is still read.
     #[serde(rename = "deaf-back")]
     BlockResponses,
-    /// Every answer takes longer by so much.
+    /// Every answer is delayed by `by`.
     Lag,
-    /// A share of the answers never comes.
+    /// A share of the answers is lost.
     LoseAnswers,
-    /// Mixers stand still (SIGSTOP), and go on.
+    /// Mixers are suspended (SIGSTOP), and resumed after `lasts`.
     Stall,
-    /// Mixers are killed (SIGKILL); after `lasts` they are back with nothing.
+    /// Mixers are killed (SIGKILL), and restarted without any state after `lasts`.
     Kill,
-    /// Mixers are told to end (SIGTERM); after `lasts` they are back.
+    /// Mixers are told to shut down (SIGTERM), and restarted after `lasts`.
     Term,
-    /// Searchers die; after `lasts` they are back, cold.
+    /// Searchers crash, and restart cold after `lasts`.
     Crash,
-    /// Searchers take so many times as long.
+    /// Searchers are slower by the factor `times`.
     Slow,
-    /// Searchers take work and answer nothing.
+    /// Searchers accept work and answer nothing, health probes included.
     Hang,
-    /// Searchers turn every part away, unseen.
+    /// Searchers reject every part without running it.
     Full,
-    /// Searchers are told to be draining, and are ready again after `lasts`.
+    /// Discovery reports searchers as draining, and as serving again after `lasts`.
     Drain,
-    /// The list comes later by so much.
+    /// Discovery reports changes later by `by`.
     LateList,
-    /// So many times the scans come.
+    /// The rate of scans is multiplied by `times`.
     Burst,
 }
 
-/// Some of them: a share of all, drawn by the seed, or by number.
+/// Selects mixers or searchers by index, or a random share of them.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(untagged)]
 pub enum Selection {
+    /// Those with these indices.
     Indices(Vec<usize>),
+    /// A share of all, drawn by the seed.
     Share(f64),
 }
 
@@ -207,9 +249,10 @@
 }
 
 impl Selection {
+    /// The sorted indices selected among `count`.
     pub fn of(&self, count: usize, rng: &mut Pcg64Mcg) -> Vec<usize> {
         match self {
-            Self::Indices(these) => these.clone(),
+            Self::Indices(indices) => indices.clone(),
             Self::Share(share) => {
                 let mut all: Vec<usize> = (0..count).collect();
                 all.shuffle(rng);
@@ -222,17 +265,17 @@
 
     fn check(&self, count: usize) -> Result<(), String> {
         match self {
-            Self::Indices(these) => match these.iter().find(|at| **at >= count) {
-                Some(at) => Err(format!("there is no number {at}, {count} are there")),
+            Self::Indices(indices) => match indices.iter().find(|index| **index >= count) {
+                Some(index) => Err(format!("index {index} does not exist, there are {count}")),
                 None => Ok(()),
             },
             Self::Share(share) if (0.0..=1.0).contains(share) => Ok(()),
-            Self::Share(share) => Err(format!("{share} is no share from 0 to 1")),
+            Self::Share(share) => Err(format!("{share} is not a share from 0 to 1")),
         }
     }
 }
 
-/// What is wrong with a day, and where.
+/// What is wrong with a scenario file, and at which key.
 #[derive(Debug, PartialEq)]
 pub struct ScenarioError(pub String);
 
@@ -243,98 +286,103 @@
 }
 
 impl Scenario {
+    /// Parses and checks the text of a scenario file.
     pub fn parse(text: &str) -> Result<Self, ScenarioError> {
         let mut reader = json5::Deserializer::from_str(text);
-        let day: Self = serde_path_to_error::deserialize(&mut reader)
+        let scenario: Self = serde_path_to_error::deserialize(&mut reader)
             .map_err(|error| ScenarioError(format!("{}: {}", error.path(), error.inner())))?;
-        day.check()?;
-        Ok(day)
+        scenario.check()?;
+        Ok(scenario)
     }
 
     fn check(&self) -> Result<(), ScenarioError> {
-        let wrong = |place: String, what: &str| Err(ScenarioError(format!("{place}: {what}")));
-        // An address of loopback's for each pair, and a descriptor for each end, have to be there.
+        let error = |path: String, what: &str| Err(ScenarioError(format!("{path}: {what}")));
+        // Each mixer-searcher pair needs a listener and a descriptor for each end of its connections.
         if !(1..=64).contains(&self.mixers.count) {
-            return wrong("mixers.count".into(), "expected 1 to 64");
+            return error("mixers.count".into(), "expected 1 to 64");
         }
         if !(1..=256).contains(&self.searcher_count()) {
-            return wrong("searchers".into(), "expected 1 to 256, cells times replicas");
+            return error("searchers".into(), "expected 1 to 256, cells times replicas");
         }
         if self.lasts > Duration::from_secs(900) {
-            return wrong("lasts".into(), "expected 15 minutes at the most");
+            return error("lasts".into(), "expected 15 minutes at the most");
         }
         for (at, traffic_type) in self.types.iter().enumerate() {
             if traffic_type.parts == 0 || traffic_type.parts > self.shard_count() as usize {
-                return wrong(format!("types[{at}].parts"), "expected 1 to as many as there are shards");
+                return error(format!("types[{at}].parts"), "expected 1 to as many as there are shards");
             }
             if traffic_type.work.is_zero()
                 || traffic_type.rate < 0.0
                 || traffic_type.quoted > traffic_type.abandon
             {
-                return wrong(
+                return error(
                     format!("types[{at}]"),
                     "expected some work, and a quoted time within the abandon time",
                 );
             }
         }
         for (at, fault) in self.troubles.iter().enumerate() {
-            let place = |key: &str| format!("troubles[{at}].{key}");
-            let within = |what: Result<(), String>, key| {
-                what.map_err(|what| ScenarioError(format!("{}: {what}", place(key))))
+            let path = |key: &str| format!("troubles[{at}].{key}");
+            let with_path = |result: Result<(), String>, key| {
+                result.map_err(|what| ScenarioError(format!("{}: {what}", path(key))))
             };
-            within(fault.mixers.check(self.mixers.count), "mixers")?;
-            within(fault.searchers.check(self.searcher_count()), "searchers")?;
-            let known = |name: &String| self.types.iter().any(|traffic_type| traffic_type.name == *name);
-            if fault.of.as_ref().is_some_and(|name| !known(name)) {
-                return wrong(place("of"), "there is no such traffic type");
+            with_path(fault.mixers.check(self.mixers.count), "mixers")?;
+            with_path(fault.searchers.check(self.searcher_count()), "searchers")?;
+            let exists = |name: &String| self.types.iter().any(|traffic_type| traffic_type.name == *name);
+            if fault.of.as_ref().is_some_and(|name| !exists(name)) {
+                return error(path("of"), "there is no such traffic type");
             }
         }
         Ok(())
     }
 
+    /// Number of shards.
     pub fn shard_count(&self) -> u32 {
         self.searchers.cells * self.searchers.shards_per_cell
     }
 
-    /// How many searchers there are.
+    /// Number of searchers.
     pub fn searcher_count(&self) -> usize {
         (self.searchers.cells * self.searchers.replicas) as usize
     }
 
+    /// The cell that a searcher belongs to.
     pub fn cell(&self, searcher: usize) -> u32 {
         searcher as u32 / self.searchers.replicas
     }
 
-    /// The work that comes a second over the work that can be done, with everybody well and no scan coming again.
+    /// The offered work over the capacity of all searchers, without faults and retries.
     pub fn load(&self) -> f64 {
-        let asked = |traffic_type: &TrafficType| {
+        let offered = |traffic_type: &TrafficType| {
             traffic_type.rate * traffic_type.parts as f64 * traffic_type.work.as_secs_f64()
         };
-        self.types.iter().map(asked).sum::<f64>() / (self.searcher_count() * self.searchers.cores) as f64
+        self.types.iter().map(offered).sum::<f64>() / (self.searcher_count() * self.searchers.cores) as f64
     }
 
-    /// The same day with so much load in place of its own.
+    /// The same scenario with its rates scaled to a given load.
     pub fn with_load(&self, load: f64) -> Self {
-        let times = load / self.load();
-        let mut day = self.clone();
-        day.types.iter_mut().for_each(|traffic_type| traffic_type.rate *= times);
-        day
+        let factor = load / self.load();
+        let mut scenario = self.clone();
+        scenario.types.iter_mut().for_each(|traffic_type| traffic_type.rate *= factor);
+        scenario
     }
 
-    /// Every first try of the day, in order: when, at which mixer, of which traffic type, from which shard on.
+    /// The first try of every scan, in order of time.
     pub fn arrivals(&self, seed: u64) -> Vec<Arrival> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let lasts = self.lasts.as_secs_f64();
         let mut all = Vec::new();
-        for (traffic_type, told) in self.types.iter().enumerate() {
-            let most = told.rate * self.bursts(told).map(|burst| burst.times).fold(1.0, f64::max);
-            if most <= 0.0 {
+        for (index, traffic_type) in self.types.iter().enumerate() {
+            let highest_rate =
+                traffic_type.rate * self.bursts(traffic_type).map(|burst| burst.times).fold(1.0, f64::max);
+            if highest_rate <= 0.0 {
                 continue;
             }
             let mut at = 0.0;
-            // Thinned from the highest rate: as many of the draws hold as the rate at that time asks for.
+            // Poisson arrivals by thinning: draw at the highest rate, and keep each with the ratio of the
+            // current rate to the highest one.
             loop {
-                at -= (1.0 - rng.random::<f64>()).ln() / most;
+                at -= (1.0 - rng.random::<f64>()).ln() / highest_rate;
                 if at >= lasts {
                     break;
                 }
@@ -342,11 +390,17 @@
                     let begins = burst.at.as_secs_f64();
                     (begins..begins + burst.lasts.as_secs_f64()).contains(&at)
                 };
-                let rate =
-                    told.rate * self.bursts(told).filter(during).map(|burst| burst.times).product::<f64>();
-                let (mixer, first) = (self.mixer(&mut rng), rng.random_range(0..self.shard_count()));
-                if rng.random::<f64>() * most < rate {
-                    all.push(Arrival { at: Duration::from_secs_f64(at), mixer, traffic_type, first });
+                let rate = traffic_type.rate
+                    * self.bursts(traffic_type).filter(during).map(|burst| burst.times).product::<f64>();
+                let (mixer, first_shard) =
+                    (self.choose_mixer(&mut rng), rng.random_range(0..self.shard_count()));
+                if rng.random::<f64>() * highest_rate < rate {
+                    all.push(Arrival {
+                        at: Duration::from_secs_f64(at),
+                        mixer,
+                        traffic_type: index,
+                        first_shard,
+                    });
                 }
             }
         }
@@ -359,7 +413,8 @@
         bursts.filter(|fault| fault.of.as_ref().is_none_or(|name| *name == traffic_type.name))
     }
 
-    pub fn mixer(&self, rng: &mut Pcg64Mcg) -> usize {
+    /// Draws the mixer that a scan goes to.
+    pub fn choose_mixer(&self, rng: &mut Pcg64Mcg) -> usize {
         let count = self.mixers.count;
         match self.mixers.first {
             Some(share) if count > 1 && !rng.random_bool(share.clamp(0.0, 1.0)) => rng.random_range(1..count),
@@ -369,12 +424,17 @@
     }
 }
 
+/// The first try of a scan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
+    /// When it is sent, from the start of the run.
     pub at: Duration,
+    /// The index of the mixer that receives it.
     pub mixer: usize,
+    /// The index of its traffic type.
     pub traffic_type: usize,
-    pub first: u32,
+    /// The first of its shards, which are consecutive.
+    pub first_shard: u32,
 }
 
 impl Default for Clients {
@@ -383,26 +443,27 @@
     }
 }
 
-/// The module's own figures, where a deployment states none.
+/// The defaults of the mixer module.
 impl Default for Budget {
     fn default() -> Self {
         Self { share: 0.2, free: 20.0, window: Duration::from_secs(10), in_sum: 1.2 }
     }
 }
 
-/// A length of time as it is said: "250ms", "2s".
+/// Parses a duration such as "250ms" or "2s".
 fn time<'de, D: Deserializer<'de>>(from: D) -> Result<Duration, D::Error> {
-    said(&String::deserialize(from)?)
+    parse_duration(&String::deserialize(from)?)
 }
 
+/// Parses a pair of durations.
 fn times<'de, D: Deserializer<'de>>(from: D) -> Result<(Duration, Duration), D::Error> {
     let (least, most) = <(String, String)>::deserialize(from)?;
-    Ok((said(&least)?, said(&most)?))
+    Ok((parse_duration(&least)?, parse_duration(&most)?))
 }
 
-fn said<E: serde::de::Error>(text: &str) -> Result<Duration, E> {
+fn parse_duration<E: serde::de::Error>(text: &str) -> Result<Duration, E> {
     humantime::parse_duration(text)
-        .map_err(|_| E::custom(format!("{text:?} is no time such as \"250ms\" or \"2s\"")))
+        .map_err(|_| E::custom(format!("{text:?} is not a duration such as \"250ms\" or \"2s\"")))
 }
 
 fn one() -> f64 {
--- a/crates/standins/src/fleet/searcher_model.rs
+++ b/crates/standins/src/fleet/searcher_model.rs
@@ -1,46 +1,51 @@
-//! What a searcher has room for: cores, a queue, a cold start, and the point at which it topples. Pure: times come in.
+//! A model of a searcher's capacity: cores, a queue, a cold start, and the point at which it collapses. Does
+//! no I/O and reads no clock.
 
 use super::scenario::Searchers;
 use fernglade::{Moment, Span};
 use std::collections::VecDeque;
 
-/// What becomes of a part that has come.
+/// What happens to a part that has arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// It is done then.
+    /// It is completed at this time.
     CompletesAt(Moment),
     /// The queue is full.
     Rejected,
-    /// It takes it, and nothing ever comes of it.
+    /// It is accepted and never answered.
     NeverAnswered,
 }
 
+/// A searcher.
 pub struct SearcherModel {
     /// When each core is next free.
     cores: Vec<Moment>,
-    /// When those who wait begin; they leave as they do.
+    /// When each waiting part will start; it then leaves the queue.
     waiting: VecDeque<Moment>,
     queue: usize,
-    /// Since when it has been up, where it began cold.
-    since: Option<Moment>,
+    /// When it was last started cold, if it was.
+    cold_since: Option<Moment>,
     cold_from: f64,
     cold: Span,
-    multiple: f64,
+    fall_multiple: f64,
     fall: Span,
-    /// Work that came within the last `fall`, and its sum in microseconds.
-    came: VecDeque<(Moment, Span)>,
-    sum: u64,
-    /// How many times as long everything takes.
+    /// Work that arrived within the last `fall`.
+    recent_work: VecDeque<(Moment, Span)>,
+    /// The sum of that work, in microseconds.
+    recent_sum: u64,
+    /// The factor by which all work takes longer.
     pub slow: f64,
-    /// Takes work, answers nothing; and how much it holds so.
+    /// Accepts work and answers nothing.
     pub hanging: bool,
+    /// Parts accepted while hanging.
     held: usize,
-    /// Turns everything away.
+    /// Rejects everything.
     pub full: bool,
+    /// Has collapsed under too much work while cold; it answers nothing any more.
     pub collapsed: bool,
-    /// Not there at all.
-    pub gone: bool,
-    /// Counts its starts: what an earlier life took is not answered.
+    /// Not running.
+    pub down: bool,
+    /// Number of crashes so far. Parts accepted before a crash are not answered.
     pub life: u32,
 }
 
@@ -49,53 +54,56 @@
 }
 
 impl SearcherModel {
-    pub fn new(told: &Searchers) -> Self {
+    /// A warm searcher.
+    pub fn new(config: &Searchers) -> Self {
         Self {
-            cores: vec![Moment::default(); told.cores.max(1)],
+            cores: vec![Moment::default(); config.cores.max(1)],
             waiting: VecDeque::new(),
-            queue: told.queue,
-            since: None,
-            cold_from: told.cold_from,
-            cold: span(told.cold),
-            multiple: told.fall_multiple,
-            fall: span(told.fall),
-            came: VecDeque::new(),
-            sum: 0,
+            queue: config.queue,
+            cold_since: None,
+            cold_from: config.cold_from,
+            cold: span(config.cold),
+            fall_multiple: config.fall_multiple,
+            fall: span(config.fall),
+            recent_work: VecDeque::new(),
+            recent_sum: 0,
             slow: 1.0,
             hanging: false,
             held: 0,
             full: false,
             collapsed: false,
-            gone: false,
+            down: false,
             life: 0,
         }
     }
 
+    /// Crashes.
     pub fn stop(&mut self) {
-        (self.gone, self.life, self.held) = (true, self.life + 1, 0);
+        (self.down, self.life, self.held) = (true, self.life + 1, 0);
     }
 
-    /// Back, cold, with nothing in hand.
+    /// Restarts, cold and without work.
     pub fn restart_cold(&mut self, now: Moment) {
-        (self.gone, self.since, self.sum) = (false, Some(now), 0);
+        (self.down, self.cold_since, self.recent_sum) = (false, Some(now), 0);
         self.cores.iter_mut().for_each(|core| *core = now);
         self.waiting.clear();
-        self.came.clear();
+        self.recent_work.clear();
     }
 
-    /// What it held while it hung is lost for good.
+    /// Starts or stops hanging. Parts accepted while hanging are never answered.
     pub fn set_hanging(&mut self, hanging: bool) {
         (self.hanging, self.held) = (hanging, 0);
     }
 
-    /// The share of a warm one's speed that it has.
+    /// Its current speed as a share of its full speed.
     fn speed(&self, now: Moment) -> f64 {
-        let Some(since) = self.since else { return 1.0 };
+        let Some(since) = self.cold_since else { return 1.0 };
         let age = now.since(since).as_f64() / self.cold.as_f64().max(1.0);
         self.cold_from + (1.0 - self.cold_from) * age.min(1.0)
     }
 
-    /// Takes a part in that needs so much work. What is turned away presses too, as reading it is work.
+    /// Handles an arriving part that needs `work`. A rejected part counts towards a collapse too, as reading
+    /// it is work.
     pub fn admit(&mut self, now: Moment, work: Span) -> Admission {
         self.record_load(now, work);
         while self.waiting.front().is_some_and(|begins| *begins <= now) {
@@ -112,10 +120,10 @@
         if self.full || self.waiting.len() >= self.queue {
             return Admission::Rejected;
         }
-        let takes = work * (self.slow / self.speed(now));
-        let core = self.cores.iter_mut().min().expect("a core at least");
+        let duration = work * (self.slow / self.speed(now));
+        let core = self.cores.iter_mut().min().expect("there is at least one core");
         let begins = now.max(*core);
-        *core = begins + takes;
+        *core = begins + duration;
         let ends = *core;
         if begins > now {
             self.waiting.push_back(begins);
@@ -123,25 +131,28 @@
         Admission::CompletesAt(ends)
     }
 
-    /// Work beside the parts: a handshake.
+    /// Adds work other than parts, e.g. a handshake.
     pub fn add_work(&mut self, now: Moment, work: Span) {
         self.record_load(now, work);
-        let takes = work * (1.0 / self.speed(now));
-        let core = self.cores.iter_mut().min().expect("a core at least");
-        *core = now.max(*core) + takes;
+        let duration = work * (1.0 / self.speed(now));
+        let core = self.cores.iter_mut().min().expect("there is at least one core");
+        *core = now.max(*core) + duration;
     }
 
+    /// Counts arriving work, and collapses if it is too much for a cold searcher.
     fn record_load(&mut self, now: Moment, work: Span) {
-        self.came.push_back((now, work));
-        self.sum += work.micros();
-        while let Some((at, gone)) = self.came.front().copied().filter(|(at, _)| now.since(*at) > self.fall) {
+        self.recent_work.push_back((now, work));
+        self.recent_sum += work.micros();
+        while let Some((at, gone)) =
+            self.recent_work.front().copied().filter(|(at, _)| now.since(*at) > self.fall)
+        {
             debug_assert!(at < now);
-            self.sum -= gone.micros();
-            self.came.pop_front();
+            self.recent_sum -= gone.micros();
+            self.recent_work.pop_front();
         }
-        let is_cold = self.since.is_some_and(|since| now.since(since) < self.cold);
-        let can = self.cores.len() as f64 * self.speed(now) * self.fall.as_f64();
-        self.collapsed |= is_cold && self.sum as f64 > self.multiple * can;
+        let is_cold = self.cold_since.is_some_and(|since| now.since(since) < self.cold);
+        let capacity = self.cores.len() as f64 * self.speed(now) * self.fall.as_f64();
+        self.collapsed |= is_cold && self.recent_sum as f64 > self.fall_multiple * capacity;
     }
 }
 
@@ -151,9 +162,9 @@
     use crate::fleet::Scenario;
 
     fn searcher_model() -> SearcherModel {
-        let day =
+        let scenario =
             r#"{lasts: "1s", mixers: {count: 1}, types: [], searchers: {cells: 1, replicas: 1, queue: 2}}"#;
-        SearcherModel::new(&Scenario::parse(day).unwrap().searchers)
+        SearcherModel::new(&Scenario::parse(scenario).unwrap().searchers)
     }
 
     fn at(millis: u64) -> Moment {
@@ -162,18 +173,18 @@
 
     #[test]
     fn two_are_at_work_two_wait_and_the_fifth_is_turned_away() {
-        let (mut post, work) = (searcher_model(), Span::of_millis(10));
-        let taken: Vec<Admission> = (0..5).map(|_| post.admit(at(100), work)).collect();
+        let (mut model, work) = (searcher_model(), Span::of_millis(10));
+        let taken: Vec<Admission> = (0..5).map(|_| model.admit(at(100), work)).collect();
         let ends = |millis| Admission::CompletesAt(at(millis));
         assert_eq!(taken, [ends(110), ends(110), ends(120), ends(120), Admission::Rejected]);
-        assert_eq!(post.admit(at(111), work), ends(130), "one has begun, and left the queue");
+        assert_eq!(model.admit(at(111), work), ends(130), "one has started and left the queue");
     }
 
     #[test]
     fn one_that_hangs_takes_as_much_as_it_has_room_for_and_then_says_later() {
-        let mut post = searcher_model();
-        post.set_hanging(true);
-        let taken: Vec<Admission> = (0..5).map(|_| post.admit(at(100), Span::of_millis(10))).collect();
+        let mut model = searcher_model();
+        model.set_hanging(true);
+        let taken: Vec<Admission> = (0..5).map(|_| model.admit(at(100), Span::of_millis(10))).collect();
         assert_eq!(
             taken,
             [
@@ -184,8 +195,8 @@
                 Admission::Rejected
             ]
         );
-        post.set_hanging(false);
-        assert_eq!(post.admit(at(200), Span::of_millis(10)), Admission::CompletesAt(at(210)));
+        model.set_hanging(false);
+        assert_eq!(model.admit(at(200), Span::of_millis(10)), Admission::CompletesAt(at(210)));
     }
 
     #[test]
@@ -198,13 +209,14 @@
             Admission::CompletesAt(at(1_030)),
             "a third of the speed"
         );
-        // Two cores at a third for two seconds, and two and a half times that: 3.3 s of work, and a little for age.
-        let mut pressed = 0;
-        while !cold.collapsed && pressed < 10_000 {
+        // Two cores at a third of their speed for two seconds, times two and a half: 3.3 s of work, and a
+        // little more as the searcher warms up.
+        let mut parts = 0;
+        while !cold.collapsed && parts < 10_000 {
             cold.admit(at(1_500), Span::of_millis(10));
             warm.admit(at(1_500), Span::of_millis(10));
-            pressed += 1;
+            parts += 1;
         }
-        assert!((330..500).contains(&pressed) && !warm.collapsed, "{pressed}");
+        assert!((330..500).contains(&parts) && !warm.collapsed, "{parts}");
     }
 }
--- a/crates/standins/src/fleet/trace.rs
+++ b/crates/standins/src/fleet/trace.rs
@@ -1,4 +1,4 @@
-//! What passed on the links, and when. All that is judged is in here.
+//! The trace of a run: what passed on the links, and when. The rule checker reads nothing else.
 
 use fernglade::{Moment, Span};
 
@@ -7,129 +7,86 @@
 pub enum PartOutcome {
     Succeeded,
     Failed,
-    /// Turned away unseen.
+    /// It rejected the part without running it.
     Rejected,
 }
 
-/// A part of a try: `scan` counts tries, not scans that come again.
+/// A part of a try. `scan` numbers tries: a scan that a client retries has several.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Part {
     pub scan: u32,
     pub shard: u32,
 }
 
+/// What happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TraceEvent {
-    /// A request's last byte was written. `first` is the first try of the same scan.
-    ScanSent {
-        scan: u32,
-        first: u32,
-        mixer: usize,
-        traffic_type: usize,
-        shards: Vec<u32>,
-        left: Span,
-    },
-    /// It crossed the end of a connection that was kept: nobody took it, and it goes out anew.
-    ScanUnread {
-        scan: u32,
-    },
-    /// A whole answer: its status, whether it calls itself whole, its values, when to come back.
+    /// A client wrote the last byte of a request. `first_try` is the first try of the same scan.
+    ScanSent { scan: u32, first_try: u32, mixer: usize, traffic_type: usize, shards: Vec<u32>, timeout: Span },
+    /// The request crossed the closing of a reused connection: the mixer didn't read it, and it is sent
+    /// again.
+    ScanUnread { scan: u32 },
+    /// A client read a whole response: its status, whether it claims to be complete, its values and
+    /// `Retry-After`.
     ScanAnswered {
         scan: u32,
         mixer: usize,
         status: u16,
-        whole: bool,
+        complete: bool,
         values: Vec<(u32, String)>,
-        pause: Option<Span>,
-    },
-    /// The connection ended in place of an answer.
-    ScanDropped {
-        scan: u32,
-        mixer: usize,
-    },
-    /// Nobody was there to ask.
-    MixerUnreachable {
-        scan: u32,
-        mixer: usize,
-    },
-    LinkOpened {
-        mixer: usize,
-        searcher: usize,
-    },
-    /// A part's call was read to its last byte; it was written then, or while nobody listened, since `written`.
-    PartRelayed {
-        mixer: usize,
-        searcher: usize,
-        part: Part,
-        written: Moment,
-    },
-    /// An answer was written to the link.
-    PartAnswered {
-        mixer: usize,
-        searcher: usize,
-        part: Part,
-        end: PartOutcome,
-    },
-    PartCancelled {
-        mixer: usize,
-        searcher: usize,
-        part: Part,
-    },
-    ProbeReceived {
-        mixer: usize,
-        searcher: usize,
-    },
-    /// Discovery's answer with this in it was written to the mixer.
-    DiscoverySent {
-        mixer: usize,
-        searcher: usize,
-        ready: bool,
-    },
-    SearcherStarted {
-        searcher: usize,
-    },
-    SearcherStopped {
-        searcher: usize,
-    },
-    SearcherCollapsed {
-        searcher: usize,
-    },
-    MixerStarted {
-        mixer: usize,
-    },
-    /// It was killed, or ended by itself, or crashed.
-    MixerExited {
-        mixer: usize,
-        asked: bool,
-    },
-    /// It stands still, or goes on.
-    MixerStalled {
-        mixer: usize,
-        still: bool,
-    },
-    /// A trouble of the day's, by its number, begins or ends.
-    Fault {
-        number: usize,
-        begins: bool,
-    },
+        retry_after: Option<Span>,
+    },
+    /// The connection was closed without a whole response.
+    ScanDropped { scan: u32, mixer: usize },
+    /// A client could not connect to the mixer, or not send the request.
+    MixerUnreachable { scan: u32, mixer: usize },
+    /// A searcher accepted a connection.
+    LinkOpened { mixer: usize, searcher: usize },
+    /// A searcher read a part of a call. The mixer may have written it at `earliest_write`, if the link was
+    /// not read meanwhile.
+    PartRelayed { mixer: usize, searcher: usize, part: Part, earliest_write: Moment },
+    /// A searcher wrote the answer to a part.
+    PartAnswered { mixer: usize, searcher: usize, part: Part, outcome: PartOutcome },
+    /// A mixer cancelled a part.
+    PartCancelled { mixer: usize, searcher: usize, part: Part },
+    /// A searcher received a health probe.
+    ProbeReceived { mixer: usize, searcher: usize },
+    /// Discovery wrote a list to the mixer that shows this searcher as ready or not.
+    DiscoverySent { mixer: usize, searcher: usize, ready: bool },
+    /// A searcher restarted.
+    SearcherStarted { searcher: usize },
+    /// A searcher crashed.
+    SearcherStopped { searcher: usize },
+    /// A cold searcher collapsed under too much work.
+    SearcherCollapsed { searcher: usize },
+    /// A mixer was started again.
+    MixerStarted { mixer: usize },
+    /// A mixer exited; `expected` if it had been told to, or killed.
+    MixerExited { mixer: usize, expected: bool },
+    /// A mixer was suspended or resumed.
+    MixerStalled { mixer: usize, stalled: bool },
+    /// A fault of the scenario, by its index, began or ended.
+    Fault { number: usize, active: bool },
 }
 
+/// An event and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceEntry {
     pub at: Moment,
     pub event: TraceEvent,
 }
 
-/// What a searcher makes for a part: nobody else can have made it.
+/// The value with which a searcher answers a part. It contains the part's id, so that a wrong value shows.
 pub fn value_of(part: Part) -> String {
     format!("of {}.{}", name_of(part.scan), part.shard)
 }
 
-/// A try's name on the wire, and back.
+/// The request id of a try.
 pub fn name_of(scan: u32) -> String {
     format!("t{scan}")
 }
 
+/// The try of a request id.
 pub fn scan_of(name: &str) -> Option<u32> {
     name.strip_prefix('t')?.parse().ok()
 }
--- a/crates/standins/tests/cues.rs
+++ b/crates/standins/tests/cues.rs
@@ -1,4 +1,4 @@
-//! Searches over many shards give what they give over one that has all of it.
+//! A search over many shards gives the same answer as over one shard that holds all documents.
 
 use fernglade::{Landing, Span};
 use fernglade_dialect::answer::{found, Shards};
@@ -21,11 +21,12 @@
     found("cues", search, merge.finish(true), &shards, Span::ZERO)
 }
 
-/// Dealt out so that the order of ids is the order of shards: ties then fall alike.
-fn dealt(cues: &[Document], count: usize) -> Vec<Shard> {
-    let mut sorted = cues.to_vec();
+/// Distributes the documents so that the order of ids is the order of shards: ties are then broken the same
+/// way.
+fn distribute(documents: &[Document], count: usize) -> Vec<Shard> {
+    let mut sorted = documents.to_vec();
     sorted.sort_by(|a, b| a.id.cmp(&b.id));
-    sorted.chunks(cues.len().div_ceil(count)).map(|cues| Shard::new(cues.to_vec())).collect()
+    sorted.chunks(documents.len().div_ceil(count)).map(|documents| Shard::new(documents.to_vec())).collect()
 }
 
 #[test_case(r#"{}"#; "everything")]
@@ -41,8 +42,9 @@
 fn many_shards_answer_as_one(body: &str) {
     let search = Search::read(body.as_bytes()).unwrap();
     for seed in 0..5 {
-        let cues = generate_documents(seed, 300);
-        let (mut one, mut many) = (asked(&dealt(&cues, 1), &search), asked(&dealt(&cues, 7), &search));
+        let documents = generate_documents(seed, 300);
+        let (mut one, mut many) =
+            (asked(&distribute(&documents, 1), &search), asked(&distribute(&documents, 7), &search));
         one["_shards"] = Value::Null;
         many["_shards"] = Value::Null;
         assert_eq!(one, many);
@@ -51,12 +53,12 @@
     }
 }
 
-/// A title that is moving stands at two shards for a while.
+/// While a document moves to another shard, both shards have it for a while; it must be counted once.
 #[test]
 fn what_two_shards_have_is_one_hit() {
-    let cues = generate_documents(3, 40);
+    let documents = generate_documents(3, 40);
     let search = Search::read(br#"{"size":100,"track_total_hits":true}"#).unwrap();
-    let twice = [Shard::new(cues[..25].to_vec()), Shard::new(cues[20..].to_vec())];
+    let twice = [Shard::new(documents[..25].to_vec()), Shard::new(documents[20..].to_vec())];
     let answer = asked(&twice, &search);
     assert_eq!(answer["hits"]["hits"].as_array().unwrap().len(), 40);
     assert_eq!(answer["hits"]["total"]["value"], 40);
@@ -69,7 +71,7 @@
     r#"{"size":3,"aggs":{"l":{"terms":{"field":"lang","size":2,"shard_size":3}},"m":{"avg":{"field":"at"}},"a":{"min":{"field":"at"}}}}"#,
 ];
 
-/// What a node is asked reads back as what is meant, and its answer as what it found.
+/// The request sent to a node parses back to the search, and its answer to what the node found.
 #[test]
 fn a_part_is_asked_and_answered_in_the_dialects_own_bodies() {
     for body in SEARCHES {
@@ -96,7 +98,7 @@
     }
 }
 
-/// A node that half understands is a failed part that may have run, whatever it says.
+/// An answer from a faulty or incompatible node is a failed part that may have run, whatever the node claims.
 #[test_case(AnswerMode::AllShards, "other shards"; "preference passed over")]
 #[test_case(AnswerMode::TimedOut, "timed out"; "it ran out of time")]
 #[test_case(AnswerMode::ShardFailed, "other shards"; "its shard failed")]
--- a/crates/standins/tests/days.rs
+++ b/crates/standins/tests/days.rs
@@ -1,4 +1,4 @@
-//! The shipped days, and what is wrong with others.
+//! The scenario files in `days/` parse, and errors in others are reported with their place.
 
 use fernglade_standins::fleet::Scenario;
 use std::path::Path;
@@ -9,7 +9,7 @@
     let days = std::fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("days")).unwrap();
     for path in days.map(|entry| entry.unwrap().path()) {
         let day = Scenario::parse(&std::fs::read_to_string(&path).unwrap());
-        let day = day.unwrap_or_else(|wrong| panic!("{}: {wrong}", path.display()));
+        let day = day.unwrap_or_else(|error| panic!("{}: {error}", path.display()));
         let arrivals = day.arrivals(5);
         assert!(arrivals.len() > 100 && arrivals == day.arrivals(5) && arrivals != day.arrivals(6));
         let half = day.with_load(0.5 * day.load()).arrivals(5).len() as f64 / arrivals.len() as f64;
@@ -40,13 +40,13 @@
 #[test_case("count: 2", "count: 0", "mixers.count: expected 1 to 64"; "no mixer")]
 #[test_case("replicas: 2", "replicas: 999", "searchers: expected 1 to 256"; "too many searchers")]
 #[test_case("parts: 1", "parts: 9", "types[0].parts: expected 1 to as many"; "more parts than shards")]
-#[test_case("work: \"1ms\"", "work: \"a bit\"", "types[0].work: \"a bit\" is no time"; "no time")]
+#[test_case("work: \"1ms\"", "work: \"a bit\"", "types[0].work: \"a bit\" is not a duration"; "no time")]
 #[test_case("of: \"look\"", "of: \"lock\"", "troubles[0].of: there is no such"; "an unknown type")]
-#[test_case("of: \"look\"", "mixers: [7]", "troubles[0].mixers: there is no number 7"; "an unknown mixer")]
-#[test_case("of: \"look\"", "searchers: 1.5", "troubles[0].searchers: 1.5 is no share"; "no share")]
+#[test_case("of: \"look\"", "mixers: [7]", "troubles[0].mixers: index 7 does not exist"; "an unknown mixer")]
+#[test_case("of: \"look\"", "searchers: 1.5", "troubles[0].searchers: 1.5 is not a share"; "no share")]
 #[test_case("what: \"burst\"", "what: \"thunder\"", "troubles[0].what"; "an unknown trouble")]
 #[test_case("rate: 5", "rat: 5", "types[0]"; "an unknown key")]
 fn what_is_wrong_is_told_with_its_place(from: &str, to: &str, says: &str) {
-    let wrong = Scenario::parse(&SOUND.replace(from, to)).unwrap_err().to_string();
-    assert!(wrong.starts_with(says), "{wrong}");
+    let error = Scenario::parse(&SOUND.replace(from, to)).unwrap_err().to_string();
+    assert!(error.starts_with(says), "{error}");
 }
--- a/crates/standins/tests/planted.rs
+++ b/crates/standins/tests/planted.rs
@@ -1,4 +1,5 @@
-//! The rig and its judge together: the plainest mixer, as three processes, sound or with one planted fault.
+//! The fleet laboratory as a whole: the rule checker finds the faults of `naive-mixer`, run as three
+//! processes, and nothing in a run without faults.
 
 use fernglade_standins::child::temp_file;
 use fernglade_standins::fleet::{runner, Rule, Scenario};
