--- a/crates/standins/src/bin/cue-nodes.rs
+++ b/crates/standins/src/bin/cue-nodes.rs
@@ -1,5 +1,5 @@
-//! Searchers with planted cues, for trying the query dialect by hand: each holds all shards. Ends when it is told to,
-//! or after an hour.
+//! Searchers with generated documents, for trying the query API by hand: each holds all shards. Runs until it
+//! is stopped, or for an hour.
 
 use clap::Parser;
 use fernglade_standins::documents::{answer_searches, DOCUMENTS_PER_SHARD};
@@ -8,22 +8,22 @@
 use std::time::{Duration, Instant};
 
 #[derive(Parser)]
-struct Call {
-    /// Where each of them listens; those of deploy/example.json, where nothing is said.
+struct Arguments {
+    /// The address of each searcher; by default those in deploy/example.json.
     #[arg(default_values = ["127.0.0.1:9001", "127.0.0.1:9002"])]
     at: Vec<SocketAddr>,
 }
 
 fn main() -> std::io::Result<()> {
-    let call = Call::parse();
-    let mut told = Vec::new();
-    for at in &call.at {
-        told.push(start_searcher_on(TcpListener::bind(at)?, answer_searches));
-        println!("a searcher with {DOCUMENTS_PER_SHARD} cues a shard listens on {at}");
+    let arguments = Arguments::parse();
+    let mut frames = Vec::new();
+    for at in &arguments.at {
+        frames.push(start_searcher_on(TcpListener::bind(at)?, answer_searches));
+        println!("a searcher with {DOCUMENTS_PER_SHARD} documents per shard listens on {at}");
     }
-    let began = Instant::now();
-    while began.elapsed() < Duration::from_secs(3600) {
-        told.iter().for_each(|told| told.try_iter().for_each(drop));
+    let started = Instant::now();
+    while started.elapsed() < Duration::from_secs(3600) {
+        frames.iter().for_each(|frames| frames.try_iter().for_each(drop));
         std::thread::sleep(Duration::from_millis(50));
     }
     Ok(())
--- a/crates/standins/src/bin/fernglade-fleet.rs
+++ b/crates/standins/src/bin/fernglade-fleet.rs
@@ -1,4 +1,4 @@
-//! Plays a day of several mixers with faults between them, and says what came of it.
+//! Runs a scenario of several mixers with faults on their links, and prints its statistics and violations.
 
 use clap::{Parser, Subcommand};
 use fernglade_standins::fleet::runner::RunOptions;
@@ -8,71 +8,71 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// A fleet of mixers on loopback, with searchers, clients and faults by a JSON5 file and a seed. Ends with 0 where no
-/// rule was broken, 1 where one was, 2 where it could not be played.
+/// Runs a fleet of mixers on loopback, with searchers, clients and faults given by a JSON5 file and a seed.
+/// Exits with 0 if no rule was broken, 1 if one was, 2 if the scenario could not be run.
 #[derive(Parser)]
 #[command(version)]
-struct Call {
+struct Arguments {
     #[command(subcommand)]
-    what: Ask,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Ask {
-    /// Read the file, say how heavy its load is, and play nothing.
+enum Command {
+    /// Check the file and print its size and load, without running it.
     Check { day: PathBuf },
-    /// Play it once for each program, and print its seconds, its sums and the rules that were broken.
+    /// Run it once for each program, and print the statistics by second, the totals and the violations.
     Run {
         day: PathBuf,
-        /// The same seed brings the same scans, work and troubles.
+        /// The same seed gives the same scans, work and faults.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// The mixer to play it with.
+        /// The mixer program.
         #[arg(long, default_value = "target/release/fernglade-mixer")]
         program: PathBuf,
-        /// A second one, played after it on the same seed.
+        /// A second program, run after it with the same seed.
         #[arg(long)]
         against: Option<PathBuf>,
-        /// What every second mixer runs in place of it: an earlier release beside today's.
+        /// The program of every second mixer, e.g. an earlier release.
         #[arg(long)]
         beside: Option<PathBuf>,
-        /// The operator's file of the mixers.
+        /// The operator file of the mixers.
         #[arg(long)]
         operator: Option<PathBuf>,
-        /// Loads to play it at, in place of its own: work that comes over work that can be done.
+        /// Loads to run it at in place of its own: offered work over capacity.
         #[arg(long, value_delimiter = ',')]
         loads: Vec<f64>,
-        /// Only the sums.
+        /// Print only the totals and the first violations.
         #[arg(long)]
         brief: bool,
-        /// Searchers of which each second is told: what all mixers together sent, dialled and asked there.
+        /// Searchers whose load is printed by second: parts, connections and probes from all mixers.
         #[arg(long, value_delimiter = ',')]
         watch: Vec<usize>,
-        /// Play it with so many mixers in place of its own.
+        /// Number of mixers in place of its own.
         #[arg(long)]
         mixers: Option<usize>,
     },
-    /// Worth served against the load, without and with an operator's file in turns, as a table and a plot.
+    /// Print and plot the credit earned against the load, without and with an operator file.
     Curve {
         day: PathBuf,
-        /// Each is played at every load.
+        /// Seeds; each is run at every load.
         #[arg(long, value_delimiter = ',', default_value = "1")]
         seeds: Vec<u64>,
         #[arg(long, default_value = "target/release/fernglade-mixer")]
         program: PathBuf,
-        /// What is held against the program without one.
+        /// The operator file to compare with none.
         #[arg(long)]
         operator: PathBuf,
         #[arg(long, value_delimiter = ',', default_value = "0.5,0.8,1,1.5,2,3,5")]
         loads: Vec<f64>,
-        /// Where the plot is written, as SVG.
+        /// Write the plot to this file, as SVG.
         #[arg(long)]
         plot: Option<PathBuf>,
     },
 }
 
 fn main() -> ExitCode {
-    match answer(Call::parse().what) {
+    match execute(Arguments::parse().command) {
         Ok(broken) => ExitCode::from(u8::from(broken)),
         Err(what) => {
             eprintln!("fernglade-fleet: {what}");
@@ -81,16 +81,17 @@
     }
 }
 
-fn read(path: &Path) -> Result<Scenario, String> {
-    let within = |what: String| format!("{}: {what}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|error| within(error.to_string()))?;
-    Scenario::parse(&text).map_err(|wrong| within(wrong.to_string()))
+/// Reads a scenario file.
+fn read_scenario(path: &Path) -> Result<Scenario, String> {
+    let with_path = |what: String| format!("{}: {what}", path.display());
+    let text = std::fs::read_to_string(path).map_err(|error| with_path(error.to_string()))?;
+    Scenario::parse(&text).map_err(|error| with_path(error.to_string()))
 }
 
-fn answer(ask: Ask) -> Result<bool, String> {
-    match ask {
-        Ask::Check { day } => {
-            let day = read(&day)?;
+fn execute(command: Command) -> Result<bool, String> {
+    match command {
+        Command::Check { day } => {
+            let day = read_scenario(&day)?;
             let (mixers, searchers) = (day.mixers.count, day.searcher_count());
             println!(
                 "{mixers} mixers, {searchers} searchers, {} troubles, load {:.2}",
@@ -99,12 +100,12 @@
             );
             Ok(false)
         }
-        Ask::Curve { day, seeds, program, operator, loads, plot } => {
-            let day = read(&day)?;
-            curve(&day, &seeds, &program, &operator, &loads, plot.as_deref())
+        Command::Curve { day, seeds, program, operator, loads, plot } => {
+            let day = read_scenario(&day)?;
+            print_curve(&day, &seeds, &program, &operator, &loads, plot.as_deref())
         }
-        Ask::Run { day, seed, program, against, beside, operator, loads, brief, watch, mixers } => {
-            let mut day = read(&day)?;
+        Command::Run { day, seed, program, against, beside, operator, loads, brief, watch, mixers } => {
+            let mut day = read_scenario(&day)?;
             day.mixers.count = mixers.unwrap_or(day.mixers.count);
             let days = if loads.is_empty() {
                 vec![day]
@@ -121,11 +122,11 @@
                         operator_file: operator,
                         controller: None,
                     };
-                    let (played, _) = runner::run_with(day, seed, &options)
+                    let (result, _) = runner::run_with(day, seed, &options)
                         .map_err(|error| format!("{}: {error}", program.display()))?;
-                    broken |= !played.violations.is_empty();
-                    tell(day, seed, program, &played, brief);
-                    watch.iter().for_each(|searcher| watched(&played.statistics, *searcher));
+                    broken |= !result.violations.is_empty();
+                    print_result(day, seed, program, &result, brief);
+                    watch.iter().for_each(|searcher| print_searcher(&result.statistics, *searcher));
                 }
             }
             Ok(broken)
@@ -133,10 +134,10 @@
     }
 }
 
-/// What came to one searcher from all mixers together, second by second.
-fn watched(figures: &RunStatistics, searcher: usize) {
+/// Prints what one searcher received from all mixers, by second.
+fn print_searcher(statistics: &RunStatistics, searcher: usize) {
     let none = Vec::new();
-    let seconds = figures.loads.get(&searcher).unwrap_or(&none);
+    let seconds = statistics.loads.get(&searcher).unwrap_or(&none);
     let line = |of: fn(&SearcherLoad) -> usize| {
         seconds.iter().map(|load| format!("{:>4}", of(load))).collect::<Vec<_>>().join("")
     };
@@ -147,10 +148,11 @@
     println!("  checks   {}", line(|load| load.probes));
 }
 
-/// One load, the worth served of what was asked, without and with the operator's file: means of all seeds.
+/// A load, and the credit earned per second without and with the operator file, as means over all seeds.
 type Point = (f64, [f64; 2]);
 
-fn curve(
+/// Runs the scenario at each load and prints the curve.
+fn print_curve(
     day: &Scenario,
     seeds: &[u64],
     program: &Path,
@@ -165,12 +167,12 @@
         let (mut share, mut worth) = ([0.0; 2], [0.0; 2]);
         for seed in seeds {
             for (at, operator) in [None, Some(operator)].into_iter().enumerate() {
-                let played = runner::run(&day, *seed, program, operator).map_err(|e| e.to_string())?;
-                let whole = played.statistics.total();
-                share[at] += whole.served_share() / seeds.len() as f64;
-                worth[at] += whole.served / day.lasts.as_secs_f64() / seeds.len() as f64;
-                played.violations.iter().for_each(|breach| println!("  {breach}"));
-                broken |= !played.violations.is_empty();
+                let result = runner::run(&day, *seed, program, operator).map_err(|e| e.to_string())?;
+                let total = result.statistics.total();
+                share[at] += total.served_share() / seeds.len() as f64;
+                worth[at] += total.served / day.lasts.as_secs_f64() / seeds.len() as f64;
+                result.violations.iter().for_each(|violation| println!("  {violation}"));
+                broken |= !result.violations.is_empty();
             }
         }
         let ([off, on], [worth_off, worth_on]) = (share, worth);
@@ -178,13 +180,13 @@
         points.push((*load, worth));
     }
     if let Some(path) = plot {
-        drawn(path, &points).map_err(|error| format!("{}: {error}", path.display()))?;
+        draw_plot(path, &points).map_err(|error| format!("{}: {error}", path.display()))?;
     }
     Ok(broken)
 }
 
-/// Worth served a second over the load, grey without the file and black with it.
-fn drawn(path: &Path, points: &[Point]) -> Result<(), Box<dyn std::error::Error>> {
+/// Plots the credit earned per second over the load, grey without the operator file and black with it.
+fn draw_plot(path: &Path, points: &[Point]) -> Result<(), Box<dyn std::error::Error>> {
     let most_load = points.iter().map(|point| point.0).fold(1.0, f64::max);
     let most = points.iter().flat_map(|point| point.1).fold(1.0, f64::max) * 1.1;
     let area = SVGBackend::new(path, (640, 400)).into_drawing_area();
@@ -206,21 +208,22 @@
     Ok(())
 }
 
-fn tell(day: &Scenario, seed: u64, program: &Path, played: &RunResult, brief: bool) {
-    let whole = played.statistics.total();
+/// Prints the result of a run.
+fn print_result(day: &Scenario, seed: u64, program: &Path, result: &RunResult, brief: bool) {
+    let total = result.statistics.total();
     println!(
         "{} seed {seed} load {:.2}: served {:.3} of {:.0}, {:.3} sent over asked, {} rules broken",
         program.display(),
         day.load(),
-        whole.served_share(),
-        whole.worth,
-        whole.relays_per_part(),
-        played.violations.len()
+        total.served_share(),
+        total.worth,
+        total.relays_per_part(),
+        result.violations.len()
     );
     if !brief {
-        print!("{}", played.statistics);
+        print!("{}", result.statistics);
     }
-    for breach in played.violations.iter().take(if brief { 3 } else { 40 }) {
-        println!("  {breach}");
+    for violation in result.violations.iter().take(if brief { 3 } else { 40 }) {
+        println!("  {violation}");
     }
 }
--- a/crates/standins/src/bin/merge-bench.rs
+++ b/crates/standins/src/bin/merge-bench.rs
@@ -1,5 +1,5 @@
-//! What the query dialect costs: reading a node's answer, merging many shards, writing the answer; time and memory.
-//! Figures are of this machine: compare within one run.
+//! Measures the time and memory that the query API takes to parse the nodes' answers, merge them and write
+//! the answer. Results depend on the machine: compare within one run.
 
 use clap::Parser;
 use fernglade::Span;
@@ -15,55 +15,61 @@
 static MEMORY: dhat::Alloc = dhat::Alloc;
 
 #[derive(Parser)]
-struct Call {
+struct Arguments {
+    /// Number of shards.
     #[arg(long, default_value_t = 60)]
     shards: u32,
-    /// Hits that are asked for.
+    /// Requested hits.
     #[arg(long, default_value_t = 100)]
     size: usize,
-    /// Documents of each shard.
+    /// Documents in each shard.
     #[arg(long, default_value_t = 1_000)]
     documents: usize,
+    /// Rounds that are timed.
     #[arg(long, default_value_t = 100)]
     rounds: usize,
+    /// Seed of the documents.
     #[arg(long, default_value_t = 7)]
     seed: u64,
 }
 
 fn main() {
-    let call = Call::parse();
+    let arguments = Arguments::parse();
     let text = format!(
         r#"{{"query":{{"match":{{"cue":"hola noche"}}}},"size":{},"aggs":{{"l":{{"terms":{{"field":"lang"}}}}}}}}"#,
-        call.size
+        arguments.size
     );
-    let search = Search::read(text.as_bytes()).expect("a search");
+    let search = Search::read(text.as_bytes()).expect("a valid search");
     let body = |number: u32| {
-        let cues = generate_documents(call.seed + u64::from(number), call.documents);
-        let cues = cues.into_iter().map(|cue| Document { id: format!("{number}-{}", cue.id), ..cue });
-        Shard::new(cues.collect()).body("cues", &search, AnswerMode::Valid)
+        let documents = generate_documents(arguments.seed + u64::from(number), arguments.documents);
+        let documents = documents
+            .into_iter()
+            .map(|document| Document { id: format!("{number}-{}", document.id), ..document });
+        Shard::new(documents.collect()).body("cues", &search, AnswerMode::Valid)
     };
-    let bodies: Vec<Vec<u8>> = (0..call.shards).map(body).collect();
+    let bodies: Vec<Vec<u8>> = (0..arguments.shards).map(body).collect();
     let bytes: usize = bodies.iter().map(Vec::len).sum();
     println!(
         "seed {}, {} shards, {} hits asked for, {bytes} bytes of answers",
-        call.seed, call.shards, call.size
+        arguments.seed, arguments.shards, arguments.size
     );
     let shards = Shards { total: bodies.len(), missing: Vec::new() };
-    let mut times: [Histogram<u64>; 3] =
-        std::array::from_fn(|_| Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds in order"));
+    let mut times: [Histogram<u64>; 3] = std::array::from_fn(|_| {
+        Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid histogram bounds")
+    });
     let mut merged = (0, 0, 0);
-    // The last round counts memory, which takes time of its own: it is not timed.
-    for round in 0..=call.rounds {
-        let counts = round == call.rounds;
-        let _profiler = counts.then(|| dhat::Profiler::builder().testing().build());
+    // The last round measures memory. The profiler slows it down, so that it is not timed.
+    for round in 0..=arguments.rounds {
+        let profiled = round == arguments.rounds;
+        let _profiler = profiled.then(|| dhat::Profiler::builder().testing().build());
         // Allocations and bytes so far.
         let heap = || {
-            let stats = counts.then(dhat::HeapStats::get);
+            let stats = profiled.then(dhat::HeapStats::get);
             stats.map_or((0, 0), |stats| (stats.total_blocks, stats.total_bytes))
         };
-        let began = Instant::now();
+        let started = Instant::now();
         let read: Vec<_> = bodies.iter().map(|body| Reply::read(200, body, "cues", &search)).collect();
-        let was_read = Instant::now();
+        let read_at = Instant::now();
         let before = heap();
         let mut merge = Merge::new(&search);
         let mut held = 0;
@@ -75,13 +81,13 @@
         }
         let after = heap();
         merged = (held, after.0 - before.0, after.1 - before.1);
-        let was_merged = Instant::now();
+        let merged_at = Instant::now();
         let answer = found("cues", &search, merge.finish(true), &shards, Span::ZERO).to_string();
         assert!(answer.contains("\"failed\":0"));
-        if counts {
+        if profiled {
             break;
         }
-        let spans = [was_read - began, was_merged - was_read, was_merged.elapsed()];
+        let spans = [read_at - started, merged_at - read_at, merged_at.elapsed()];
         times.iter_mut().zip(spans).for_each(|(times, span)| {
             let _ = times.record(span.as_micros().max(1) as u64);
         });
--- a/crates/standins/src/documents.rs
+++ b/crates/standins/src/documents.rs
@@ -97,16 +97,16 @@
     }
 
     fn match_words(&self, field: &str, words: &[String], every: bool) -> BTreeMap<usize, f64> {
-        let asked: BTreeSet<&String> = words.iter().collect();
+        let requested: BTreeSet<&String> = words.iter().collect();
         let mut found: BTreeMap<usize, (usize, f64)> = BTreeMap::new();
-        for word in &asked {
+        for word in &requested {
             let has = self.postings.get(&(field.to_string(), (*word).clone()));
             for (at, count) in has.into_iter().flatten() {
                 let (words, score) = found.entry(*at).or_default();
                 (*words, *score) = (*words + 1, *score + f64::from(*count));
             }
         }
-        let min_words = if every { asked.len() } else { 1 };
+        let min_words = if every { requested.len() } else { 1 };
         found
             .into_iter()
             .filter(|(_, (words, _))| *words >= min_words)
@@ -256,12 +256,12 @@
         if mode == AnswerMode::ErrorPage {
             return b"<html><body>502 Bad Gateway</body></html>".to_vec();
         }
-        let asked = if mode == AnswerMode::TooManyHits {
+        let requested = if mode == AnswerMode::TooManyHits {
             Search { size: search.size + 3, ..search.clone() }
         } else {
             search.clone()
         };
-        let mut found = self.search(&asked);
+        let mut found = self.search(&requested);
         if mode == AnswerMode::Unsorted {
             found.hits.reverse();
         }
@@ -293,8 +293,9 @@
             body["terminated_early"] = true.into();
         }
         if !search.aggregations.is_empty() && mode != AnswerMode::MissingAggregations {
-            let of =
-                |name: &String| search.aggregations.iter().find(|(asked, _)| asked == name).map(|(_, of)| of);
+            let of = |name: &String| {
+                search.aggregations.iter().find(|(requested, _)| requested == name).map(|(_, of)| of)
+            };
             let write =
                 |(name, part): &(String, Partial)| Some((name.clone(), partial_of_node(part, of(name)?)));
             body["aggregations"] = found.aggregations.iter().filter_map(write).collect();
--- a/crates/standins/src/fleet/agent.rs
+++ b/crates/standins/src/fleet/agent.rs
@@ -38,6 +38,7 @@
     }
 }
 
+/// Answers the requests of one connection; a request for changes after a known generation waits for them.
 async fn serve(state: &Rc<FleetState>, mixer: usize, mut stream: Async<TcpStream>) -> io::Result<()> {
     loop {
         let head = head(&mut stream).await?;
@@ -66,6 +67,7 @@
     }
 }
 
+/// The list as JSON.
 fn body(state: &FleetState, mixer: usize, version: usize, list: &BTreeMap<usize, Change>) -> String {
     let row = |change: &Change| {
         let (searcher, at) = (change.searcher, state.searcher_address(mixer, change.searcher));
--- a/crates/standins/src/fleet/rule_checker.rs
+++ b/crates/standins/src/fleet/rule_checker.rs
@@ -259,12 +259,12 @@
     /// violations count.
     fn part_relayed(&mut self, at: Moment, read: Moment, mixer: usize, searcher: usize, part: Part) {
         self.relayed_parts += 1;
-        let late = self.not_ready_since.get(&(mixer, searcher)).copied().filter(|told| {
+        let late = self.not_ready_since.get(&(mixer, searcher)).copied().filter(|notified_at| {
             let grace = Span::of_micros(self.scenario.searchers.drain_grace.as_micros() as u64);
-            at > *told + grace + TOLERANCE && !self.was_away(mixer, *told)
+            at > *notified_at + grace + TOLERANCE && !self.was_away(mixer, *notified_at)
         });
-        if let Some(told) = late {
-            let after = at.since(told).micros() / 1000;
+        if let Some(notified_at) = late {
+            let after = at.since(notified_at).micros() / 1000;
             let what = format!(
                 "mixer {mixer} sent to searcher {searcher} {after} ms after it was told that it drains"
             );
--- a/crates/standins/src/fleet/runner.rs
+++ b/crates/standins/src/fleet/runner.rs
@@ -87,7 +87,9 @@
 pub struct FleetState {
     /// A controller stops and starts mixers.
     has_controller: bool,
+    /// The scenario.
     pub scenario: Scenario,
+    /// The seed of the run.
     pub seed: u64,
     started: Cell<Instant>,
     trace: RefCell<Vec<TraceEntry>>,
@@ -96,6 +98,7 @@
     links: Vec<Vec<Rc<Link>>>,
     searcher_addresses: Vec<Vec<SocketAddr>>,
     mixer_addresses: Vec<SocketAddr>,
+    /// The addresses of the discovery agents, by mixer.
     agents: Vec<SocketAddr>,
     searcher_models: Vec<RefCell<SearcherModel>>,
     /// All changes of the list of searchers, in order.
@@ -179,11 +182,11 @@
     /// A random mixer other than `than` that is up, as a load balancer would pick it.
     pub fn other_available_mixer(&self, than: usize) -> usize {
         let stopping = self.stopping.borrow();
-        let there: Vec<usize> =
+        let available: Vec<usize> =
             (0..self.mixer_addresses.len()).filter(|at| *at != than && !stopping[*at]).collect();
-        match there.len() {
+        match available.len() {
             0 => than,
-            count => there[self.rng.borrow_mut().random_range(0..count)],
+            count => available[self.rng.borrow_mut().random_range(0..count)],
         }
     }
 
@@ -212,15 +215,15 @@
 
     /// The changes that have reached a mixer's discovery agent by now, in order.
     pub fn visible_changes(&self, mixer: usize) -> Vec<Change> {
-        let (now, late) = (self.now(), self.discovery_delay[mixer].get());
+        let (now, extra) = (self.now(), self.discovery_delay[mixer].get());
         let (least, most) = self.scenario.searchers.notice;
-        let has_arrived = |(number, change): &(usize, &Change)| {
+        let has_arrived = |(index, change): &(usize, &Change)| {
             if change.at == Moment::default() {
                 return true;
             }
-            let mut draw = Pcg64Mcg::seed_from_u64(self.seed ^ ((*number as u64) << 16) ^ mixer as u64);
-            let takes = least + (most.saturating_sub(least)).mul_f64(draw.random()) + late;
-            now >= change.at + Span::of_micros(takes.as_micros() as u64)
+            let mut delay_rng = Pcg64Mcg::seed_from_u64(self.seed ^ ((*index as u64) << 16) ^ mixer as u64);
+            let delay = least + (most.saturating_sub(least)).mul_f64(delay_rng.random()) + extra;
+            now >= change.at + Span::of_micros(delay.as_micros() as u64)
         };
         self.changes.borrow().iter().enumerate().take_while(has_arrived).map(|(_, change)| *change).collect()
     }
@@ -259,7 +262,7 @@
         seed,
         &RunOptions { program, operator_file: operator, alternate_program: None, controller: None },
     )
-    .map(|(played, _)| played)
+    .map(|(result, _)| result)
 }
 
 /// The programs and files of a run.
@@ -298,6 +301,7 @@
     Ok((listener, at))
 }
 
+/// Runs a scenario on the executor, and returns its trace.
 async fn run_scenario(
     scenario: &Scenario,
     seed: u64,
@@ -358,7 +362,7 @@
     for number in 0..scenario.troubles.len() {
         let fault = &scenario.troubles[number];
         let (affected_mixers, affected_searchers) =
-            (fault.mixers.of(mixers, &mut fault_rng), fault.searchers.of(searchers, &mut fault_rng));
+            (fault.mixers.select(mixers, &mut fault_rng), fault.searchers.select(searchers, &mut fault_rng));
         let task = run_fault(state.clone(), number, affected_mixers, affected_searchers);
         state.spawn(async move { drop(task.await) });
     }
@@ -445,9 +449,9 @@
 
 /// Waits until a mixer reports that it is ready, while the other tasks go on.
 async fn wait_until_ready(state: &FleetState, mixer: usize) -> io::Result<()> {
-    let (at, until) = (state.mixer_address(mixer), Instant::now() + READY_TIMEOUT);
-    while Instant::now() < until {
-        if is_ready(at).await {
+    let (address, deadline) = (state.mixer_address(mixer), Instant::now() + READY_TIMEOUT);
+    while Instant::now() < deadline {
+        if is_ready(address).await {
             return Ok(());
         }
         Timer::after(Duration::from_millis(10)).await;
--- a/crates/standins/src/fleet/scenario.rs
+++ b/crates/standins/src/fleet/scenario.rs
@@ -249,8 +249,8 @@
 }
 
 impl Selection {
-    /// The sorted indices selected among `count`.
-    pub fn of(&self, count: usize, rng: &mut Pcg64Mcg) -> Vec<usize> {
+    /// The indices selected among `count`.
+    pub fn select(&self, count: usize, rng: &mut Pcg64Mcg) -> Vec<usize> {
         match self {
             Self::Indices(indices) => indices.clone(),
             Self::Share(share) => {
--- a/crates/standins/src/fleet/searcher_model.rs
+++ b/crates/standins/src/fleet/searcher_model.rs
@@ -143,11 +143,11 @@
     fn record_load(&mut self, now: Moment, work: Span) {
         self.recent_work.push_back((now, work));
         self.recent_sum += work.micros();
-        while let Some((at, gone)) =
+        while let Some((at, expired)) =
             self.recent_work.front().copied().filter(|(at, _)| now.since(*at) > self.fall)
         {
             debug_assert!(at < now);
-            self.recent_sum -= gone.micros();
+            self.recent_sum -= expired.micros();
             self.recent_work.pop_front();
         }
         let is_cold = self.cold_since.is_some_and(|since| now.since(since) < self.cold);
--- a/crates/standins/src/fleet/statistics.rs
+++ b/crates/standins/src/fleet/statistics.rs
@@ -115,8 +115,8 @@
                         200 if !first.served && at.since(first.at) <= target_latency(config) => {
                             first.served = true;
                             let worth = config.credit * values.len() as f64 / *parts as f64;
-                            let (began, name) = (first.at.micros() / 1_000_000, config.name.clone());
-                            statistics.second(began as usize).served += worth;
+                            let (started, name) = (first.at.micros() / 1_000_000, config.name.clone());
+                            statistics.second(started as usize).served += worth;
                             statistics.types.entry(name).or_default().2 += worth;
                         }
                         200 => {}
--- a/crates/standins/src/node.rs
+++ b/crates/standins/src/node.rs
@@ -76,9 +76,9 @@
             continue;
         }
         let _ = sender.send((method, target.clone(), head, body.clone()));
-        let answer = |manner| answer(&target, &body, manner);
+        let answer = |answer_mode| answer(&target, &body, answer_mode);
         match mode {
-            NodeMode::Answers(manner) => respond(to, 200, &answer(manner)?, false)?,
+            NodeMode::Answers(answer_mode) => respond(to, 200, &answer(answer_mode)?, false)?,
             NodeMode::CloseAfterAnswer => return respond(to, 200, &answer(AnswerMode::Valid)?, true),
             NodeMode::QueueFull => respond(to, 429, "{}", false)?,
             NodeMode::Status(status) => respond(to, status, "<html>no</html>", false)?,
@@ -113,13 +113,13 @@
 }
 
 /// The answer to a search of the shard named by the preference, or to an edit.
-fn answer(target: &str, body: &str, manner: AnswerMode) -> Option<String> {
+fn answer(target: &str, body: &str, answer_mode: AnswerMode) -> Option<String> {
     let (endpoint, parameters) = endpoint("POST", target).ok()?;
     match endpoint {
         Endpoint::Search { index } => {
             let number = *preferred(&parameters).ok()??.first()?;
             let search = Search::read(body.as_bytes()).ok()?;
-            String::from_utf8(build_shard(number).body(&index, &search, manner)).ok()
+            String::from_utf8(build_shard(number).body(&index, &search, answer_mode)).ok()
         }
         Endpoint::Update { index, id } | Endpoint::Put { index, id: Some(id) } => {
             Some(json!({"_index": index, "_id": id, "result": "updated"}).to_string())
--- a/crates/standins/tests/cues.rs
+++ b/crates/standins/tests/cues.rs
@@ -12,7 +12,8 @@
 use serde_json::Value;
 use test_case::test_case;
 
-fn asked(shards: &[Shard], search: &Search) -> Value {
+/// The merged answer of all shards to a search.
+fn merged_answer(shards: &[Shard], search: &Search) -> Value {
     let mut merge = Merge::new(search);
     for (number, shard) in (0..).zip(shards) {
         assert!(merge.take(number, shard.search(search)));
@@ -43,8 +44,10 @@
     let search = Search::read(body.as_bytes()).unwrap();
     for seed in 0..5 {
         let documents = generate_documents(seed, 300);
-        let (mut one, mut many) =
-            (asked(&distribute(&documents, 1), &search), asked(&distribute(&documents, 7), &search));
+        let (mut one, mut many) = (
+            merged_answer(&distribute(&documents, 1), &search),
+            merged_answer(&distribute(&documents, 7), &search),
+        );
         one["_shards"] = Value::Null;
         many["_shards"] = Value::Null;
         assert_eq!(one, many);
@@ -59,7 +62,7 @@
     let documents = generate_documents(3, 40);
     let search = Search::read(br#"{"size":100,"track_total_hits":true}"#).unwrap();
     let twice = [Shard::new(documents[..25].to_vec()), Shard::new(documents[20..].to_vec())];
-    let answer = asked(&twice, &search);
+    let answer = merged_answer(&twice, &search);
     assert_eq!(answer["hits"]["hits"].as_array().unwrap().len(), 40);
     assert_eq!(answer["hits"]["total"]["value"], 40);
 }
@@ -92,9 +95,9 @@
         else {
             panic!("a sound answer is one");
         };
-        let truth = shard.search(&asked);
+        let expected = shard.search(&asked);
         let ids = |found: &ShardFound| found.hits.iter().map(|hit| hit.id.clone()).collect::<Vec<_>>();
-        assert_eq!((ids(&found), found.total), (ids(&truth), truth.total));
+        assert_eq!((ids(&found), found.total), (ids(&expected), expected.total));
     }
 }
 
@@ -111,14 +114,14 @@
 #[test_case(AnswerMode::Truncated, "EOF"; "cut short")]
 #[test_case(AnswerMode::ErrorPage, "expected value"; "an error page")]
 #[test_case(AnswerMode::MissingAggregations, "no aggregations"; "aggregations left out")]
-fn half_an_understanding_is_a_failed_part(manner: AnswerMode, says: &str) {
+fn half_an_understanding_is_a_failed_part(mode: AnswerMode, says: &str) {
     let search = Search::read(br#"{"size":8,"sort":"at","aggs":{"m":{"avg":{"field":"at"}}}}"#).unwrap();
     let shard = Shard::new(generate_documents(1, 100));
     assert_eq!(
         Reply::read(200, &shard.body("cues", &search, AnswerMode::Valid), "cues", &search).landing(),
         Landing::Honoured
     );
-    let reply = Reply::read(200, &shard.body("cues", &search, manner), "cues", &search);
+    let reply = Reply::read(200, &shard.body("cues", &search, mode), "cues", &search);
     assert_eq!(reply.landing(), Landing::Erred);
     assert!(matches!(&reply, Reply::Spoilt(why) if why.contains(says)), "{reply:?}");
 }
--- a/crates/standins/tests/judge.rs
+++ b/crates/standins/tests/judge.rs
@@ -33,7 +33,7 @@
         self
     }
 
-    fn asked(&mut self, millis: u64, scan: u32, traffic_type: usize) -> &mut Self {
+    fn scan_sent(&mut self, millis: u64, scan: u32, traffic_type: usize) -> &mut Self {
         let timeout = Span::of_millis(if traffic_type == TAG { 9_000 } else { 1_000 });
         self.at(
             millis,
@@ -91,7 +91,7 @@
 /// A successful scan of each type. Of the first, one part is rejected and sent to another searcher.
 fn valid_trace() -> TraceBuilder {
     let mut trace = TraceBuilder::default();
-    trace.asked(100, 1, LOOK).relayed(101, 1, 0, 0).relayed(101, 1, 1, 1).back(
+    trace.scan_sent(100, 1, LOOK).relayed(101, 1, 0, 0).relayed(101, 1, 1, 1).back(
         102,
         1,
         0,
@@ -106,7 +106,7 @@
         PartOutcome::Succeeded,
     );
     trace.answered(122, 1, 200, true, &[0, 1]);
-    trace.asked(200, 2, FIX).relayed(201, 2, 0, 0).relayed(201, 2, 1, 1);
+    trace.scan_sent(200, 2, FIX).relayed(201, 2, 0, 0).relayed(201, 2, 1, 1);
     trace.back(220, 2, 0, 0, PartOutcome::Succeeded).back(221, 2, 1, 1, PartOutcome::Succeeded).answered(
         222,
         2,
@@ -114,7 +114,7 @@
         true,
         &[0, 1],
     );
-    trace.asked(300, 3, TAG).relayed(301, 3, 0, 0).relayed(301, 3, 1, 1).back(
+    trace.scan_sent(300, 3, TAG).relayed(301, 3, 0, 0).relayed(301, 3, 1, 1).back(
         330,
         3,
         1,
@@ -137,17 +137,17 @@
 }
 
 #[test_case(Rule::Effect, |trace| trace.relayed(210, 2, 0, 2); "a second relay of an edit that may have run")]
-#[test_case(Rule::Answer, |trace| trace.asked(400, 9, LOOK).relayed(401, 9, 0, 0); "a scan unanswered")]
+#[test_case(Rule::Answer, |trace| trace.scan_sent(400, 9, LOOK).relayed(401, 9, 0, 0); "a scan unanswered")]
 #[test_case(Rule::Answer, |trace| trace.answered(140, 1, 200, true, &[0, 1]); "a second answer")]
 #[test_case(Rule::Answer, |trace| trace.relayed(400, 1, 1, 2); "a relay after the final answer")]
-#[test_case(Rule::Answer, |trace| trace.asked(400, 9, LOOK).at(450, TraceEvent::ScanDropped { scan: 9, mixer: 0 }); "a connection ended in place of an answer")]
-#[test_case(Rule::Answer, |trace| trace.asked(400, 9, LOOK).answered(1_800, 9, 503, false, &[]); "an answer long after its time")]
+#[test_case(Rule::Answer, |trace| trace.scan_sent(400, 9, LOOK).at(450, TraceEvent::ScanDropped { scan: 9, mixer: 0 }); "a connection ended in place of an answer")]
+#[test_case(Rule::Answer, |trace| trace.scan_sent(400, 9, LOOK).answered(1_800, 9, 503, false, &[]); "an answer long after its time")]
 #[test_case(Rule::Answer, |trace| trace.relayed(400, 77, 0, 0); "a part that nobody asked for")]
 #[test_case(Rule::Crash, |trace| trace.at(5_000, TraceEvent::MixerExited { mixer: 1, expected: false }); "a mixer that ended by itself")]
 #[test_case(Rule::Cold, |trace| trace.at(5_000, TraceEvent::SearcherCollapsed { searcher: 1 }); "a cold searcher toppled")]
-fn a_planted_fault_is_named(rule: Rule, plant: fn(&mut TraceBuilder) -> &mut TraceBuilder) {
+fn a_planted_fault_is_named(rule: Rule, insert_fault: fn(&mut TraceBuilder) -> &mut TraceBuilder) {
     let mut trace = valid_trace();
-    plant(&mut trace);
+    insert_fault(&mut trace);
     assert_eq!(trace.rules(), [rule]);
 }
 
@@ -161,7 +161,7 @@
             .at(90, TraceEvent::MixerStalled { mixer: 0, stalled: true })
             .at(950, TraceEvent::MixerStalled { mixer: 0, stalled: false });
     }
-    trace.asked(960, 1, LOOK).relayed(980, 1, 0, 0).back(990, 1, 0, 0, PartOutcome::Succeeded);
+    trace.scan_sent(960, 1, LOOK).relayed(980, 1, 0, 0).back(990, 1, 0, 0, PartOutcome::Succeeded);
     trace.answered(1_000, 1, 200, false, &[0]);
     assert_eq!(trace.rules(), rules);
 }
@@ -172,7 +172,7 @@
 #[test_case(400, &[Rule::Answer]; "it was written then")]
 fn what_a_cut_link_held_back_was_sent_when_it_was_written(written: u64, rules: &[Rule]) {
     let mut trace = TraceBuilder::default();
-    trace.asked(100, 1, LOOK).relayed(101, 1, 1, 1).back(110, 1, 1, 1, PartOutcome::Succeeded);
+    trace.scan_sent(100, 1, LOOK).relayed(101, 1, 1, 1).back(110, 1, 1, 1, PartOutcome::Succeeded);
     trace.answered(200, 1, 200, false, &[1]);
     let part = Part { scan: 1, shard: 0 };
     trace.at(400, TraceEvent::PartRelayed { mixer: 0, searcher: 0, part, earliest_write: at(written) });
@@ -183,7 +183,7 @@
 #[test_case(500, &[]; "written off, which promises nothing")]
 fn an_edit_is_bounced_only_where_nothing_ran(status: u16, rules: &[Rule]) {
     let mut trace = TraceBuilder::default();
-    trace.asked(100, 1, FIX).relayed(101, 1, 0, 0).relayed(101, 1, 1, 1).back(
+    trace.scan_sent(100, 1, FIX).relayed(101, 1, 0, 0).relayed(101, 1, 1, 1).back(
         103,
         1,
         1,
@@ -197,7 +197,7 @@
 #[test]
 fn an_edit_that_was_turned_away_everywhere_may_be_bounced() {
     let mut trace = TraceBuilder::default();
-    trace.asked(100, 1, FIX).relayed(101, 1, 0, 0).back(103, 1, 0, 0, PartOutcome::Rejected);
+    trace.scan_sent(100, 1, FIX).relayed(101, 1, 0, 0).back(103, 1, 0, 0, PartOutcome::Rejected);
     assert_eq!(trace.answered(600, 1, 503, false, &[]).rules(), []);
 }
 
@@ -205,7 +205,7 @@
 #[test_case(1_800, &[Rule::Effect]; "past its window")]
 fn a_labelled_part_goes_again_inside_its_window(millis: u64, rules: &[Rule]) {
     let mut trace = TraceBuilder::default();
-    trace.asked(100, 1, TAG).relayed(101, 1, 0, 0).relayed(101, 1, 1, 1).back(
+    trace.scan_sent(100, 1, TAG).relayed(101, 1, 0, 0).relayed(101, 1, 1, 1).back(
         110,
         1,
         1,
@@ -222,7 +222,7 @@
 #[test_case(true, &[0, 1], &[Rule::Honest]; "with a value that no searcher made")]
 fn answers_are_honest(complete: bool, shards: &[u32], rules: &[Rule]) {
     let mut trace = TraceBuilder::default();
-    trace.asked(100, 1, LOOK).relayed(101, 1, 0, 0).relayed(101, 1, 1, 1).back(
+    trace.scan_sent(100, 1, LOOK).relayed(101, 1, 0, 0).relayed(101, 1, 1, 1).back(
         110,
         1,
         0,
@@ -289,7 +289,7 @@
 #[test]
 fn a_mixer_that_spends_more_than_its_budget_is_named() {
     let mut trace = valid_trace();
-    trace.asked(2_000, 5, LOOK).relayed(2_001, 5, 0, 0);
+    trace.scan_sent(2_000, 5, LOOK).relayed(2_001, 5, 0, 0);
     for again in 0..6 {
         trace.relayed(2_010 + again, 5, 0, 1);
     }
--- a/crates/standins/tests/planted.rs
+++ b/crates/standins/tests/planted.rs
@@ -26,11 +26,11 @@
     let day = Scenario::parse(&DAY.replace("TROUBLE", trouble)).unwrap();
     let operator = temp_file(&format!("planted-{fault}"), fault);
     let program = Path::new(env!("CARGO_BIN_EXE_naive-mixer"));
-    let played = runner::run(&day, 21, program, Some(&operator)).unwrap();
+    let result = runner::run(&day, 21, program, Some(&operator)).unwrap();
     let _ = std::fs::remove_file(operator);
-    let rules: Vec<Rule> = played.violations.iter().map(|violation| violation.rule).collect();
-    assert!(played.statistics.total().scans > 100, "{}", played.statistics);
-    assert!(found.iter().all(|rule| rules.contains(rule)), "{found:?} wanted: {:#?}", played.violations);
-    assert!(clean.iter().all(|rule| !rules.contains(rule)), "{clean:?} unwanted: {:#?}", played.violations);
-    assert!(!found.is_empty() || rules.is_empty(), "{:#?}\n{}", played.violations, played.statistics);
+    let rules: Vec<Rule> = result.violations.iter().map(|violation| violation.rule).collect();
+    assert!(result.statistics.total().scans > 100, "{}", result.statistics);
+    assert!(found.iter().all(|rule| rules.contains(rule)), "{found:?} wanted: {:#?}", result.violations);
+    assert!(clean.iter().all(|rule| !rules.contains(rule)), "{clean:?} unwanted: {:#?}", result.violations);
+    assert!(!found.is_empty() || rules.is_empty(), "{:#?}\n{}", result.violations, result.statistics);
 }
