--- a/crates/standins/src/fleet/agent.rs
+++ b/crates/standins/src/fleet/agent.rs
@@ -18,13 +18,16 @@
     Removed,
 }
 
-/// A change of the list: its time, the searcher, its new lifecycle, and its start time in milliseconds of
-/// Unix time.
+/// A change of the list of searchers.
 #[derive(Clone, Copy, Debug)]
 pub struct Change {
+    /// When it happens, from the start of the run.
     pub at: fernglade::Moment,
+    /// The index of the searcher.
     pub searcher: usize,
+    /// Its new lifecycle.
     pub life: Lifecycle,
+    /// Its start time, in milliseconds of Unix time.
     pub started_ms: u64,
 }
 
--- a/crates/standins/src/fleet/link.rs
+++ b/crates/standins/src/fleet/link.rs
@@ -5,7 +5,7 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// How long reading may take to catch up with what was written while the link was not read.
+/// How long after the link is read again a message may still date from the time when it was not read.
 const CATCH_UP_TIME: Span = Span::of_millis(200);
 
 /// A link. Faults of the same kind are counted, so that the end of one leaves overlapping ones in force.
@@ -30,6 +30,7 @@
 }
 
 impl Link {
+    /// Begins or ends a fault of one kind, and keeps the interval in which the link was not read.
     fn count_fault(&self, of: &Cell<u32>, active: bool, now: Moment) {
         let before = self.reads_open();
         of.set(if active { of.get() + 1 } else { of.get().saturating_sub(1) });
--- a/crates/standins/src/fleet/statistics.rs
+++ b/crates/standins/src/fleet/statistics.rs
@@ -43,6 +43,7 @@
     pub retries: usize,
     /// New connections.
     pub dials: usize,
+    /// Health probes.
     pub probes: usize,
 }
 
@@ -51,7 +52,7 @@
 pub struct RunStatistics {
     /// Counts of each second.
     pub seconds: Vec<SecondCounts>,
-    /// By searcher, second by second.
+    /// What each searcher received, second by second.
     pub loads: BTreeMap<usize, Vec<SearcherLoad>>,
     /// By traffic type: first tries, their credit, and the credit earned.
     pub types: BTreeMap<String, (usize, f64, f64)>,
@@ -61,6 +62,7 @@
     pub tries: usize,
 }
 
+/// The first try of a scan, and what became of the scan.
 struct FirstTry {
     at: Moment,
     traffic_type: usize,
--- a/crates/standins/src/fleet/trace.rs
+++ b/crates/standins/src/fleet/trace.rs
@@ -42,8 +42,8 @@
     MixerUnreachable { scan: u32, mixer: usize },
     /// A searcher accepted a connection.
     LinkOpened { mixer: usize, searcher: usize },
-    /// A searcher read a part of a call. The mixer may have written it at `earliest_write`, if the link was
-    /// not read meanwhile.
+    /// A searcher read a part of a call. If the link was not read for a while, the mixer may have written the
+    /// part as early as `earliest_write`.
     PartRelayed { mixer: usize, searcher: usize, part: Part, earliest_write: Moment },
     /// A searcher wrote the answer to a part.
     PartAnswered { mixer: usize, searcher: usize, part: Part, outcome: PartOutcome },
@@ -72,7 +72,9 @@
 /// An event and its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceEntry {
+    /// When it was recorded, from the start of the run.
     pub at: Moment,
+    /// What happened.
     pub event: TraceEvent,
 }
 
