--- a/crates/conductor/tests/rollout.rs
+++ b/crates/conductor/tests/rollout.rs
@@ -2,9 +2,9 @@
 //! their links. Checked are the rules of the stand-ins, the exit code of the conductor, and the share of
 //! scans served within wide margins.
 
-use fernglade_standins::child::file;
-use fernglade_standins::fleet::play::{cast, Cast, Conducted, Field};
-use fernglade_standins::fleet::{Breach, Day, Figures};
+use fernglade_standins::child::temp_file;
+use fernglade_standins::fleet::runner::{run_with, ControllerExit, FleetLayout, RunOptions};
+use fernglade_standins::fleet::{RunStatistics, Scenario, Violation};
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -73,12 +73,12 @@
         format!("{{ program: '{start}', told_as: '{built}', operator: '{settings}' }}")
     }
 
-    fn plan(&self, field: &Field, zones: usize, new: &str, more_settings: &str) -> PathBuf {
+    fn plan(&self, field: &FleetLayout, zones: usize, new: &str, more_settings: &str) -> PathBuf {
         let old = self.write("old.json5", OLD_SETTINGS);
-        let mixers: Vec<String> = (0..field.doors.len())
+        let mixers: Vec<String> = (0..field.mixer_addresses.len())
             .map(|at| {
-                let (orders, operator) = (field.orders[at].display(), field.operators[at].display());
-                let (zone, address) = (at % zones, field.doors[at]);
+                let (orders, operator) = (field.configs[at].display(), field.operator_files[at].display());
+                let (zone, address) = (at % zones, field.mixer_addresses[at]);
                 format!("{{ name: 'm{at}', zone: 'z{zone}', at: '{address}', orders: '{orders}', operator: '{operator}' }}")
             })
             .collect();
@@ -104,7 +104,7 @@
 /// full patience of a minute, and two steps have to fit in as well.
 const LONG_DAY_SECONDS: u32 = 90;
 
-fn day(lasts: u32, mixers: usize, rate: u32, troubles: &str) -> Day {
+fn day(lasts: u32, mixers: usize, rate: u32, troubles: &str) -> Scenario {
     let text = format!(
         r#"{{
           lasts: "{lasts}s", mixers: {{ count: {mixers} }}, searchers: {{ cells: 3, replicas: 3, cold_from: 0.3, cold: "4s" }},
@@ -114,13 +114,13 @@
           ],
           troubles: [{troubles}] }}"#
     );
-    Day::read(&text).unwrap()
+    Scenario::parse(&text).unwrap()
 }
 
 struct RunResult {
-    figures: Figures,
-    breaches: Vec<Breach>,
-    conducted: Conducted,
+    figures: RunStatistics,
+    breaches: Vec<Violation>,
+    conducted: ControllerExit,
     journal: String,
     log: String,
 }
@@ -128,26 +128,38 @@
 impl RunResult {
     fn describe(&self) -> String {
         let Self { figures, breaches, conducted, journal, log } = self;
-        format!("{breaches:?}\n{}\n{journal}\n{log}\n{figures}", conducted.says)
+        format!("{breaches:?}\n{}\n{journal}\n{log}\n{figures}", conducted.output)
     }
 }
 
-fn run(files: &TestFiles, day: &Day, zones: usize, new: &str, more_settings: &str, how: &str) -> RunResult {
+fn run(
+    files: &TestFiles,
+    day: &Scenario,
+    zones: usize,
+    new: &str,
+    more_settings: &str,
+    how: &str,
+) -> RunResult {
     let settings =
-        file(&format!("{}.json5", files.directory.file_name().unwrap().to_string_lossy()), OLD_SETTINGS);
-    let begin = |field: &Field| {
+        temp_file(&format!("{}.json5", files.directory.file_name().unwrap().to_string_lossy()), OLD_SETTINGS);
+    let begin = |field: &FleetLayout| {
         let plan = files.plan(field, zones, new, more_settings);
         let mut command = Command::new("sh");
         command.args(["-c", how]).arg(env!("CARGO_BIN_EXE_fernglade-rollout")).arg(plan);
         Ok(command)
     };
     let (program, operator) = (mixer(), Some(settings.as_path()));
-    let all = Cast { program: &program, beside: None, operator, begin: Some(&begin) };
-    let (played, conducted) = cast(day, 7, &all).unwrap();
+    let all = RunOptions {
+        program: &program,
+        alternate_program: None,
+        operator_file: operator,
+        controller: Some(&begin),
+    };
+    let (played, conducted) = run_with(day, 7, &all).unwrap();
     let _ = std::fs::remove_file(settings);
     let read = |name: &str| std::fs::read_to_string(files.directory.join(name)).unwrap_or_default();
     let (journal, log) = (read("journal"), read("journal.log"));
-    RunResult { figures: played.figures, breaches: played.breaches, conducted, journal, log }
+    RunResult { figures: played.statistics, breaches: played.violations, conducted, journal, log }
 }
 
 const RUN: &str = "exec \"$0\" run \"$1\"";
@@ -165,9 +177,9 @@
     // A killed conductor starts the reference window and the comparison again.
     let lasts = if how == RUN { LONG_DAY_SECONDS } else { LONG_DAY_SECONDS + 30 };
     let result = run(&files, &day(lasts, 4, 150, troubles), 2, &new, FAST_LIMITS, how);
-    assert_eq!(result.conducted.code, Some(0), "{}", result.describe());
+    assert_eq!(result.conducted.exit_code, Some(0), "{}", result.describe());
     assert!(result.breaches.is_empty(), "{}", result.describe());
-    assert!(result.figures.whole().share() >= 0.9, "{}", result.describe());
+    assert!(result.figures.total().served_share() >= 0.9, "{}", result.describe());
     assert!(
         result.journal.contains("\"passed\"") && result.journal.contains("\"new\""),
         "{}",
@@ -183,10 +195,10 @@
     let files = TestFiles::new();
     let new = new_program(&files.rebuilt_mixer(), &files.write("new.json5", OLD_SETTINGS));
     let result = run(&files, &day(LONG_DAY_SECONDS, 4, 150, troubles), 2, &new, FAST_LIMITS, RUN);
-    assert_eq!(result.conducted.code, Some(0), "{}", result.describe());
+    assert_eq!(result.conducted.exit_code, Some(0), "{}", result.describe());
     assert!(result.breaches.is_empty(), "{}", result.describe());
     assert!(
-        result.conducted.says.contains(expected) || result.log.contains(expected),
+        result.conducted.output.contains(expected) || result.log.contains(expected),
         "{}",
         result.describe()
     );
@@ -205,8 +217,8 @@
         FAST_LIMITS.replace("stop_within: '5s'", "stop_within: '2s'").replace("unheard_within: '3s'", "unheard_within: '6s'")
     );
     let result = run(&files, &day(50, 3, 120, ""), 1, &new, &commands, RUN);
-    assert_eq!(result.conducted.code, Some(0), "{}", result.describe());
-    assert!(result.conducted.says.contains("is killed"), "{}", result.describe());
+    assert_eq!(result.conducted.exit_code, Some(0), "{}", result.describe());
+    assert!(result.conducted.output.contains("is killed"), "{}", result.describe());
 }
 
 /// Mixers that had been stopped are started, and all mixers run the old build again.
@@ -216,9 +228,9 @@
     let new = new_program(&files.rebuilt_mixer(), &files.write("new.json5", OLD_SETTINGS));
     let how = "(sleep 5; \"$0\" undo \"$1\") & exec \"$0\" run \"$1\"";
     let result = run(&files, &day(22, 4, 100, ""), 2, &new, FAST_LIMITS, how);
-    assert_eq!(result.conducted.code, Some(3), "{}", result.describe());
+    assert_eq!(result.conducted.exit_code, Some(3), "{}", result.describe());
     assert!(
-        result.breaches.is_empty() && result.conducted.says.contains("an operator asked"),
+        result.breaches.is_empty() && result.conducted.output.contains("an operator asked"),
         "{}",
         result.describe()
     );
@@ -234,9 +246,9 @@
     let files = TestFiles::new();
     let new = files.started_by(script);
     let result = run(&files, &day(55, 4, 150, troubles), 2, &new, FAST_LIMITS, RUN);
-    assert_eq!(result.conducted.code, Some(3), "{}", result.describe());
+    assert_eq!(result.conducted.exit_code, Some(3), "{}", result.describe());
     assert!(
-        result.journal.contains(expected) || result.conducted.says.contains(expected),
+        result.journal.contains(expected) || result.conducted.output.contains(expected),
         "{}",
         result.describe()
     );
@@ -255,8 +267,12 @@
     let new = new_program(&mixer(), &path);
     let more_settings = format!("by: 'hup', {FAST_LIMITS}");
     let result = run(&files, &day(45, 3, 150, ""), 1, &new, &more_settings, RUN);
-    assert_eq!(result.conducted.code, Some(code), "{}", result.describe());
-    assert!(result.breaches.is_empty() && result.figures.whole().share() >= 0.95, "{}", result.describe());
+    assert_eq!(result.conducted.exit_code, Some(code), "{}", result.describe());
+    assert!(
+        result.breaches.is_empty() && result.figures.total().served_share() >= 0.95,
+        "{}",
+        result.describe()
+    );
 }
 
 /// A second conductor on one journal, and a second change before the first has ended, are both refused.
@@ -267,7 +283,7 @@
     let how = "\"$0\" run \"$1\" & first=$!; sleep 2; \"$0\" run \"$1\"; echo second $?; kill -9 $first; \
         sed 's/test/another/' \"$1\" > \"$1.2\"; \"$0\" run \"$1.2\"; echo change $?; \"$0\" undo \"$1\"; \"$0\" run \"$1\"; echo undone $?";
     let result = run(&files, &day(20, 3, 40, ""), 1, &new, FAST_LIMITS, how);
-    let says = &result.conducted.says;
+    let says = &result.conducted.output;
     assert!(says.contains("another conductor") && says.contains("second 2"), "{}", result.describe());
     assert!(says.contains("has not ended") && says.contains("change 2"), "{}", result.describe());
     assert!(says.contains("undone 3"), "{}", result.describe());
@@ -301,20 +317,20 @@
         ),
     ];
     // By the arrival times at the clients: scans that reach no mixer leave no trace.
-    let lost = |day: &Day, result: &RunResult, until: usize| {
+    let lost = |day: &Scenario, result: &RunResult, until: usize| {
         let within = |at: f64| (4.0..until as f64).contains(&at);
         let asked = day.arrivals(7).into_iter().filter(|arrival| within(arrival.at.as_secs_f64()));
-        let worth: f64 = asked.map(|arrival| day.types[arrival.sort].credit).sum();
-        worth - result.figures.between(4, until).served
+        let worth: f64 = asked.map(|arrival| day.types[arrival.traffic_type].credit).sum();
+        worth - result.figures.sum_between(4, until).served
     };
     for (name, script, staged, once) in kinds {
         let files = TestFiles::new();
         let day_of_staged = day(55, 4, 150, staged);
         let staged = run(&files, &day_of_staged, 2, &files.started_by(script), FAST_LIMITS, RUN);
-        let until = staged.conducted.at.ceil() as usize;
+        let until = staged.conducted.ended_at.ceil() as usize;
         let (other, day_of_once) = (TestFiles::new(), day(until as u32 + 1, 4, 150, once));
         let once = run(&other, &day_of_once, 2, &other.started_by(no_fault), FAST_LIMITS, "true");
-        let code = staged.conducted.code;
+        let code = staged.conducted.exit_code;
         let (staged, once) = (lost(&day_of_staged, &staged, until), lost(&day_of_once, &once, until));
         println!("{name} | {until} s, code {code:?} | {staged:.0} | {once:.0}");
     }
--- a/crates/mixer/src/routing/api_equivalence.rs
+++ b/crates/mixer/src/routing/api_equivalence.rs
@@ -11,7 +11,7 @@
 use fernglade_dialect::search::Search;
 use fernglade_fronts::Settings;
 use fernglade_orders::OperatorConfig;
-use fernglade_standins::cues::{shard, Manner};
+use fernglade_standins::documents::{build_shard, AnswerMode};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
@@ -379,7 +379,8 @@
         let Ok(search) = Search::parse(part_request.text.as_bytes()) else { return "saved".into() };
         let give = || {
             let index = if part_request.text.contains("hola") { "cues" } else { "films" };
-            String::from_utf8(shard(part_request.shard).body(index, &search, Manner::Sound)).unwrap()
+            String::from_utf8(build_shard(part_request.shard).body(index, &search, AnswerMode::Valid))
+                .unwrap()
         };
         let key = part_request.shard + if part_request.text.contains("hola") { 0 } else { 1_000 };
         self.values.entry(key).or_insert_with(give).clone()
--- a/crates/mixer/tests/dialect.rs
+++ b/crates/mixer/tests/dialect.rs
@@ -5,12 +5,14 @@
 use fernglade_dialect::merge::Merger;
 use fernglade_dialect::response::{search_response, ShardSummary};
 use fernglade_dialect::search::Search;
-use fernglade_standins::child::{file, free_address, orders, start, Mixer};
-use fernglade_standins::client::{answer, say, Client};
-use fernglade_standins::cues::{cue_node, half_node, odd_node, shard, Manner};
-use fernglade_standins::discovery::{agent, list};
-use fernglade_standins::node::{node, Asked, Way};
-use fernglade_standins::searcher::{dying, searcher, Habit};
+use fernglade_standins::child::{free_address, mixer_config, start_mixer, temp_file, MixerProcess};
+use fernglade_standins::client::{read_response, send, Client};
+use fernglade_standins::discovery::{agent_with_list, searcher_list};
+use fernglade_standins::documents::{
+    answer_for_all_shards, answer_searches, build_shard, fail_odd_shards, AnswerMode,
+};
+use fernglade_standins::node::{start_node, NodeMode, NodeRequest};
+use fernglade_standins::searcher::{close_on_call, start_searcher, FrameHandler};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -23,21 +25,25 @@
 
 fn mixer_with_operator(
     name: &str,
-    habits: &[Habit],
+    habits: &[FrameHandler],
     config_change: (&str, &str),
     operator_config: &str,
-) -> (Mixer, Vec<Receiver<(u8, String)>>) {
+) -> (MixerProcess, Vec<Receiver<(u8, String)>>) {
     let (addresses, received): (Vec<SocketAddr>, Vec<_>) =
-        habits.iter().map(|habit| searcher(*habit)).unzip();
-    let (at, known) = (free_address(), list(&addresses));
-    let text =
-        orders(&at.to_string(), agent(known.clone()), &known).replace(config_change.0, config_change.1);
-    let orders = file(&format!("dialect-{name}.json"), &text);
-    let operator = file(&format!("dialect-{name}.json5"), operator_config);
-    (start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at), received)
+        habits.iter().map(|habit| start_searcher(*habit)).unzip();
+    let (at, known) = (free_address(), searcher_list(&addresses));
+    let text = mixer_config(&at.to_string(), agent_with_list(known.clone()), &known)
+        .replace(config_change.0, config_change.1);
+    let orders = temp_file(&format!("dialect-{name}.json"), &text);
+    let operator = temp_file(&format!("dialect-{name}.json5"), operator_config);
+    (start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at), received)
 }
 
-fn mixer(name: &str, habits: &[Habit], config_change: (&str, &str)) -> (Mixer, Vec<Receiver<(u8, String)>>) {
+fn mixer(
+    name: &str,
+    habits: &[FrameHandler],
+    config_change: (&str, &str),
+) -> (MixerProcess, Vec<Receiver<(u8, String)>>) {
     mixer_with_operator(name, habits, config_change, OPERATOR_CONFIG)
 }
 
@@ -49,8 +55,8 @@
     body: &str,
 ) -> (u16, String, Value) {
     let head = format!("{method} {target} HTTP/1.1\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
-    say(client, head + body);
-    let (status, head, body) = answer(client);
+    send(client, head + body);
+    let (status, head, body) = read_response(client);
     (status, head, serde_json::from_str(&body).unwrap_or(Value::Null))
 }
 
@@ -59,15 +65,15 @@
     let search = Search::parse(body.as_bytes()).unwrap();
     let mut merge = Merger::new(&search);
     let asked = Search { from: 0, size: search.window(), ..search.clone() };
-    (0..4).for_each(|number| assert!(merge.add_shard(number, shard(number).search(&asked))));
+    (0..4).for_each(|number| assert!(merge.add_shard(number, build_shard(number).search(&asked))));
     let shards = ShardSummary { total: 4, failures: Vec::new() };
     search_response("cues", &search, merge.finish(true), &shards, Span::ZERO)
 }
 
 #[test]
 fn a_search_over_all_shards_matches_the_reference_answer() {
-    let (mixer, _received) = mixer("whole", &[cue_node, cue_node], ("", ""));
-    let mut client = mixer.client();
+    let (mixer, _received) = mixer("whole", &[answer_searches, answer_searches], ("", ""));
+    let mut client = mixer.connect();
     for body in [
         "",
         r#"{"query":{"match":{"cue":"hola noche"}},"from":3,"size":12,"track_total_hits":true}"#,
@@ -98,8 +104,8 @@
     let partial_answers =
         (r#""per_call":1"#, r#""per_call":1,"floor_by_class":[0.5,1.0],"complete_from":[1.0,1.0]"#);
     let name = format!("partial-{}-{}", target.len(), operator_config.len());
-    let (mixer, _received) = mixer_with_operator(&name, &[odd_node], partial_answers, operator_config);
-    let (actual_status, _, body) = request(&mut mixer.client(), "GET", target, "", "");
+    let (mixer, _received) = mixer_with_operator(&name, &[fail_odd_shards], partial_answers, operator_config);
+    let (actual_status, _, body) = request(&mut mixer.connect(), "GET", target, "", "");
     assert_eq!(actual_status, status, "{body}");
     if status == 200 {
         assert_eq!(
@@ -118,8 +124,8 @@
 /// answer.
 #[test]
 fn a_partly_invalid_node_response_is_a_failed_part() {
-    let (mixer, _received) = mixer("half", &[half_node, cue_node], ("", ""));
-    let mut client = mixer.client();
+    let (mixer, _received) = mixer("half", &[answer_for_all_shards, answer_searches], ("", ""));
+    let mut client = mixer.connect();
     for _ in 0..5 {
         let (status, _, mut actual) = request(&mut client, "GET", "/cues/_search", "", "");
         assert_eq!(status, 200);
@@ -132,18 +138,18 @@
 /// edit may have run, so the client is not asked to retry either.
 #[test]
 fn an_edit_that_may_have_run_is_neither_resent_nor_reported_retryable() {
-    let (healthy, received) = mixer("edit", &[cue_node, cue_node], ("", ""));
+    let (healthy, received) = mixer("edit", &[answer_searches, answer_searches], ("", ""));
     let (status, _, body) =
-        request(&mut healthy.client(), "POST", "/cues/_update/c7", "", r#"{"doc":{"cue":"x"}}"#);
+        request(&mut healthy.connect(), "POST", "/cues/_update/c7", "", r#"{"doc":{"cue":"x"}}"#);
     assert_eq!((status, &body["result"], &body["_id"]), (200, &"updated".into(), &"c7".into()));
     let sent_parts = |received: &[Receiver<(u8, String)>]| {
         received.iter().flat_map(|received| received.try_iter()).filter(|(letter, _)| *letter == b'm').count()
     };
     assert_eq!(sent_parts(&received), 1);
-    let (broken, received) = mixer("broken", &[dying, dying], ("", ""));
+    let (broken, received) = mixer("broken", &[close_on_call, close_on_call], ("", ""));
     for _ in 0..4 {
         let (status, _, body) =
-            request(&mut broken.client(), "POST", "/cues/_update/c7", "", r#"{"doc":{"cue":"x"}}"#);
+            request(&mut broken.connect(), "POST", "/cues/_update/c7", "", r#"{"doc":{"cue":"x"}}"#);
         assert!(status != 429 && status != 503, "{status} invites a retry: {body}");
     }
     assert_eq!(sent_parts(&received), 4, "each edit once");
@@ -165,8 +171,8 @@
     error_type: &str,
 ) {
     let name = format!("senseless-{}-{}", status, target.len() + body.len());
-    let (mixer, _received) = mixer(&name, &[cue_node], ("", ""));
-    let mut client = mixer.client();
+    let (mixer, _received) = mixer(&name, &[answer_searches], ("", ""));
+    let mut client = mixer.connect();
     let (actual_status, _, answer) = request(&mut client, method, target, "", body);
     assert_eq!((actual_status, &answer["error"]["type"]), (status, &error_type.into()), "{answer}");
     let (next_status, ..) = request(&mut client, "GET", "/_cluster/health", "", "");
@@ -175,22 +181,27 @@
 
 /// A mixer with nodes that serve the query API over HTTP/1.1 in place of searchers that speak the frame
 /// protocol.
-fn mixer_with_nodes(name: &str, behaviours: &[Way]) -> (Mixer, Vec<Receiver<Asked>>) {
+fn mixer_with_nodes(name: &str, behaviours: &[NodeMode]) -> (MixerProcess, Vec<Receiver<NodeRequest>>) {
     let (addresses, received): (Vec<SocketAddr>, Vec<_>) =
-        behaviours.iter().map(|behaviour| node(*behaviour)).unzip();
-    let (at, known) = (free_address(), list(&addresses));
-    let orders = file(&format!("node-{name}.json"), &orders(&at.to_string(), agent(known.clone()), &known));
-    let operator =
-        file(&format!("node-{name}.json5"), &OPERATOR_CONFIG.replace("indices:", "nodes: ['s*'], indices:"));
-    (start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at), received)
+        behaviours.iter().map(|behaviour| start_node(*behaviour)).unzip();
+    let (at, known) = (free_address(), searcher_list(&addresses));
+    let orders = temp_file(
+        &format!("node-{name}.json"),
+        &mixer_config(&at.to_string(), agent_with_list(known.clone()), &known),
+    );
+    let operator = temp_file(
+        &format!("node-{name}.json5"),
+        &OPERATOR_CONFIG.replace("indices:", "nodes: ['s*'], indices:"),
+    );
+    (start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at), received)
 }
 
-const HEALTHY_NODE: Way = Way::Answers(Manner::Sound);
+const HEALTHY_NODE: NodeMode = NodeMode::Answers(AnswerMode::Valid);
 
 #[test]
 fn nodes_get_one_query_per_shard_with_the_remaining_time() {
-    let (mixer, received) = mixer_with_nodes("sound", &[HEALTHY_NODE, Way::Closes]);
-    let mut client = mixer.client();
+    let (mixer, received) = mixer_with_nodes("sound", &[HEALTHY_NODE, NodeMode::CloseAfterAnswer]);
+    let mut client = mixer.connect();
     for body in ["", r#"{"query":{"match":{"cue":"amor luz"}},"from":2,"size":9,"sort":"at"}"#] {
         let (status, _, mut actual) = request(&mut client, "POST", "/cues/_search?timeout=1500ms", "", body);
         assert_eq!(status, 200, "{actual}");
@@ -199,7 +210,7 @@
     }
     let (_, _, nodes) = request(&mut client, "GET", "/_cat/nodes?format=json", "", "");
     assert!(nodes.as_array().unwrap().iter().any(|node| node["speaks"] == "dialect-2.11.0"), "{nodes}");
-    let requests: Vec<Asked> = received.iter().flat_map(|received| received.try_iter()).collect();
+    let requests: Vec<NodeRequest> = received.iter().flat_map(|received| received.try_iter()).collect();
     assert_eq!(requests.len(), 8);
     for (_, target, _, _) in &requests {
         let timeout = target.split("timeout=").nth(1).and_then(|rest| rest.strip_suffix("ms"));
@@ -223,21 +234,21 @@
 }
 
 /// However a node fails, its part goes to another one and nothing it sent is in the answer.
-#[test_case(Way::Answers(Manner::AllShards); "ignores the preference parameter")]
-#[test_case(Way::Answers(Manner::Page); "an error page as an answer")]
-#[test_case(Way::Answers(Manner::CutShort); "a truncated body")]
-#[test_case(Way::Answers(Manner::UnknownField); "an unknown field")]
-#[test_case(Way::Full; "a full queue")]
-#[test_case(Way::Status(500); "an error")]
-#[test_case(Way::Status(302); "an unsupported status")]
-#[test_case(Way::ResetsAfter; "a connection reset before the answer")]
-#[test_case(Way::ResetsAmid; "a connection reset during the answer")]
-#[test_case(Way::Endless; "endless chunks")]
-#[test_case(Way::Open { resets: true }; "a connection reset during an answer without a length")]
-fn a_failing_node_is_a_failed_part(behaviour: Way) {
+#[test_case(NodeMode::Answers(AnswerMode::AllShards); "ignores the preference parameter")]
+#[test_case(NodeMode::Answers(AnswerMode::ErrorPage); "an error page as an answer")]
+#[test_case(NodeMode::Answers(AnswerMode::Truncated); "a truncated body")]
+#[test_case(NodeMode::Answers(AnswerMode::UnknownField); "an unknown field")]
+#[test_case(NodeMode::QueueFull; "a full queue")]
+#[test_case(NodeMode::Status(500); "an error")]
+#[test_case(NodeMode::Status(302); "an unsupported status")]
+#[test_case(NodeMode::CloseAfterRequest; "a connection reset before the answer")]
+#[test_case(NodeMode::CloseMidAnswer; "a connection reset during the answer")]
+#[test_case(NodeMode::EndlessChunks; "endless chunks")]
+#[test_case(NodeMode::AnswerUntilClose { resets: true }; "a connection reset during an answer without a length")]
+fn a_failing_node_is_a_failed_part(behaviour: NodeMode) {
     let name: String = format!("{behaviour:?}").chars().filter(char::is_ascii_alphanumeric).collect();
     let (mixer, _received) = mixer_with_nodes(&name, &[behaviour, HEALTHY_NODE, HEALTHY_NODE]);
-    let mut client = mixer.client();
+    let mut client = mixer.connect();
     for _ in 0..4 {
         let (status, _, mut actual) = request(&mut client, "GET", "/cues/_search", "", "");
         assert_eq!(status, 200, "{actual}");
@@ -251,8 +262,8 @@
 /// wrong.
 #[test]
 fn a_silent_node_delays_answers_but_never_falsifies_them() {
-    let (mixer, _received) = mixer_with_nodes("silent", &[Way::Mute, HEALTHY_NODE, HEALTHY_NODE]);
-    let mut client = mixer.client();
+    let (mixer, _received) = mixer_with_nodes("silent", &[NodeMode::NeverAnswer, HEALTHY_NODE, HEALTHY_NODE]);
+    let mut client = mixer.connect();
     let mut served = 0;
     for _ in 0..6 {
         let (status, _, mut actual) = request(&mut client, "GET", "/cues/_search", "", "");
@@ -268,37 +279,37 @@
 
 /// An edit may have run if its node resets the connection after reading it or during the answer, or sends an
 /// unusable answer. Only an edit that was refused by a full queue is sent again.
-#[test_case(Way::ResetsAfter, 502; "reset after the request")]
-#[test_case(Way::ResetsAmid, 502; "reset during the answer")]
-#[test_case(Way::Answers(Manner::Sound), 200; "saved")]
-#[test_case(Way::Open { resets: false }, 200; "saved, response without a length")]
-#[test_case(Way::Open { resets: true }, 502; "reset during a response without a length")]
-#[test_case(Way::Status(503), 502; "an error that may follow the effect")]
-#[test_case(Way::Full, 429; "refused by all nodes, so it has not run")]
-fn an_edit_is_resent_to_nodes_only_if_it_cannot_have_run(behaviour: Way, status: u16) {
+#[test_case(NodeMode::CloseAfterRequest, 502; "reset after the request")]
+#[test_case(NodeMode::CloseMidAnswer, 502; "reset during the answer")]
+#[test_case(NodeMode::Answers(AnswerMode::Valid), 200; "saved")]
+#[test_case(NodeMode::AnswerUntilClose { resets: false }, 200; "saved, response without a length")]
+#[test_case(NodeMode::AnswerUntilClose { resets: true }, 502; "reset during a response without a length")]
+#[test_case(NodeMode::Status(503), 502; "an error that may follow the effect")]
+#[test_case(NodeMode::QueueFull, 429; "refused by all nodes, so it has not run")]
+fn an_edit_is_resent_to_nodes_only_if_it_cannot_have_run(behaviour: NodeMode, status: u16) {
     let name: String = format!("edit{behaviour:?}").chars().filter(char::is_ascii_alphanumeric).collect();
     let (mixer, received) = mixer_with_nodes(&name, &[behaviour, behaviour]);
     let (actual_status, _, body) =
-        request(&mut mixer.client(), "POST", "/cues/_update/c1", "", r#"{"doc":{"cue":"x"}}"#);
+        request(&mut mixer.connect(), "POST", "/cues/_update/c1", "", r#"{"doc":{"cue":"x"}}"#);
     assert_eq!(actual_status, status, "{body}");
     let sent_requests = received.iter().flat_map(|received| received.try_iter()).count();
-    assert_eq!(sent_requests, if behaviour == Way::Full { 2 } else { 1 });
+    assert_eq!(sent_requests, if behaviour == NodeMode::QueueFull { 2 } else { 1 });
 }
 
 /// Scans of the native API are never sent to a node that speaks only the query API.
 #[test]
 fn native_scans_are_not_sent_to_query_api_nodes() {
     let (mixer, received) = mixer_with_nodes("mixed", &[HEALTHY_NODE]);
-    let mut client = mixer.client();
-    say(&mut client, fernglade_standins::client::scan("a", &[0]));
-    assert_eq!(answer(&mut client).0, 503);
+    let mut client = mixer.connect();
+    send(&mut client, fernglade_standins::client::scan_request("a", &[0]));
+    assert_eq!(read_response(&mut client).0, 503);
     assert_eq!(received[0].try_iter().count(), 0);
 }
 
 /// One request with a hundred searches: three are invalid and two have no time left.
 #[test]
 fn multi_search_answers_in_order_and_isolates_invalid_searches() {
-    let (mixer, _received) = mixer("many", &[cue_node, cue_node], ("", ""));
+    let (mixer, _received) = mixer("many", &[answer_searches, answer_searches], ("", ""));
     let search = |number: usize| match number {
         7 => "{}\n{\"size\":-1}\n".to_string(),
         50 => "{\"index\":\"none\"}\n{}\n".into(),
@@ -307,7 +318,7 @@
         number => format!("{{}}\n{{\"size\":{}}}\n", number % 5),
     };
     let body: String = (0..100).map(search).collect();
-    let mut client = mixer.client();
+    let mut client = mixer.connect();
     let (status, _, answer) = request(&mut client, "POST", "/cues/_msearch", "", &body);
     assert_eq!(status, 200);
     let responses = answer["responses"].as_array().unwrap();
@@ -333,14 +344,17 @@
 /// When a client disconnects during a multi-search, its remaining searches are not sent.
 #[test]
 fn a_disconnect_during_a_multi_search_ends_it() {
-    let (mixer, received) = mixer("leaves", &[fernglade_standins::searcher::mute], ("", ""));
-    let mut client = mixer.client();
+    let (mixer, received) = mixer("leaves", &[fernglade_standins::searcher::ignore_frames], ("", ""));
+    let mut client = mixer.connect();
     let body = "{}\n{\"timeout\":\"300ms\"}\n".repeat(4);
-    say(&mut client, format!("POST /cues/_msearch HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
-    let first = received[0].recv_timeout(fernglade_standins::PATIENCE).unwrap();
+    send(
+        &mut client,
+        format!("POST /cues/_msearch HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()),
+    );
+    let first = received[0].recv_timeout(fernglade_standins::HANG_TIMEOUT).unwrap();
     assert_eq!(first.0, b'm');
     drop(client);
-    let mut next_client = mixer.client();
+    let mut next_client = mixer.connect();
     let scan_ids = |received: &Receiver<(u8, String)>| {
         let calls = received.try_iter().filter(|(letter, _)| *letter == b'm');
         calls
@@ -356,20 +370,20 @@
 /// The same queries through the native API and the query API, with the same searchers, have the same outcome.
 #[test]
 fn native_and_query_api_have_the_same_outcomes() {
-    let (mixer, _received) = mixer("both", &[cue_node, odd_node, cue_node], ("", ""));
-    let mut clients = [mixer.client(), mixer.client()];
+    let (mixer, _received) = mixer("both", &[answer_searches, fail_odd_shards, answer_searches], ("", ""));
+    let mut clients = [mixer.connect(), mixer.connect()];
     let search = r#"{"query":{"match_all":{}},"size":3}"#;
     for number in 0..30u32 {
         let shards: Vec<u32> =
             (0..4).filter(|shard| number & (1 << shard) != 0 || *shard == number % 4).collect();
         let shard_list: Vec<String> = shards.iter().map(u32::to_string).collect();
-        let native_scan = fernglade_standins::client::scan_for(
+        let native_scan = fernglade_standins::client::scan_request_for(
             &search.replace('"', "\\\""),
             &format!("b{number}"),
             &shards,
         );
-        say(&mut clients[0], native_scan);
-        let (status, _, body) = answer(&mut clients[0]);
+        send(&mut clients[0], native_scan);
+        let (status, _, body) = read_response(&mut clients[0]);
         let target = format!("/cues/_search?preference=_shards:{}", shard_list.join(","));
         let (search_status, _, response) = request(&mut clients[1], "POST", &target, "", search);
         assert_eq!((status, search_status), (200, 200), "{body} {response}");
@@ -384,17 +398,21 @@
 /// A second listener serves the same requests as the first and shuts down with it.
 #[test]
 fn a_second_listener_serves_both_apis() {
-    let (searcher_address, _received) = searcher(cue_node);
-    let (at, second, known) = (free_address(), free_address(), list(&[searcher_address]));
-    let orders = file("dialect-further.json", &orders(&at.to_string(), agent(known.clone()), &known));
+    let (searcher_address, _received) = start_searcher(answer_searches);
+    let (at, second, known) = (free_address(), free_address(), searcher_list(&[searcher_address]));
+    let orders = temp_file(
+        "dialect-further.json",
+        &mixer_config(&at.to_string(), agent_with_list(known.clone()), &known),
+    );
     let operator_config = OPERATOR_CONFIG.replace("indices:", &format!("listen: '{second}', indices:"));
-    let operator = file("dialect-further.json5", &operator_config);
-    let mut mixer = start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at);
+    let operator = temp_file("dialect-further.json5", &operator_config);
+    let mut mixer =
+        start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at);
     for listener in [at, second] {
-        let mut client = fernglade_standins::client::client(listener);
+        let mut client = fernglade_standins::client::connect_client(listener);
         assert_eq!(request(&mut client, "GET", "/cues/_search", "", "").0, 200);
-        say(&mut client, fernglade_standins::client::scan(&format!("f{}", listener.ip()), &[0]));
-        assert_eq!(answer(&mut client).0, 200);
+        send(&mut client, fernglade_standins::client::scan_request(&format!("f{}", listener.ip()), &[0]));
+        assert_eq!(read_response(&mut client).0, 200);
     }
     mixer.signal("-TERM");
     assert!(mixer.child.wait().unwrap().success());
--- a/crates/mixer/tests/figures.rs
+++ b/crates/mixer/tests/figures.rs
@@ -2,10 +2,10 @@
 //! them, and the scan counters are consistent.
 
 use fernglade_rollout::metrics_sample::{MetricsSample, ScanCounts};
-use fernglade_standins::child::{file, free_address, orders, start, Mixer};
-use fernglade_standins::client::{answer, say, scan, scan_of};
-use fernglade_standins::discovery::{agent, list};
-use fernglade_standins::searcher::{frame, searcher};
+use fernglade_standins::child::{free_address, mixer_config, start_mixer, temp_file, MixerProcess};
+use fernglade_standins::client::{read_response, scan_request, scan_request_of, send};
+use fernglade_standins::discovery::{agent_with_list, searcher_list};
+use fernglade_standins::searcher::{frame, start_searcher};
 use std::path::Path;
 use std::thread::sleep;
 use std::time::Duration;
@@ -23,23 +23,26 @@
     })
 }
 
-fn mixer(operator: &str) -> Mixer {
-    let (address, known) = (free_address(), list(&[searcher(answer_by_shard).0]));
+fn mixer(operator: &str) -> MixerProcess {
+    let (address, known) = (free_address(), searcher_list(&[start_searcher(answer_by_shard).0]));
     let name = address.ip().to_string();
-    let orders = file(&format!("{name}.json"), &orders(&address.to_string(), agent(known.clone()), &known));
-    let operator = file(&format!("{name}.json5"), operator);
-    start(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), address)
+    let orders = temp_file(
+        &format!("{name}.json"),
+        &mixer_config(&address.to_string(), agent_with_list(known.clone()), &known),
+    );
+    let operator = temp_file(&format!("{name}.json5"), operator);
+    start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), address)
 }
 
-fn read_metrics(mixer: &Mixer) -> MetricsSample {
-    let mut client = mixer.client();
-    say(&mut client, METRICS_REQUEST);
-    let (status, head, body) = answer(&mut client);
+fn read_metrics(mixer: &MixerProcess) -> MetricsSample {
+    let mut client = mixer.connect();
+    send(&mut client, METRICS_REQUEST);
+    let (status, head, body) = read_response(&mut client);
     assert!(status == 200 && head.contains("openmetrics"), "{head}");
     MetricsSample::parse(&body).unwrap_or_else(|why| panic!("{why}: {body}"))
 }
 
-fn wait_for_metrics(mixer: &Mixer, condition: impl Fn(&MetricsSample) -> bool) -> MetricsSample {
+fn wait_for_metrics(mixer: &MixerProcess, condition: impl Fn(&MetricsSample) -> bool) -> MetricsSample {
     for _ in 0..200 {
         let metrics = read_metrics(mixer);
         assert_eq!(metrics.inconsistent_type(), None, "{metrics:?}");
@@ -54,22 +57,22 @@
 #[test]
 fn each_scan_is_counted_in_exactly_one_outcome() {
     let mixer = mixer("{ figures: { to: ['127.0.0.0/8'] } }");
-    let mut client = mixer.client();
-    say(&mut client, scan("a", &[0]));
-    assert_eq!(answer(&mut client).0, 200);
+    let mut client = mixer.connect();
+    send(&mut client, scan_request("a", &[0]));
+    assert_eq!(read_response(&mut client).0, 200);
     // A failed lookup is safe to retry; a failed edit may have run.
-    say(&mut client, scan("b", &[1]));
-    assert_eq!(answer(&mut client).0, 503);
-    say(&mut client, scan_of("fix", "x", "c", &[1]));
-    assert_eq!(answer(&mut client).0, 502);
+    send(&mut client, scan_request("b", &[1]));
+    assert_eq!(read_response(&mut client).0, 503);
+    send(&mut client, scan_request_of("fix", "x", "c", &[1]));
+    assert_eq!(read_response(&mut client).0, 502);
     // One scan whose client disconnects before the answer, and one that stays open.
-    let mut leaving_client = mixer.client();
-    say(&mut leaving_client, scan("d", &[2]));
+    let mut leaving_client = mixer.connect();
+    send(&mut leaving_client, scan_request("d", &[2]));
     wait_for_metrics(&mixer, |metrics| metrics.types["look"].open == 1);
     drop(leaving_client);
     wait_for_metrics(&mixer, |metrics| metrics.types["look"].failed == 1);
-    let mut waiting_client = mixer.client();
-    say(&mut waiting_client, scan("e", &[2]));
+    let mut waiting_client = mixer.connect();
+    send(&mut waiting_client, scan_request("e", &[2]));
     let metrics = wait_for_metrics(&mixer, |metrics| metrics.types["look"].open == 1);
     let counts = |sums: &ScanCounts| (sums.taken, sums.served, sums.refused, sums.failed, sums.open);
     assert_eq!(counts(&metrics.types["look"]), (4, 1, 1, 1, 1));
@@ -88,7 +91,7 @@
 }
 
 /// The shell that set the descriptor limit replaced itself by the mixer, so the child's id is the mixer's.
-fn mixer_process(mixer: &Mixer) -> u32 {
+fn mixer_process(mixer: &MixerProcess) -> u32 {
     mixer.child.id()
 }
 
@@ -119,11 +122,11 @@
 fn metrics_are_hidden_from_other_clients() {
     for operator in ["{}", "{ figures: { to: ['10.0.0.0/8'] } }"] {
         let mixer = mixer(operator);
-        let mut client = mixer.client();
-        say(&mut client, METRICS_REQUEST);
-        let (status, _, body) = answer(&mut client);
+        let mut client = mixer.connect();
+        send(&mut client, METRICS_REQUEST);
+        let (status, _, body) = read_response(&mut client);
         assert!(status == 405 && !body.contains("fernglade"), "{body}");
-        say(&mut client, scan("a", &[0]));
-        assert_eq!(answer(&mut client).0, 200, "the connection stays usable");
+        send(&mut client, scan_request("a", &[0]));
+        assert_eq!(read_response(&mut client).0, 200, "the connection stays usable");
     }
 }
--- a/crates/mixer/tests/fleet.rs
+++ b/crates/mixer/tests/fleet.rs
@@ -2,16 +2,16 @@
 //! connections between them. They check the rules that hold in every simulated day, and wide ratios of what
 //! was served; times only bound a day.
 
-use fernglade_standins::child::{file, free_address, orders, start};
-use fernglade_standins::client::{answer, say, scan};
-use fernglade_standins::discovery::{agent, list};
-use fernglade_standins::fleet::{play, Breach, Day, Figures};
-use fernglade_standins::searcher::{good, searcher};
+use fernglade_standins::child::{free_address, mixer_config, start_mixer, temp_file};
+use fernglade_standins::client::{read_response, scan_request, send};
+use fernglade_standins::discovery::{agent_with_list, searcher_list};
+use fernglade_standins::fleet::{runner, RunStatistics, Scenario, Violation};
+use fernglade_standins::searcher::{answer_parts, start_searcher};
 use std::path::{Path, PathBuf};
 use std::sync::OnceLock;
 use test_case::test_case;
 
-fn day(faults: &str, mixers: &str) -> Day {
+fn day(faults: &str, mixers: &str) -> Scenario {
     let text = format!(
         r#"{{
           lasts: "7s", mixers: {mixers}, searchers: {{ cells: 3, replicas: 3, cold_from: 0.3, cold: "4s" }},
@@ -23,23 +23,27 @@
           ],
           troubles: [{faults}] }}"#
     );
-    Day::read(&text).unwrap()
+    Scenario::parse(&text).unwrap()
 }
 
-fn run_day(day: &Day, seed: u64) -> (Figures, Vec<Breach>) {
+fn run_day(day: &Scenario, seed: u64) -> (RunStatistics, Vec<Violation>) {
     run_day_with_operator(day, seed, None)
 }
 
-fn run_day_with_operator(day: &Day, seed: u64, operator: Option<&Path>) -> (Figures, Vec<Breach>) {
-    let played = play::play(day, seed, Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), operator).unwrap();
-    (played.figures, played.breaches)
+fn run_day_with_operator(
+    day: &Scenario,
+    seed: u64,
+    operator: Option<&Path>,
+) -> (RunStatistics, Vec<Violation>) {
+    let played = runner::run(day, seed, Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), operator).unwrap();
+    (played.statistics, played.violations)
 }
 
 /// An operator file that enables fleet-wide load shedding. Written only once, as a mixer of another test may
 /// be reading it.
 fn fleet_shedding_operator() -> &'static Path {
     static FILE: OnceLock<PathBuf> = OnceLock::new();
-    FILE.get_or_init(|| file("as-one.json5", "{ shedding: { as_one: true } }"))
+    FILE.get_or_init(|| temp_file("as-one.json5", "{ shedding: { as_one: true } }"))
 }
 
 /// The bounds on what each fault may cost are wide, because a machine that compiles at the same time is slow.
@@ -55,9 +59,9 @@
 fn faults_break_no_rule_and_most_scans_are_served(faults: &str, least_share: f64, most_sent_over_asked: f64) {
     let (figures, breaches) = run_day(&day(faults, "{ count: 3 }"), 11);
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    let whole = figures.whole();
-    assert!(whole.scans > 400 && whole.share() >= least_share, "{figures}");
-    assert!(whole.sent_over_asked() <= most_sent_over_asked, "{figures}");
+    let whole = figures.total();
+    assert!(whole.scans > 400 && whole.served_share() >= least_share, "{figures}");
+    assert!(whole.relays_per_part() <= most_sent_over_asked, "{figures}");
 }
 
 #[test_case("{ what: 'stall', at: '2s', lasts: '1500ms', mixers: [1] }"; "a mixer is stopped, and its state is stale")]
@@ -67,9 +71,9 @@
 fn unavailable_mixers_break_no_rule_and_the_others_keep_serving(faults: &str) {
     let (figures, breaches) = run_day(&day(faults, "{ count: 3 }"), 12);
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    assert!(figures.whole().share() >= 0.4, "{figures}");
-    let last = figures.between(5, 7);
-    assert!(last.share() >= 0.8, "the mixers are back: {figures}");
+    assert!(figures.total().served_share() >= 0.4, "{figures}");
+    let last = figures.sum_between(5, 7);
+    assert!(last.served_share() >= 0.8, "the mixers are back: {figures}");
 }
 
 #[test_case("{ count: 4, first: 0.25 }"; "one mixer has a quarter of all scans")]
@@ -79,11 +83,11 @@
     let faults = "{ what: 'crash', at: '1500ms', lasts: '1s', searchers: [0, 1, 3, 4, 6] }";
     let (figures, breaches) = run_day(&day(faults, mixers), 13);
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    let last = figures.between(5, 7);
-    assert!(last.share() >= 0.8, "{figures}");
+    let last = figures.sum_between(5, 7);
+    assert!(last.served_share() >= 0.8, "{figures}");
     // Each of four mixers probes a dead searcher every five seconds, and connects to one that is back when it
     // has a part for it.
-    assert!(figures.most_checks() <= 8, "{figures}");
+    assert!(figures.max_probes() <= 8, "{figures}");
 }
 
 /// What the test of a whole fleet requires of the program, as far as it can be checked here
@@ -102,13 +106,13 @@
         "no dynamic loader is named"
     );
     let at = free_address();
-    let known = list(&[searcher(good).0]);
-    let config = orders(&at.to_string(), agent(known.clone()), &known);
-    let mixer = start(program, 256, file("alone.json", &config), None, at);
-    let mut client = mixer.client();
+    let known = searcher_list(&[start_searcher(answer_parts).0]);
+    let config = mixer_config(&at.to_string(), agent_with_list(known.clone()), &known);
+    let mixer = start_mixer(program, 256, temp_file("alone.json", &config), None, at);
+    let mut client = mixer.connect();
     for number in 0..20 {
-        say(&mut client, scan(&format!("a{number}"), &[0, 1]));
-        assert_eq!(answer(&mut client).0, 200);
+        send(&mut client, scan_request(&format!("a{number}"), &[0, 1]));
+        assert_eq!(read_response(&mut client).0, 200);
     }
     let process = format!("/proc/{}", mixer.child.id());
     let threads: Vec<_> = std::fs::read_dir(format!("{process}/task")).unwrap().flatten().collect();
@@ -120,7 +124,7 @@
 }
 
 /// Scans that need every cell, edits worth twice as much, and clients of which half retry without waiting.
-fn overload_day(load: f64, faults: &str, mixers: &str) -> Day {
+fn overload_day(load: f64, faults: &str, mixers: &str) -> Scenario {
     let text = format!(
         r#"{{
           lasts: "7s", mixers: {mixers}, searchers: {{ cells: 3, replicas: 2, cold_from: 0.3, cold: "3s" }},
@@ -131,7 +135,7 @@
           ],
           troubles: [{faults}] }}"#
     );
-    Day::read(&text).unwrap().at_load(load)
+    Scenario::parse(&text).unwrap().with_load(load)
 }
 
 /// With fleet-wide load shedding, overload and connection faults break no rule, are not amplified by relays,
@@ -155,12 +159,12 @@
     let (figures, breaches) =
         run_day_with_operator(&overload_day(load, faults, mixers), 21, Some(fleet_shedding_operator()));
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    let whole = figures.whole();
-    assert!(whole.share() >= least_share, "{figures}");
-    assert!(whole.sent_over_asked() <= 1.2, "{figures}");
+    let whole = figures.total();
+    assert!(whole.served_share() >= least_share, "{figures}");
+    assert!(whole.relays_per_part() <= 1.2, "{figures}");
     let (_, sent, served) = figures.types["fix"];
     // Nothing that reached a mixer while it was stopped can be served, with any load shedding.
-    let stopped = figures.stood.get("fix").copied().unwrap_or_default();
+    let stopped = figures.lost_to_stalls.get("fix").copied().unwrap_or_default();
     assert!(
         served >= 0.9 * (sent - stopped),
         "edits have priority over lookups, {stopped} reached a stopped mixer: {figures}"
@@ -175,9 +179,9 @@
     day.lasts = std::time::Duration::from_secs(11);
     let (figures, breaches) = run_day_with_operator(&day, 22, Some(fleet_shedding_operator()));
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    let (burst, after) = (figures.between(2, 4), figures.between(8, 11));
-    assert!(burst.share() <= 0.7, "the burst exceeds the capacity: {figures}");
-    assert!(after.share() >= 0.9, "{figures}");
+    let (burst, after) = (figures.sum_between(2, 4), figures.sum_between(8, 11));
+    assert!(burst.served_share() <= 0.7, "the burst exceeds the capacity: {figures}");
+    assert!(after.served_share() >= 0.9, "{figures}");
 }
 
 /// A sixth of the searchers is cut off while their connections stay open. Each mixer probes such a searcher
@@ -191,11 +195,14 @@
             { name: "fix", rate: 10, parts: 1, work: "5ms", quoted: "600ms", abandon: "1500ms", repeat: "irreversible", credit: 2 },
           ],
           troubles: [{ what: 'cut', at: '2s', lasts: '3s', searchers: [0, 7, 14] }] }"#;
-    let operator = file("asks.json5", "{ searchers: { checks_beside_queue: true } }");
-    let (figures, breaches) = run_day_with_operator(&Day::read(text).unwrap(), 31, Some(&operator));
+    let operator = temp_file("asks.json5", "{ searchers: { checks_beside_queue: true } }");
+    let (figures, breaches) = run_day_with_operator(&Scenario::parse(text).unwrap(), 31, Some(&operator));
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    assert!(figures.whole().sent_over_asked() <= 1.2 && figures.between(2, 5).share() >= 0.7, "{figures}");
-    assert!((1..=6).contains(&figures.most_checks()), "{figures}");
+    assert!(
+        figures.total().relays_per_part() <= 1.2 && figures.sum_between(2, 5).served_share() >= 0.7,
+        "{figures}"
+    );
+    assert!((1..=6).contains(&figures.max_probes()), "{figures}");
 }
 
 /// An operator file with fleet-wide limits on relays and health probes, and probes that bypass the searchers'
@@ -203,7 +210,7 @@
 fn fleet_limits_operator() -> &'static Path {
     static FILE: OnceLock<PathBuf> = OnceLock::new();
     let sums = "fleet: { relays_in_sum: true, asks_in_sum: true }, searchers: { checks_beside_queue: true }";
-    FILE.get_or_init(|| file("in-sum.json5", &format!("{{ {sums} }}")))
+    FILE.get_or_init(|| temp_file("in-sum.json5", &format!("{{ {sums} }}")))
 }
 
 /// One of eighteen searchers stops responding, also to probes. The six mixers spread their probes: each
@@ -220,10 +227,10 @@
           troubles: [{{ what: 'hang', at: '1s', lasts: '13s', searchers: [7] }}] }}"#
     );
     let (figures, breaches) =
-        run_day_with_operator(&Day::read(&text).unwrap(), 41, Some(fleet_limits_operator()));
+        run_day_with_operator(&Scenario::parse(&text).unwrap(), 41, Some(fleet_limits_operator()));
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    assert!(figures.whole().sent_over_asked() <= 1.2, "{figures}");
-    let probes: Vec<usize> = (4..14).map(|s| figures.most(&[7], s..s + 1, |load| load.checks)).collect();
+    assert!(figures.total().relays_per_part() <= 1.2, "{figures}");
+    let probes: Vec<usize> = (4..14).map(|s| figures.max_load(&[7], s..s + 1, |load| load.probes)).collect();
     assert!(probes.iter().sum::<usize>() <= most_probes, "{probes:?}");
     assert!(
         probes.iter().filter(|second| **second > 0).count() >= least_seconds,
@@ -241,10 +248,10 @@
     let faults = format!("{further_faults} {{ what: 'full', at: '2s', lasts: '3s', searchers: [0, 3, 6] }}");
     let (figures, breaches) = run_day_with_operator(&day(&faults, mixers), 42, Some(fleet_limits_operator()));
     assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    let whole = figures.whole();
+    let whole = figures.total();
     // A fifth of all parts, and for each of three cells the relays that time earns in ten seconds, doubled
     // because the mixers may be configured with half of their number.
-    assert!(whole.further as f64 <= 0.2 * whole.parts as f64 + 3.0 * 2.0 * 10.0, "{figures}");
-    assert!(whole.turned_away >= 3, "the full searchers were asked: {figures}");
-    assert!(whole.share() >= 0.6 && figures.between(6, 7).share() >= 0.8, "{figures}");
+    assert!(whole.retries as f64 <= 0.2 * whole.parts as f64 + 3.0 * 2.0 * 10.0, "{figures}");
+    assert!(whole.rejected_parts >= 3, "the full searchers were asked: {figures}");
+    assert!(whole.served_share() >= 0.6 && figures.sum_between(6, 7).served_share() >= 0.8, "{figures}");
 }
--- a/crates/mixer/tests/scale.rs
+++ b/crates/mixer/tests/scale.rs
@@ -1,10 +1,10 @@
 //! Scaling tests of the built mixer: with sixteen times the searchers its resource usage may grow only a
 //! little, and every request is answered.
 
-use fernglade_standins::child::{file, free_address, orders, start, Mixer};
-use fernglade_standins::client::{say, scan, try_answer, Client};
-use fernglade_standins::discovery::Agent;
-use fernglade_standins::searcher::{counting_searcher_on, good};
+use fernglade_standins::child::{free_address, mixer_config, start_mixer, temp_file, MixerProcess};
+use fernglade_standins::client::{scan_request, send, try_read_response, Client};
+use fernglade_standins::discovery::ScriptedAgent;
+use fernglade_standins::searcher::{answer_parts, start_counting_searcher_on};
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
 use std::sync::atomic::Ordering;
@@ -49,8 +49,8 @@
 fn measure(searchers: u32, cells: u32) -> Usage {
     let listener = TcpListener::bind("0.0.0.0:0").expect("a port");
     let port = listener.local_addr().expect("its address").port();
-    let (_received, accepted) = counting_searcher_on(listener, good);
-    let agent = Agent::default();
+    let (_received, accepted) = start_counting_searcher_on(listener, answer_parts);
+    let agent = ScriptedAgent::default();
     let rows: Vec<String> =
         (0..searchers).map(|number| instance_entry(number, cells, port, "SERVING")).collect();
     let full_list = list(1, true, &rows);
@@ -63,13 +63,13 @@
             format!("\"fleet_size\":{}", if searchers > USUAL_SEARCHERS { 900 } else { 300 }),
         ),
     ];
-    let config = orders(&address.to_string(), agent.at(), &full_list);
+    let config = mixer_config(&address.to_string(), agent.address(), &full_list);
     let config = changes.iter().fold(config, |config, (from, to)| config.replace(from, to));
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    let mixer = start(program, 4096, file(&format!("scale-{port}.json"), &config), None, address);
+    let mixer = start_mixer(program, 4096, temp_file(&format!("scale-{port}.json"), &config), None, address);
     let (list_sent, list_received) = channel();
     let replacement_thread = thread::spawn(move || {
-        let mut call = agent.call().answer(&full_list);
+        let mut call = agent.next_request().respond(&full_list);
         list_sent.send(()).expect("the test waits for the list");
         for replaced in 0..REQUESTS / PER_SECOND * 2 {
             thread::sleep(Duration::from_millis(500));
@@ -77,17 +77,17 @@
             let new = instance_entry(new, cells, port, "SERVING")
                 .replace(&format!("\"cell\":{}", new % cells), &format!("\"cell\":{}", old % cells));
             call =
-                call.answer(&list(2 + replaced, false, &[instance_entry(old, cells, port, "DELETED"), new]));
+                call.respond(&list(2 + replaced, false, &[instance_entry(old, cells, port, "DELETED"), new]));
         }
         call
     });
     list_received.recv().expect("the mixer requests newer changes");
-    let (_, cpu_before, _) = mixer.descriptors_time_memory();
+    let (_, cpu_before, _) = mixer.resource_usage();
     let connected_before = accepted.load(Ordering::Relaxed);
     let process = mixer.child.id();
     let mean_open_descriptors = thread::spawn(move || mean_open_descriptors(process));
     let unanswered = send_all(&mixer);
-    let (_, cpu_after, kilobytes) = mixer.descriptors_time_memory();
+    let (_, cpu_after, kilobytes) = mixer.resource_usage();
     let descriptors = mean_open_descriptors.join().expect("the descriptor count");
     drop(replacement_thread.join().expect("the mixer keeps requesting changes"));
     let cpu_time = Duration::from_millis((cpu_after - cpu_before) * 10);
@@ -107,20 +107,20 @@
 
 /// Sends all requests, each client at times of its own, and returns how many were not answered with status
 /// 200.
-fn send_all(mixer: &Mixer) -> usize {
+fn send_all(mixer: &MixerProcess) -> usize {
     let began = Instant::now();
     let ask = move |first: u32, mut client: Client| {
         let mut unanswered = 0;
         for number in (first..REQUESTS).step_by(CLIENTS as usize) {
             thread::sleep((Duration::from_secs(1) * number / PER_SECOND).saturating_sub(began.elapsed()));
             let shards: Vec<u32> = (0..8).map(|part| (number * 8 + part * 5) % 128).collect();
-            say(&mut client, scan(&format!("r{number}"), &shards));
-            unanswered += usize::from(!try_answer(&mut client).is_ok_and(|answer| answer.0 == 200));
+            send(&mut client, scan_request(&format!("r{number}"), &shards));
+            unanswered += usize::from(!try_read_response(&mut client).is_ok_and(|answer| answer.0 == 200));
         }
         unanswered
     };
     let clients: Vec<_> = (0..CLIENTS)
-        .map(|first| (first, mixer.client()))
+        .map(|first| (first, mixer.connect()))
         .map(|(first, client)| thread::spawn(move || ask(first, client)))
         .collect();
     clients.into_iter().map(|client| client.join().expect("a client")).sum()
--- a/crates/mixer/tests/signals.rs
+++ b/crates/mixer/tests/signals.rs
@@ -4,10 +4,12 @@
 //! were ignored silently. In 5 of 12 runs with one socket write in five short or interrupted, SIGTERM had no
 //! effect and nothing was logged; without such faults it took effect in all runs.
 
-use fernglade_standins::child::{file, free_address, orders, start_with_system_faults, Mixer, SystemFault};
-use fernglade_standins::client::{say, HEALTH};
-use fernglade_standins::discovery::{agent, list};
-use fernglade_standins::searcher::{good, searcher};
+use fernglade_standins::child::{
+    free_address, mixer_config, start_with_syscall_faults, temp_file, MixerProcess, SyscallFault,
+};
+use fernglade_standins::client::{send, HEALTH_REQUEST};
+use fernglade_standins::discovery::{agent_with_list, searcher_list};
+use fernglade_standins::searcher::{answer_parts, start_searcher};
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -20,7 +22,7 @@
 /// One run of a mixer: the injected fault, the number of configuration reloads, and the signal that ends the
 /// run.
 struct Run {
-    fault: SystemFault,
+    fault: SyscallFault,
     reloads: usize,
     end_signal: &'static str,
 }
@@ -45,7 +47,7 @@
             // they are interrupted: if every call were, the mixer would hang in its own logging forever.
             let wakes_mixer = matches!(call, "sendto" | "recvfrom");
             let patterns = ONE_IN.iter().copied().chain(wakes_mixer.then_some(FROM_EIGHTH_CALL));
-            faults.extend(patterns.map(|when| SystemFault { call, error, when }));
+            faults.extend(patterns.map(|when| SyscallFault { call, error, when }));
         }
     }
     let runs = faults.iter().copied().cycle().take(50).enumerate();
@@ -53,12 +55,12 @@
     runs.map(|(number, fault)| Run { fault, reloads: number % 12, end_signal: end_signal(number) }).collect()
 }
 
-fn read_log(mixer: &Mixer) -> String {
+fn read_log(mixer: &MixerProcess) -> String {
     std::fs::read_to_string(&mixer.files[1]).expect("its log")
 }
 
 /// Whether the log contains these words this many times before the time limit.
-fn logs_in_time(mixer: &Mixer, words: &str, times: usize) -> bool {
+fn logs_in_time(mixer: &MixerProcess, words: &str, times: usize) -> bool {
     let started = Instant::now();
     loop {
         if read_log(mixer).matches(words).count() >= times {
@@ -73,15 +75,15 @@
 
 /// Performs a run, and returns the signals that took no effect in time.
 fn perform(number: usize, run: &Run) -> Vec<String> {
-    let (address, _received) = searcher(good);
-    let (listen_address, known) = (free_address(), list(&[address]));
-    let config = orders(&listen_address.to_string(), agent(known.clone()), &known);
+    let (address, _received) = start_searcher(answer_parts);
+    let (listen_address, known) = (free_address(), searcher_list(&[address]));
+    let config = mixer_config(&listen_address.to_string(), agent_with_list(known.clone()), &known);
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    let orders = file(&format!("signals-{number}.json"), &config);
-    let mixer = start_with_system_faults(program, orders, listen_address, &[run.fault]);
+    let orders = temp_file(&format!("signals-{number}.json"), &config);
+    let mixer = start_with_syscall_faults(program, orders, listen_address, &[run.fault]);
     // Some more reads and writes, so that the faults have begun.
-    let mut clients: Vec<_> = (0..8).map(|_| mixer.client()).collect();
-    clients.iter_mut().for_each(|client| say(client, HEALTH));
+    let mut clients: Vec<_> = (0..8).map(|_| mixer.connect()).collect();
+    clients.iter_mut().for_each(|client| send(client, HEALTH_REQUEST));
     let mut without_effect = Vec::new();
     for reload in 1..=run.reloads {
         thread::sleep(Duration::from_millis(50));
@@ -105,7 +107,7 @@
     for (number, run) in runs.iter().enumerate() {
         let without_effect = perform(number, run);
         if !without_effect.is_empty() {
-            let SystemFault { call, error, when } = run.fault;
+            let SyscallFault { call, error, when } = run.fault;
             failures.push(format!("run {number}, {call} {error} {when}: {}", without_effect.join(", ")));
         }
     }
--- a/crates/mixer/tests/soak.rs
+++ b/crates/mixer/tests/soak.rs
@@ -4,11 +4,11 @@
 //! third system calls fail. `SOAK_SEEDS=A..B` selects other seeds.
 
 use fernglade_standins::child::{
-    file, free_address, orders, start, start_with_system_faults, Mixer, SystemFault,
+    free_address, mixer_config, start_mixer, start_with_syscall_faults, temp_file, MixerProcess, SyscallFault,
 };
-use fernglade_standins::client::{reader, scan_of, try_answer, Client};
-use fernglade_standins::discovery::{agent, list};
-use fernglade_standins::searcher::{good, searcher};
+use fernglade_standins::client::{client_from_stream, scan_request_of, try_read_response, Client};
+use fernglade_standins::discovery::{agent_with_list, searcher_list};
+use fernglade_standins::searcher::{answer_parts, start_searcher};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
 
 fn brief_searcher(letter: u8, rest: &str) -> Option<Vec<u8>> {
     thread::sleep(Duration::from_millis(2));
-    good(letter, rest)
+    answer_parts(letter, rest)
 }
 
 /// How a request ended, as seen by its client.
@@ -93,7 +93,7 @@
         let kind = if self.rng.random_bool(0.3) { "fix" } else { "look" };
         let name = format!("{kind}-{}-{count}", self.number);
         let shards: Vec<u32> = (0..self.rng.random_range(1..4)).collect();
-        scan_of(kind, "x", &name, &shards).replace("X-Timeout: 4.0", "X-Timeout: 0.6")
+        scan_request_of(kind, "x", &name, &shards).replace("X-Timeout: 4.0", "X-Timeout: 0.6")
     }
 
     /// Sends the request on the open connection; if that closes without an answer, once more on a new
@@ -110,7 +110,7 @@
             return Outcome::ConnectionsRefused;
         }
         let Ok(stream) = TcpStream::connect(self.at) else { return Outcome::ConnectionsRefused };
-        let (mut client, connected) = (reader(stream), self.started.elapsed());
+        let (mut client, connected) = (client_from_stream(stream), self.started.elapsed());
         let outcome = self.exchange(&mut client, request, sent).unwrap_or(Outcome::Lost);
         if outcome == Outcome::Lost {
             let id = request.lines().find(|line| line.starts_with("X-Request-ID")).unwrap_or_default();
@@ -129,7 +129,7 @@
         }
         client.get_mut().write_all(pieces.1.as_bytes()).ok()?;
         client.get_mut().set_read_timeout(Some(DEADLINE + GRACE)).expect("a time");
-        let status = match try_answer(client) {
+        let status = match try_read_response(client) {
             Ok((status, _, _)) => status,
             Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => return Some(Outcome::Lost),
             Err(_) => return None,
@@ -152,21 +152,21 @@
     killed: bool,
 }
 
-fn mixer(seed: u64, searchers: &[SocketAddr]) -> Mixer {
-    let (address, known) = (free_address(), list(searchers));
-    let config = orders(&address.to_string(), agent(known.clone()), &known);
+fn mixer(seed: u64, searchers: &[SocketAddr]) -> MixerProcess {
+    let (address, known) = (free_address(), searcher_list(searchers));
+    let config = mixer_config(&address.to_string(), agent_with_list(known.clone()), &known);
     let short_limits = [("\"aim\":2000000", "\"aim\":500000"), ("\"give_up\":4000000", "\"give_up\":600000")];
     let config = short_limits.iter().fold(config, |config, (from, to)| config.replace(from, to));
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    let orders = file(&format!("soak-{seed}.json"), &config);
+    let orders = temp_file(&format!("soak-{seed}.json"), &config);
     match system_faults(seed) {
-        Some(faults) => start_with_system_faults(program, orders, address, &faults),
-        None => start(program, 1024, orders, None, address),
+        Some(faults) => start_with_syscall_faults(program, orders, address, &faults),
+        None => start_mixer(program, 1024, orders, None, address),
     }
 }
 
 /// In every third run, system calls on connections fail, and calls that establish them.
-fn system_faults(seed: u64) -> Option<[SystemFault; 2]> {
+fn system_faults(seed: u64) -> Option<[SyscallFault; 2]> {
     const CONNECTION_FAULTS: [(&str, &str, &str); 4] = [
         ("sendto", "EINTR", "3+5"),
         ("recvfrom", "EINTR", "3+5"),
@@ -181,7 +181,7 @@
         ("socket", "ENOBUFS", "9+7"),
         ("epoll_ctl", "ENOMEM", "3+2"),
     ];
-    let fault = |(call, error, when)| SystemFault { call, error, when };
+    let fault = |(call, error, when)| SyscallFault { call, error, when };
     let run_index = (seed / 3) as usize;
     (seed % 3 == 1).then(|| [fault(CONNECTION_FAULTS[run_index % 4]), fault(CONNECT_FAULTS[run_index % 6])])
 }
@@ -190,22 +190,22 @@
     let mut rng = Pcg32::seed_from_u64(seed);
     SEARCHER_HANGS.store(false, Ordering::Relaxed);
     let searchers = [
-        searcher(hanging_searcher),
-        searcher(brief_searcher),
-        searcher(brief_searcher),
-        searcher(brief_searcher),
+        start_searcher(hanging_searcher),
+        start_searcher(brief_searcher),
+        start_searcher(brief_searcher),
+        start_searcher(brief_searcher),
     ];
     let addresses: Vec<SocketAddr> = searchers.iter().map(|(address, _)| *address).collect();
     let mut mixer = mixer(seed, &addresses);
     let idle_connections: Vec<TcpStream> = (0..if seed.is_multiple_of(3) { 200 } else { 0 })
-        .filter_map(|_| TcpStream::connect(mixer.at).ok())
+        .filter_map(|_| TcpStream::connect(mixer.address).ok())
         .collect();
     let started = Instant::now();
     let killed_at = started + SERVING_TIME + KILL_DELAY;
     let callers: Vec<_> = (0..rng.random_range(20..60))
         .map(|number| {
             let rng = Pcg32::seed_from_u64(seed << 16 | number as u64);
-            let caller = Caller { at: mixer.at, rng, number, killed_at, outcomes: Vec::new(), started };
+            let caller = Caller { at: mixer.address, rng, number, killed_at, outcomes: Vec::new(), started };
             thread::spawn(move || caller.run())
         })
         .collect();
--- a/crates/mixer/tests/sockets.rs
+++ b/crates/mixer/tests/sockets.rs
@@ -1,11 +1,14 @@
 //! Tests of the built mixer on loopback, against simulated clients, searchers and discovery. They check which
 //! responses arrive and in which order; timeouts only keep a failing test from hanging.
 
-use fernglade_standins::child::{file, free_address, orders};
-use fernglade_standins::client::{answer, say, scan, scan_for, scan_of};
-use fernglade_standins::discovery::{agent, agent_saying, list};
-use fernglade_standins::searcher::{dying, garbled, good, mute, searcher, slow, Habit};
-use fernglade_standins::PATIENCE;
+use fernglade_standins::child::{free_address, mixer_config, temp_file};
+use fernglade_standins::client::{read_response, scan_request, scan_request_for, scan_request_of, send};
+use fernglade_standins::discovery::{agent_with_list, agent_with_responses, searcher_list};
+use fernglade_standins::searcher::{
+    answer_parts, answer_slowly, close_on_call, ignore_frames, send_invalid_frame, start_searcher,
+    FrameHandler,
+};
+use fernglade_standins::HANG_TIMEOUT;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -15,7 +18,7 @@
 use test_case::test_case;
 
 fn config_file(name: &str, text: &str) -> PathBuf {
-    file(&format!("{name}.json"), text)
+    temp_file(&format!("{name}.json"), text)
 }
 
 fn command(path: &Path) -> Command {
@@ -40,7 +43,7 @@
 
 fn mixer(name: &str, discovery: SocketAddr, known: &str) -> Mixer {
     let at = free_address();
-    start(at, config_file(name, &orders(&at.to_string(), discovery, known)))
+    start(at, config_file(name, &mixer_config(&at.to_string(), discovery, known)))
 }
 
 /// Starts a mixer and waits until its health check succeeds.
@@ -52,7 +55,7 @@
     for _ in 0..400 {
         if let Ok(mut client) = TcpStream::connect(mixer.at) {
             client.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").unwrap();
-            if answer(&mut BufReader::new(client)).0 == 200 {
+            if read_response(&mut BufReader::new(client)).0 == 200 {
                 return mixer;
             }
         }
@@ -63,94 +66,96 @@
 
 fn client(mixer: &Mixer) -> BufReader<TcpStream> {
     let stream = TcpStream::connect(mixer.at).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
     BufReader::new(stream)
 }
 
 #[test]
 fn fragmented_and_pipelined_scans_are_answered_in_order() {
-    let (address, received) = searcher(good);
-    let mixer = mixer("pieces", agent(list(&[address])), &list(&[]));
+    let (address, received) = start_searcher(answer_parts);
+    let mixer = mixer("pieces", agent_with_list(searcher_list(&[address])), &searcher_list(&[]));
     let mut client = client(&mixer);
-    scan("a", &[0, 1]).bytes().for_each(|byte| say(&mut client, [byte]));
-    let (status, _, body) = answer(&mut client);
+    scan_request("a", &[0, 1]).bytes().for_each(|byte| send(&mut client, [byte]));
+    let (status, _, body) = read_response(&mut client);
     let text = r#"{"total":true,"answers":[{"range":0,"blob":"of a.0"},{"range":1,"blob":"of a.1"}]}"#;
     assert_eq!((status, body.as_str()), (200, text));
-    let call = received.recv_timeout(PATIENCE).unwrap();
+    let call = received.recv_timeout(HANG_TIMEOUT).unwrap();
     assert!(call.0 == b'm' && call.1.ends_with(" 3\ncé"), "{call:?}");
-    say(&mut client, scan("b", &[2]) + &scan("c", &[3]));
-    assert!(answer(&mut client).2.contains("of b.2"));
-    assert!(answer(&mut client).2.contains("of c.3"));
-    say(&mut client, scan_for(&"x".repeat(65_000), "long", &[0, 1, 2, 3]));
-    assert_eq!(answer(&mut client).0, 200, "a body close to the size limit is forwarded intact");
+    send(&mut client, scan_request("b", &[2]) + &scan_request("c", &[3]));
+    assert!(read_response(&mut client).2.contains("of b.2"));
+    assert!(read_response(&mut client).2.contains("of c.3"));
+    send(&mut client, scan_request_for(&"x".repeat(65_000), "long", &[0, 1, 2, 3]));
+    assert_eq!(read_response(&mut client).0, 200, "a body close to the size limit is forwarded intact");
     assert!(received.iter().any(|(_, rest)| rest.starts_with("long.") && rest.len() > 65_000));
 }
 
 #[test]
 fn malformed_discovery_responses_are_retried_until_a_valid_one_arrives() {
-    let (address, _received) = searcher(good);
+    let (address, _received) = start_searcher(answer_parts);
     let http =
         |status, body: &str| format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    let list = http(200, &list(&[address]));
+    let list = http(200, &searcher_list(&[address]));
     let answers = vec!["".into(), "what?\r\n\r\n".into(), http(500, ""), http(200, "{}"), list];
     // The mixer reports ready only once it knows a searcher.
-    let mixer = mixer("nonsense", agent_saying(answers), r#"{"generation":9,"reset":true,"instances":[]}"#);
+    let mixer =
+        mixer("nonsense", agent_with_responses(answers), r#"{"generation":9,"reset":true,"instances":[]}"#);
     let mut client = client(&mixer);
-    say(&mut client, scan("a", &[0]));
-    assert_eq!(answer(&mut client).0, 200);
+    send(&mut client, scan_request("a", &[0]));
+    assert_eq!(read_response(&mut client).0, 200);
 }
 
 #[test]
 fn invalid_requests_of_one_client_do_not_affect_others() {
-    let (address, _received) = searcher(good);
-    let mixer = mixer("wrong", agent(list(&[address])), &list(&[address]));
+    let (address, _received) = start_searcher(answer_parts);
+    let mixer = mixer("wrong", agent_with_list(searcher_list(&[address])), &searcher_list(&[address]));
     let (mut valid_client, mut invalid_client, mut oversized_client) =
         (client(&mixer), client(&mixer), client(&mixer));
-    let valid_request = scan("a", &[0]);
+    let valid_request = scan_request("a", &[0]);
     let (first_half, second_half) = valid_request.split_at(70);
-    say(&mut valid_client, first_half);
+    send(&mut valid_client, first_half);
     let invalid_requests = [
-        (scan("x", &[9]), 400),
-        (scan("x", &[0]).replace("/look", "/none"), 404),
+        (scan_request("x", &[9]), 400),
+        (scan_request("x", &[0]).replace("/look", "/none"), 404),
         ("PUT /look HTTP/1.1\r\n\r\n".into(), 405),
         (format!("POST /look HTTP/1.1\r\nContent-Length: {}\r\n\r\n", 1 << 30), 413),
     ];
     for (text, status) in invalid_requests {
-        say(&mut invalid_client, text);
-        assert_eq!(answer(&mut invalid_client).0, status);
+        send(&mut invalid_client, text);
+        assert_eq!(read_response(&mut invalid_client).0, status);
     }
     assert_eq!(
         invalid_client.read(&mut [0]).unwrap(),
         0,
         "the connection closes once request framing is lost"
     );
-    say(&mut oversized_client, format!("GET /{} HTTP/1.1\r\n", "a".repeat(9000)));
-    assert_eq!(answer(&mut oversized_client).0, 431);
-    say(&mut valid_client, second_half);
-    assert_eq!(answer(&mut valid_client).0, 200);
+    send(&mut oversized_client, format!("GET /{} HTTP/1.1\r\n", "a".repeat(9000)));
+    assert_eq!(read_response(&mut oversized_client).0, 431);
+    send(&mut valid_client, second_half);
+    assert_eq!(read_response(&mut valid_client).0, 200);
 }
 
 #[test]
 fn parts_are_cancelled_when_their_client_disconnects() {
-    let (address, received) = searcher(mute);
-    let mixer = mixer("leaves", agent(list(&[address])), &list(&[address]));
+    let (address, received) = start_searcher(ignore_frames);
+    let mixer = mixer("leaves", agent_with_list(searcher_list(&[address])), &searcher_list(&[address]));
     let mut client = client(&mixer);
-    say(&mut client, scan("a", &[0]));
-    assert_eq!(received.recv_timeout(PATIENCE).unwrap().0, b'm');
+    send(&mut client, scan_request("a", &[0]));
+    assert_eq!(received.recv_timeout(HANG_TIMEOUT).unwrap().0, b'm');
     drop(client);
-    assert_eq!(received.recv_timeout(PATIENCE).unwrap(), (b'n', "a.0".into()));
+    assert_eq!(received.recv_timeout(HANG_TIMEOUT).unwrap(), (b'n', "a.0".into()));
 }
 
-#[test_case(garbled; "malformed frames")]
-#[test_case(dying; "closed connection")]
-fn a_part_is_relayed_elsewhere_after_a_searcher_fails(habit: Habit) {
-    let ((failing, _), (healthy, _), unreachable) = (searcher(habit), searcher(good), free_address());
-    let known = list(&[failing, healthy, unreachable]);
-    let mixer = mixer(&format!("on-{}", failing.port()), agent(known.clone()), &known);
+#[test_case(send_invalid_frame; "malformed frames")]
+#[test_case(close_on_call; "closed connection")]
+fn a_part_is_relayed_elsewhere_after_a_searcher_fails(habit: FrameHandler) {
+    let ((failing, _), (healthy, _), unreachable) =
+        (start_searcher(habit), start_searcher(answer_parts), free_address());
+    let known = searcher_list(&[failing, healthy, unreachable]);
+    let mixer = mixer(&format!("on-{}", failing.port()), agent_with_list(known.clone()), &known);
     let mut client = client(&mixer);
     for name in ["a", "b", "c", "d"] {
-        say(&mut client, scan(name, &[0]));
-        assert_eq!(answer(&mut client).0, 200);
+        send(&mut client, scan_request(name, &[0]));
+        assert_eq!(read_response(&mut client).0, 200);
     }
 }
 
@@ -169,9 +174,10 @@
     configured_limit: &str,
     system_limit: usize,
 ) {
-    let (address, _received) = searcher(good);
+    let (address, _received) = start_searcher(answer_parts);
     let at = free_address();
-    let text = orders(&at.to_string(), free_address(), &list(&[address])).replace("256", configured_limit);
+    let text = mixer_config(&at.to_string(), free_address(), &searcher_list(&[address]))
+        .replace("256", configured_limit);
     let path = config_file(&format!("short-{system_limit}"), &text);
     let shell = format!("ulimit -n {system_limit}; exec {}", env!("CARGO_BIN_EXE_fernglade-mixer"));
     let mut command = Command::new("sh");
@@ -182,8 +188,8 @@
         // When there are more clients than connection slots, a rejected one hears so at once and retries.
         let mut statuses = (0..200).map(|_| {
             let mut client = client(&mixer);
-            say(&mut client, scan(name, &[0]));
-            let status = answer(&mut client).0;
+            send(&mut client, scan_request(name, &[0]));
+            let status = read_response(&mut client).0;
             thread::sleep(Duration::from_millis(if status == 503 { 20 } else { 0 }));
             status
         });
@@ -196,20 +202,20 @@
 
 #[test]
 fn sigterm_completes_accepted_scans_before_exit() {
-    let (address, received) = searcher(slow);
+    let (address, received) = start_searcher(answer_slowly);
     // Nothing listens at the discovery address, so the list from the configuration stays in force.
-    let mut mixer = mixer("stop", free_address(), &list(&[address]));
+    let mut mixer = mixer("stop", free_address(), &searcher_list(&[address]));
     let (mut in_flight, mut idle) = (client(&mixer), client(&mixer));
-    say(&mut idle, "GET /healthz HTTP/1.1\r\n\r\n");
-    answer(&mut idle);
-    say(&mut in_flight, scan("a", &[0]));
-    received.recv_timeout(PATIENCE).unwrap();
+    send(&mut idle, "GET /healthz HTTP/1.1\r\n\r\n");
+    read_response(&mut idle);
+    send(&mut in_flight, scan_request("a", &[0]));
+    received.recv_timeout(HANG_TIMEOUT).unwrap();
     signal(&mixer, "-TERM");
     assert_eq!(idle.read(&mut [0]).unwrap(), 0, "the idle connection is closed");
     let mut late_client = client(&mixer);
-    say(&mut late_client, scan("b", &[1]));
+    send(&mut late_client, scan_request("b", &[1]));
     for from in [&mut in_flight, &mut late_client] {
-        let (status, head, _) = answer(from);
+        let (status, head, _) = read_response(from);
         assert!(status == 200 && head.contains("Connection: close"), "{head}");
     }
     drop((in_flight, late_client));
@@ -223,9 +229,9 @@
 
 #[test]
 fn sighup_during_a_watch_switches_to_the_new_discovery_address() {
-    let ((old, _), (new, received)) = (searcher(good), searcher(good));
-    let (at, old_discovery) = (free_address(), agent(list(&[old])));
-    let config_text = |discovery| orders(&at.to_string(), discovery, &list(&[]));
+    let ((old, _), (new, received)) = (start_searcher(answer_parts), start_searcher(answer_parts));
+    let (at, old_discovery) = (free_address(), agent_with_list(searcher_list(&[old])));
+    let config_text = |discovery| mixer_config(&at.to_string(), discovery, &searcher_list(&[]));
     let path = config_file("reload", &config_text(old_discovery));
     let child = command(&path)
         .env("ROUTER_DISCOVERY", old_discovery.to_string())
@@ -235,10 +241,10 @@
     let mut mixer = wait_until_ready(Mixer { child, at, path });
     let mut client = client(&mixer);
     let mut send_scan = |name: &str| {
-        say(&mut client, scan(name, &[0]));
-        assert_eq!(answer(&mut client).0, 200);
+        send(&mut client, scan_request(name, &[0]));
+        assert_eq!(read_response(&mut client).0, 200);
     };
-    let new_config = config_text(agent(list(&[new])));
+    let new_config = config_text(agent_with_list(searcher_list(&[new])));
     for invalid_config in ["", &new_config[..new_config.len() / 2], "{}"] {
         std::fs::write(&mixer.path, invalid_config).unwrap();
         signal(&mixer, "-HUP");
@@ -250,7 +256,7 @@
     let started = Instant::now();
     while received.try_recv().is_err() {
         send_scan("b");
-        assert!(started.elapsed() < PATIENCE, "the new list did not arrive");
+        assert!(started.elapsed() < HANG_TIMEOUT, "the new list did not arrive");
     }
     signal(&mixer, "-TERM");
     drop(client);
@@ -259,18 +265,18 @@
 
 #[test]
 fn a_killed_mixer_restarts_at_the_same_address() {
-    let (address, _received) = searcher(good);
-    let mut first = mixer("again", free_address(), &list(&[address]));
+    let (address, _received) = start_searcher(answer_parts);
+    let mut first = mixer("again", free_address(), &searcher_list(&[address]));
     let mut before = client(&first);
-    say(&mut before, scan("a", &[0]));
-    assert_eq!(answer(&mut before).0, 200);
+    send(&mut before, scan_request("a", &[0]));
+    assert_eq!(read_response(&mut before).0, 200);
     first.child.kill().unwrap();
     first.child.wait().unwrap();
     let path = config_file("again-2", &std::fs::read_to_string(&first.path).unwrap());
     let second = start(first.at, path);
     let mut after = client(&second);
-    say(&mut after, scan("a", &[0]));
-    assert_eq!(answer(&mut after).0, 200);
+    send(&mut after, scan_request("a", &[0]));
+    assert_eq!(read_response(&mut after).0, 200);
 }
 
 #[test_case("", "", "ROUTER_CONFIG is not set"; "no configuration file")]
@@ -282,7 +288,7 @@
 #[test_case("\"aim\":2000000,", "", "settings: services.0.aim: a number above 0 has to be stated"; "no target latency")]
 #[test_case("\"cells\":1,", "\"cells\":0,", "settings: family_info.cells: a number above 0 has to be stated"; "no cells")]
 fn invalid_configuration_is_reported_in_one_line(from: &str, to: &str, expected: &str) {
-    let text = orders("127.0.0.1:9", free_address(), &list(&[]));
+    let text = mixer_config("127.0.0.1:9", free_address(), &searcher_list(&[]));
     let path = config_file(&format!("bad-{}", expected.len()), &text.replacen(from, to, 1));
     let mut command = command(&path);
     if from.is_empty() {
@@ -301,17 +307,17 @@
 #[test_case("\"tick\":5000", "\"tick\":5000,\"weights\":\"none\",\"report\":{\"how\":\"probe\",\"columns\":[\"depth\"]}"; "no weights, load reported to probes only")]
 #[test_case("\"multiplex\":32", "\"multiplex\":32,\"idle_close\":15000000"; "idle connections are closed")]
 fn serves_with_settings_of_another_operator(from: &str, to: &str) {
-    let (address, received) = searcher(good);
-    let (at, known) = (free_address(), list(&[address]));
-    let text = orders(&at.to_string(), free_address(), &known);
+    let (address, received) = start_searcher(answer_parts);
+    let (at, known) = (free_address(), searcher_list(&[address]));
+    let text = mixer_config(&at.to_string(), free_address(), &known);
     assert!(text.contains(from));
     let name = format!("joined-{}", address.port());
     let mixer = start(at, config_file(&name, &text.replace(from, to)));
     let mut client = client(&mixer);
-    say(&mut client, scan("a", &[0]));
-    assert_eq!(answer(&mut client).0, 200);
-    say(&mut client, scan_of("fix", "x", "e", &[0]));
-    assert_eq!(answer(&mut client).0, 200);
+    send(&mut client, scan_request("a", &[0]));
+    assert_eq!(read_response(&mut client).0, 200);
+    send(&mut client, scan_request_of("fix", "x", "e", &[0]));
+    assert_eq!(read_response(&mut client).0, 200);
     assert_eq!(received.try_iter().filter(|(_, rest)| rest.starts_with("e.0 ")).count(), 1);
 }
 
@@ -319,7 +325,7 @@
 #[test]
 fn a_fetch_phase_is_rejected_at_startup_naming_its_traffic_type() {
     let at = free_address();
-    let text = orders(&at.to_string(), at, &list(&[at]));
+    let text = mixer_config(&at.to_string(), at, &searcher_list(&[at]));
     let text = text.replace("\"per_call\":1", "\"per_call\":1,\"fetch_parts\":[3,0]");
     let output = command(&config_file("second-step", &text)).output().unwrap();
     let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
--- a/crates/mixer/tests/system_errors.rs
+++ b/crates/mixer/tests/system_errors.rs
@@ -1,10 +1,14 @@
 //! Tests of the built mixer on loopback with system calls that fail as Linux documents. Whichever error a
 //! call returns, each request gets its final answer, and no searcher is blamed for a local fault.
 
-use fernglade_standins::child::{file, free_address, orders, start_with_system_faults, Mixer, SystemFault};
-use fernglade_standins::client::{answer, say, scan, try_answer, Client, HEALTH};
-use fernglade_standins::discovery::{agent, list};
-use fernglade_standins::searcher::{good, searcher};
+use fernglade_standins::child::{
+    free_address, mixer_config, start_with_syscall_faults, temp_file, MixerProcess, SyscallFault,
+};
+use fernglade_standins::client::{
+    read_response, scan_request, send, try_read_response, Client, HEALTH_REQUEST,
+};
+use fernglade_standins::discovery::{agent_with_list, searcher_list};
+use fernglade_standins::searcher::{answer_parts, start_searcher};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::mpsc::Receiver;
@@ -14,20 +18,20 @@
 /// The time limit for the effect of a signal, and for a request that no searcher delays.
 const EFFECT_LIMIT: Duration = Duration::from_millis(300);
 
-fn mixer(name: &str, known: &str, faults: &[SystemFault]) -> Mixer {
+fn mixer(name: &str, known: &str, faults: &[SyscallFault]) -> MixerProcess {
     mixer_with_config(name, known, faults, |orders| orders)
 }
 
 fn mixer_with_config(
     name: &str,
     known: &str,
-    faults: &[SystemFault],
+    faults: &[SyscallFault],
     change: impl Fn(String) -> String,
-) -> Mixer {
+) -> MixerProcess {
     let at = free_address();
-    let text = change(orders(&at.to_string(), agent(known.to_string()), known));
+    let text = change(mixer_config(&at.to_string(), agent_with_list(known.to_string()), known));
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    start_with_system_faults(program, file(&format!("{name}.json"), &text), at, faults)
+    start_with_syscall_faults(program, temp_file(&format!("{name}.json"), &text), at, faults)
 }
 
 /// How many responses had each status; 0 stands for a connection that closed without a response.
@@ -38,10 +42,10 @@
 }
 
 fn status(client: &mut Client) -> u16 {
-    try_answer(client).map_or(0, |answer| answer.0)
+    try_read_response(client).map_or(0, |answer| answer.0)
 }
 
-fn log_line_count(mixer: &Mixer) -> usize {
+fn log_line_count(mixer: &MixerProcess) -> usize {
     std::fs::read_to_string(&mixer.files[1]).expect("its log").lines().count()
 }
 
@@ -53,19 +57,19 @@
 #[test_case("recvfrom"; "read")]
 #[test_case("sendto"; "write")]
 fn interrupted_calls_lose_no_request(call: &'static str) {
-    let ((first, _), (second, _)) = (searcher(good), searcher(good));
-    let faults = [SystemFault { call, error: "EINTR", when: "3+7" }];
-    let mixer = mixer(&format!("interrupted-{call}"), &list(&[first, second]), &faults);
-    let mut clients: Vec<Client> = (0..4).map(|_| mixer.client()).collect();
+    let ((first, _), (second, _)) = (start_searcher(answer_parts), start_searcher(answer_parts));
+    let faults = [SyscallFault { call, error: "EINTR", when: "3+7" }];
+    let mixer = mixer(&format!("interrupted-{call}"), &searcher_list(&[first, second]), &faults);
+    let mut clients: Vec<Client> = (0..4).map(|_| mixer.connect()).collect();
     let answers = (0..200).map(|number| {
         let client = &mut clients[number % 4];
         if client.get_mut().set_nodelay(true).is_err() {
             return 0;
         }
-        say(client, scan(&format!("r{number}"), &[0, 1]));
+        send(client, scan_request(&format!("r{number}"), &[0, 1]));
         let status_code = status(client);
         if status_code == 0 {
-            *client = mixer.client();
+            *client = mixer.connect();
         }
         status_code
     });
@@ -80,17 +84,17 @@
 #[test_case("EINTR")]
 fn transient_accept_failures_reject_no_client(error: &'static str) {
     let ((first_address, first_received), (second_address, second_received)) =
-        (searcher(good), searcher(good));
-    let faults = [SystemFault { call: "accept4", error, when: "3+5" }];
-    let mixer = mixer(&format!("accept-{error}"), &list(&[first_address, second_address]), &faults);
-    let mut established = mixer.client();
+        (start_searcher(answer_parts), start_searcher(answer_parts));
+    let faults = [SyscallFault { call: "accept4", error, when: "3+5" }];
+    let mixer = mixer(&format!("accept-{error}"), &searcher_list(&[first_address, second_address]), &faults);
+    let mut established = mixer.connect();
     let answers = (0..150).map(|number| {
-        let mut client = mixer.client();
-        say(&mut client, scan(&format!("r{number}"), &[0, 1]));
+        let mut client = mixer.connect();
+        send(&mut client, scan_request(&format!("r{number}"), &[0, 1]));
         status(&mut client)
     });
     assert_eq!(statuses(answers), BTreeMap::from([(200, 150)]));
-    say(&mut established, HEALTH);
+    send(&mut established, HEALTH_REQUEST);
     assert_eq!(status(&mut established), 200, "an established connection is kept");
     assert_eq!(sent_parts(&first_received) + sent_parts(&second_received), 300, "each part is sent once");
     assert!(log_line_count(&mixer) < 10, "{} log lines", log_line_count(&mixer));
@@ -99,12 +103,12 @@
 /// An accepted connection used to be lost when the call that makes it non-blocking failed.
 #[test]
 fn an_accepted_connection_survives_a_failing_ioctl() {
-    let (address, _received) = searcher(good);
-    let faults = [SystemFault { call: "ioctl", error: "ENOMEM", when: "5+2" }];
-    let mixer = mixer("accepted", &list(&[address]), &faults);
+    let (address, _received) = start_searcher(answer_parts);
+    let faults = [SyscallFault { call: "ioctl", error: "ENOMEM", when: "5+2" }];
+    let mixer = mixer("accepted", &searcher_list(&[address]), &faults);
     let answers = (0..40).map(|number| {
-        let mut client = mixer.client();
-        say(&mut client, scan(&format!("r{number}"), &[0]));
+        let mut client = mixer.connect();
+        send(&mut client, scan_request(&format!("r{number}"), &[0]));
         status(&mut client)
     });
     assert_eq!(statuses(answers), BTreeMap::from([(200, 40)]));
@@ -118,13 +122,13 @@
 #[test_case("socket", "ENFILE")]
 #[test_case("socket", "ENOBUFS")]
 fn a_transient_local_connect_failure_is_not_blamed_on_the_searcher(call: &'static str, error: &'static str) {
-    let (address, received) = searcher(good);
+    let (address, received) = start_searcher(answer_parts);
     // The first call is for the connection to discovery, the second for the one to the searcher.
-    let faults = [SystemFault { call, error, when: "2+2" }];
-    let mixer = mixer(&format!("{call}-{error}"), &list(&[address]), &faults);
-    let mut client = mixer.client();
+    let faults = [SyscallFault { call, error, when: "2+2" }];
+    let mixer = mixer(&format!("{call}-{error}"), &searcher_list(&[address]), &faults);
+    let mut client = mixer.connect();
     let answers = (0..20).map(|number| {
-        say(&mut client, scan(&format!("r{number}"), &[0]));
+        send(&mut client, scan_request(&format!("r{number}"), &[0]));
         status(&mut client)
     });
     assert_eq!(statuses(answers), BTreeMap::from([(200, 20)]));
@@ -136,12 +140,12 @@
 #[test_case("ETIMEDOUT")]
 #[test_case("EHOSTUNREACH")]
 fn a_transient_network_failure_leaves_no_request_unanswered(error: &'static str) {
-    let (address, received) = searcher(good);
-    let faults = [SystemFault { call: "connect", error, when: "2+2" }];
-    let mixer = mixer(&format!("way-{error}"), &list(&[address]), &faults);
-    let mut client = mixer.client();
+    let (address, received) = start_searcher(answer_parts);
+    let faults = [SyscallFault { call: "connect", error, when: "2+2" }];
+    let mixer = mixer(&format!("way-{error}"), &searcher_list(&[address]), &faults);
+    let mut client = mixer.connect();
     let answers = (0..20).map(|number| {
-        say(&mut client, scan(&format!("r{number}"), &[0]));
+        send(&mut client, scan_request(&format!("r{number}"), &[0]));
         status(&mut client)
     });
     let answers = statuses(answers);
@@ -153,14 +157,16 @@
 #[test_case("recvfrom")]
 #[test_case("sendto")]
 fn a_rejection_reaches_its_client_despite_interrupted_calls(call: &'static str) {
-    let (address, _received) = searcher(good);
-    let faults = [SystemFault { call, error: "EINTR", when: "2+3" }];
+    let (address, _received) = start_searcher(answer_parts);
+    let faults = [SyscallFault { call, error: "EINTR", when: "2+3" }];
     let fewer_sockets = |orders: String| orders.replace("\"sockets\":256", "\"sockets\":64");
-    let mixer = mixer_with_config(&format!("refusal-{call}"), &list(&[address]), &faults, fewer_sockets);
-    let mut clients: Vec<Client> = (0..120).map(|_| mixer.client()).collect();
+    let mixer =
+        mixer_with_config(&format!("refusal-{call}"), &searcher_list(&[address]), &faults, fewer_sockets);
+    let mut clients: Vec<Client> = (0..120).map(|_| mixer.connect()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         // Clients that were rejected before they sent a request may be disconnected by now.
-        let _ = std::io::Write::write_all(client.get_mut(), scan(&format!("c{number}"), &[0]).as_bytes());
+        let _ =
+            std::io::Write::write_all(client.get_mut(), scan_request(&format!("c{number}"), &[0]).as_bytes());
     }
     let answers = statuses(clients.iter_mut().map(status));
     assert_eq!(answers.get(&0), None, "{answers:?}");
@@ -171,21 +177,21 @@
 #[test_case("ENFILE")]
 #[test_case("EINTR")]
 fn the_backlog_at_shutdown_is_answered_despite_accept_failures(error: &'static str) {
-    let (address, _received) = searcher(good);
-    let faults = [SystemFault { call: "accept4", error, when: "4+2" }];
-    let mut mixer = mixer(&format!("stop-{error}"), &list(&[address]), &faults);
-    let mut idle = mixer.client();
-    say(&mut idle, HEALTH);
-    answer(&mut idle);
+    let (address, _received) = start_searcher(answer_parts);
+    let faults = [SyscallFault { call: "accept4", error, when: "4+2" }];
+    let mut mixer = mixer(&format!("stop-{error}"), &searcher_list(&[address]), &faults);
+    let mut idle = mixer.connect();
+    send(&mut idle, HEALTH_REQUEST);
+    read_response(&mut idle);
     std::thread::sleep(Duration::from_millis(150));
     mixer.signal("-TERM");
     assert_eq!(status(&mut idle), 0, "shutdown has begun");
     mixer.signal("-STOP");
-    let mut queued_clients: Vec<Client> = (0..6).map(|_| mixer.client()).collect();
+    let mut queued_clients: Vec<Client> = (0..6).map(|_| mixer.connect()).collect();
     queued_clients
         .iter_mut()
         .zip(0..)
-        .for_each(|(client, number)| say(client, scan(&format!("q{number}"), &[0])));
+        .for_each(|(client, number)| send(client, scan_request(&format!("q{number}"), &[0])));
     std::thread::sleep(Duration::from_millis(900));
     mixer.signal("-CONT");
     let answers = statuses(queued_clients.iter_mut().map(status));
@@ -197,13 +203,13 @@
 /// connections.
 #[test]
 fn a_connection_that_fails_to_register_with_the_poller_is_answered() {
-    let ((first, _), (second, _)) = (searcher(good), searcher(good));
-    let faults = [SystemFault { call: "epoll_ctl", error: "ENOMEM", when: "40+7" }];
-    let mixer = mixer("unregistered", &list(&[first, second]), &faults);
+    let ((first, _), (second, _)) = (start_searcher(answer_parts), start_searcher(answer_parts));
+    let faults = [SyscallFault { call: "epoll_ctl", error: "ENOMEM", when: "40+7" }];
+    let mixer = mixer("unregistered", &searcher_list(&[first, second]), &faults);
     let answers = (0..40).map(|number| {
-        let mut client = mixer.client();
+        let mut client = mixer.connect();
         client.get_mut().set_read_timeout(Some(Duration::from_secs(5))).expect("a time");
-        say(&mut client, scan(&format!("r{number}"), &[0, 1]));
+        send(&mut client, scan_request(&format!("r{number}"), &[0, 1]));
         status(&mut client)
     });
     let counts = statuses(answers);
@@ -218,17 +224,18 @@
 #[test_case("ENOSPC", true; "out of watches, kept connections")]
 #[test_case("ENOSPC", false; "out of watches, new connections")]
 fn failing_poller_calls_delay_no_request(error: &'static str, keep_connections: bool) {
-    let ((first, _), (second, _)) = (searcher(good), searcher(good));
-    let faults = [SystemFault { call: "epoll_ctl", error, when: "3+2" }];
-    let mut mixer = mixer(&format!("poller-{error}-{keep_connections}"), &list(&[first, second]), &faults);
-    let mut clients: Vec<Client> = (0..4).map(|_| mixer.client()).collect();
+    let ((first, _), (second, _)) = (start_searcher(answer_parts), start_searcher(answer_parts));
+    let faults = [SyscallFault { call: "epoll_ctl", error, when: "3+2" }];
+    let mut mixer =
+        mixer(&format!("poller-{error}-{keep_connections}"), &searcher_list(&[first, second]), &faults);
+    let mut clients: Vec<Client> = (0..4).map(|_| mixer.connect()).collect();
     let answers = (0..60).map(|number| {
         let client = &mut clients[number % 4];
         if !keep_connections {
-            *client = mixer.client();
+            *client = mixer.connect();
         }
         client.get_mut().set_read_timeout(Some(EFFECT_LIMIT)).expect("a time");
-        say(client, scan(&format!("r{number}"), &[0, 1]));
+        send(client, scan_request(&format!("r{number}"), &[0, 1]));
         status(client)
     });
     assert_eq!(statuses(answers), BTreeMap::from([(200, 60)]));
--- a/crates/standins/tests/cues.rs
+++ b/crates/standins/tests/cues.rs
@@ -1,4 +1,4 @@
-//! Searches over many shards give what they give over one that has all of it.
+//! A search over many shards gives the same answer as over one shard that holds all documents.
 
 use fernglade::{RelayOutcome, Span};
 use fernglade_dialect::endpoint::{parse_target, preferred_shards, Endpoint};
@@ -8,11 +8,12 @@
 use fernglade_dialect::shard_request::{search_body, shard_request};
 use fernglade_dialect::shard_response::ShardResponse;
 use fernglade_dialect::JsonValue;
-use fernglade_standins::cues::{planted, Cue, Manner, Shard};
+use fernglade_standins::documents::{generate_documents, AnswerMode, Document, Shard};
 use serde_json::Value;
 use test_case::test_case;
 
-fn asked(shards: &[Shard], search: &Search) -> Value {
+/// The merged answer of all shards to a search.
+fn merged_answer(shards: &[Shard], search: &Search) -> Value {
     let mut merge = Merger::new(search);
     for (number, shard) in (0..).zip(shards) {
         assert!(merge.add_shard(number, shard.search(search)));
@@ -21,11 +22,12 @@
     search_response("cues", search, merge.finish(true), &shards, Span::ZERO)
 }
 
-/// Dealt out so that the order of ids is the order of shards: ties then fall alike.
-fn dealt(cues: &[Cue], count: usize) -> Vec<Shard> {
-    let mut sorted = cues.to_vec();
+/// Distributes the documents so that the order of ids is the order of shards: ties are then broken the same
+/// way.
+fn distribute(documents: &[Document], count: usize) -> Vec<Shard> {
+    let mut sorted = documents.to_vec();
     sorted.sort_by(|a, b| a.id.cmp(&b.id));
-    sorted.chunks(cues.len().div_ceil(count)).map(|cues| Shard::new(cues.to_vec())).collect()
+    sorted.chunks(documents.len().div_ceil(count)).map(|documents| Shard::new(documents.to_vec())).collect()
 }
 
 #[test_case(r#"{}"#; "everything")]
@@ -41,8 +43,11 @@
 fn many_shards_answer_as_one(body: &str) {
     let search = Search::parse(body.as_bytes()).unwrap();
     for seed in 0..5 {
-        let cues = planted(seed, 300);
-        let (mut one, mut many) = (asked(&dealt(&cues, 1), &search), asked(&dealt(&cues, 7), &search));
+        let documents = generate_documents(seed, 300);
+        let (mut one, mut many) = (
+            merged_answer(&distribute(&documents, 1), &search),
+            merged_answer(&distribute(&documents, 7), &search),
+        );
         one["_shards"] = Value::Null;
         many["_shards"] = Value::Null;
         assert_eq!(one, many);
@@ -51,13 +56,13 @@
     }
 }
 
-/// A title that is moving stands at two shards for a while.
+/// While a document moves to another shard, both shards have it for a while; it must be counted once.
 #[test]
 fn what_two_shards_have_is_one_hit() {
-    let cues = planted(3, 40);
+    let documents = generate_documents(3, 40);
     let search = Search::parse(br#"{"size":100,"track_total_hits":true}"#).unwrap();
-    let twice = [Shard::new(cues[..25].to_vec()), Shard::new(cues[20..].to_vec())];
-    let answer = asked(&twice, &search);
+    let twice = [Shard::new(documents[..25].to_vec()), Shard::new(documents[20..].to_vec())];
+    let answer = merged_answer(&twice, &search);
     assert_eq!(answer["hits"]["hits"].as_array().unwrap().len(), 40);
     assert_eq!(answer["hits"]["total"]["value"], 40);
 }
@@ -69,7 +74,7 @@
     r#"{"size":3,"aggs":{"l":{"terms":{"field":"lang","size":2,"shard_size":3}},"m":{"avg":{"field":"at"}},"a":{"min":{"field":"at"}}}}"#,
 ];
 
-/// What a node is asked reads back as what is meant, and its answer as what it found.
+/// The request sent to a node parses back to the search, and its answer to what the node found.
 #[test]
 fn a_part_is_asked_and_answered_in_the_dialects_own_bodies() {
     for body in SEARCHES {
@@ -84,40 +89,40 @@
         assert_eq!(preferred_shards(&parameters), Ok(Some(vec![3])));
         let asked = Search::parse(&asked).unwrap();
         assert_eq!((asked.from, asked.size), (0, search.window()));
-        let shard = Shard::new(planted(5, 200));
+        let shard = Shard::new(generate_documents(5, 200));
         let ShardResponse::Found(found) =
-            ShardResponse::parse(200, &shard.body("cues", &asked, Manner::Sound), "cues", &search)
+            ShardResponse::parse(200, &shard.body("cues", &asked, AnswerMode::Valid), "cues", &search)
         else {
             panic!("a sound answer is one");
         };
-        let truth = shard.search(&asked);
+        let expected = shard.search(&asked);
         let ids = |found: &ShardResult| found.hits.iter().map(|hit| hit.id.clone()).collect::<Vec<_>>();
-        assert_eq!((ids(&found), found.total), (ids(&truth), truth.total));
+        assert_eq!((ids(&found), found.total), (ids(&expected), expected.total));
     }
 }
 
-/// A node that half understands is a failed part that may have run, whatever it says.
-#[test_case(Manner::AllShards, "other shards"; "preference passed over")]
-#[test_case(Manner::TimedOut, "timed out"; "it ran out of time")]
-#[test_case(Manner::ShardFailed, "other shards"; "its shard failed")]
-#[test_case(Manner::WrongTotal, "fewer in all"; "totals that do not add up")]
-#[test_case(Manner::Unsorted, "not in the order"; "another order")]
-#[test_case(Manner::TooMany, "more hits"; "more than asked for")]
-#[test_case(Manner::OtherIndex, "another index"; "another index")]
-#[test_case(Manner::NoIds, "no _id"; "no ids")]
-#[test_case(Manner::UnknownField, "unknown field [terminated_early]"; "a field of another version")]
-#[test_case(Manner::CutShort, "EOF"; "cut short")]
-#[test_case(Manner::Page, "expected value"; "an error page")]
-#[test_case(Manner::NoAggregations, "no aggregations"; "aggregations left out")]
-fn half_an_understanding_is_a_failed_part(manner: Manner, says: &str) {
+/// An answer from a faulty or incompatible node is a failed part that may have run, whatever the node claims.
+#[test_case(AnswerMode::AllShards, "other shards"; "preference passed over")]
+#[test_case(AnswerMode::TimedOut, "timed out"; "it ran out of time")]
+#[test_case(AnswerMode::ShardFailed, "other shards"; "its shard failed")]
+#[test_case(AnswerMode::WrongTotal, "fewer in all"; "totals that do not add up")]
+#[test_case(AnswerMode::Unsorted, "not in the order"; "another order")]
+#[test_case(AnswerMode::TooManyHits, "more hits"; "more than asked for")]
+#[test_case(AnswerMode::WrongIndex, "another index"; "another index")]
+#[test_case(AnswerMode::MissingIds, "no _id"; "no ids")]
+#[test_case(AnswerMode::UnknownField, "unknown field [terminated_early]"; "a field of another version")]
+#[test_case(AnswerMode::Truncated, "EOF"; "cut short")]
+#[test_case(AnswerMode::ErrorPage, "expected value"; "an error page")]
+#[test_case(AnswerMode::MissingAggregations, "no aggregations"; "aggregations left out")]
+fn half_an_understanding_is_a_failed_part(mode: AnswerMode, says: &str) {
     let search = Search::parse(br#"{"size":8,"sort":"at","aggs":{"m":{"avg":{"field":"at"}}}}"#).unwrap();
-    let shard = Shard::new(planted(1, 100));
+    let shard = Shard::new(generate_documents(1, 100));
     assert_eq!(
-        ShardResponse::parse(200, &shard.body("cues", &search, Manner::Sound), "cues", &search)
+        ShardResponse::parse(200, &shard.body("cues", &search, AnswerMode::Valid), "cues", &search)
             .relay_outcome(),
         RelayOutcome::Succeeded
     );
-    let reply = ShardResponse::parse(200, &shard.body("cues", &search, manner), "cues", &search);
+    let reply = ShardResponse::parse(200, &shard.body("cues", &search, mode), "cues", &search);
     assert_eq!(reply.relay_outcome(), RelayOutcome::Failed);
     assert!(matches!(&reply, ShardResponse::Unusable(why) if why.contains(says)), "{reply:?}");
 }
