--- a/crates/conductor/tests/disk.rs
+++ b/crates/conductor/tests/disk.rs
@@ -28,10 +28,10 @@
         std::fs::write(&path, text).expect("a file");
         path.display().to_string()
     };
-    let (old, new, orders) = (file("old.json5", "{}"), file("new.json5", "{ }"), file("orders.json", "{}"));
+    let (old, new, config) = (file("old.json5", "{}"), file("new.json5", "{ }"), file("orders.json", "{}"));
     let mixer = |number: u8| {
         let at = free_address();
-        format!("{{ name: 'm{number}', zone: 'a', at: '{at}', orders: '{orders}', operator: '{old}' }}")
+        format!("{{ name: 'm{number}', zone: 'a', at: '{at}', orders: '{config}', operator: '{old}' }}")
     };
     let program = env!("CARGO_BIN_EXE_fernglade-rollout");
     let text = format!(
--- a/crates/conductor/tests/rollout.rs
+++ b/crates/conductor/tests/rollout.rs
@@ -73,13 +73,13 @@
         format!("{{ program: '{start}', told_as: '{built}', operator: '{settings}' }}")
     }
 
-    fn plan(&self, field: &FleetLayout, zones: usize, new: &str, more_settings: &str) -> PathBuf {
+    fn plan(&self, layout: &FleetLayout, zones: usize, new: &str, more_settings: &str) -> PathBuf {
         let old = self.write("old.json5", OLD_SETTINGS);
-        let mixers: Vec<String> = (0..field.mixer_addresses.len())
+        let mixers: Vec<String> = (0..layout.mixer_addresses.len())
             .map(|at| {
-                let (orders, operator) = (field.configs[at].display(), field.operator_files[at].display());
-                let (zone, address) = (at % zones, field.mixer_addresses[at]);
-                format!("{{ name: 'm{at}', zone: 'z{zone}', at: '{address}', orders: '{orders}', operator: '{operator}' }}")
+                let (config, operator) = (layout.configs[at].display(), layout.operator_files[at].display());
+                let (zone, address) = (at % zones, layout.mixer_addresses[at]);
+                format!("{{ name: 'm{at}', zone: 'z{zone}', at: '{address}', orders: '{config}', operator: '{operator}' }}")
             })
             .collect();
         let text = format!(
@@ -100,11 +100,11 @@
     unheard_within: '3s', patience: '60s' }, \
     compare: { before: '3s', lost: 0.08, slower: 0.3, fall: 0.3, false_stop: 0.01, missed: 0.1 }";
 
-/// Length in seconds of a day on which a good change completes. On a busy machine a comparison may take its
-/// full patience of a minute, and two steps have to fit in as well.
-const LONG_DAY_SECONDS: u32 = 90;
+/// Length in seconds of a scenario in which a good change completes. On a busy machine a comparison may take
+/// its full patience of a minute, and two steps have to fit in as well.
+const LONG_SCENARIO_SECONDS: u32 = 90;
 
-fn day(lasts: u32, mixers: usize, rate: u32, troubles: &str) -> Scenario {
+fn scenario(lasts: u32, mixers: usize, rate: u32, troubles: &str) -> Scenario {
     let text = format!(
         r#"{{
           lasts: "{lasts}s", mixers: {{ count: {mixers} }}, searchers: {{ cells: 3, replicas: 3, cold_from: 0.3, cold: "4s" }},
@@ -118,23 +118,23 @@
 }
 
 struct RunResult {
-    figures: RunStatistics,
-    breaches: Vec<Violation>,
-    conducted: ControllerExit,
+    statistics: RunStatistics,
+    violations: Vec<Violation>,
+    controller: ControllerExit,
     journal: String,
     log: String,
 }
 
 impl RunResult {
     fn describe(&self) -> String {
-        let Self { figures, breaches, conducted, journal, log } = self;
-        format!("{breaches:?}\n{}\n{journal}\n{log}\n{figures}", conducted.output)
+        let Self { statistics, violations, controller, journal, log } = self;
+        format!("{violations:?}\n{}\n{journal}\n{log}\n{statistics}", controller.output)
     }
 }
 
 fn run(
     files: &TestFiles,
-    day: &Scenario,
+    scenario: &Scenario,
     zones: usize,
     new: &str,
     more_settings: &str,
@@ -142,8 +142,8 @@
 ) -> RunResult {
     let settings =
         temp_file(&format!("{}.json5", files.directory.file_name().unwrap().to_string_lossy()), OLD_SETTINGS);
-    let begin = |field: &FleetLayout| {
-        let plan = files.plan(field, zones, new, more_settings);
+    let begin = |layout: &FleetLayout| {
+        let plan = files.plan(layout, zones, new, more_settings);
         let mut command = Command::new("sh");
         command.args(["-c", how]).arg(env!("CARGO_BIN_EXE_fernglade-rollout")).arg(plan);
         Ok(command)
@@ -155,11 +155,17 @@
         operator_file: operator,
         controller: Some(&begin),
     };
-    let (played, conducted) = run_with(day, 7, &all).unwrap();
+    let (run_result, controller) = run_with(scenario, 7, &all).unwrap();
     let _ = std::fs::remove_file(settings);
     let read = |name: &str| std::fs::read_to_string(files.directory.join(name)).unwrap_or_default();
     let (journal, log) = (read("journal"), read("journal.log"));
-    RunResult { figures: played.statistics, breaches: played.violations, conducted, journal, log }
+    RunResult {
+        statistics: run_result.statistics,
+        violations: run_result.violations,
+        controller,
+        journal,
+        log,
+    }
 }
 
 const RUN: &str = "exec \"$0\" run \"$1\"";
@@ -175,11 +181,11 @@
     let files = TestFiles::new();
     let new = new_program(&files.rebuilt_mixer(), &files.write("new.json5", OLD_SETTINGS));
     // A killed conductor starts the reference window and the comparison again.
-    let lasts = if how == RUN { LONG_DAY_SECONDS } else { LONG_DAY_SECONDS + 30 };
-    let result = run(&files, &day(lasts, 4, 150, troubles), 2, &new, FAST_LIMITS, how);
-    assert_eq!(result.conducted.exit_code, Some(0), "{}", result.describe());
-    assert!(result.breaches.is_empty(), "{}", result.describe());
-    assert!(result.figures.total().served_share() >= 0.9, "{}", result.describe());
+    let lasts = if how == RUN { LONG_SCENARIO_SECONDS } else { LONG_SCENARIO_SECONDS + 30 };
+    let result = run(&files, &scenario(lasts, 4, 150, troubles), 2, &new, FAST_LIMITS, how);
+    assert_eq!(result.controller.exit_code, Some(0), "{}", result.describe());
+    assert!(result.violations.is_empty(), "{}", result.describe());
+    assert!(result.statistics.total().served_share() >= 0.9, "{}", result.describe());
     assert!(
         result.journal.contains("\"passed\"") && result.journal.contains("\"new\""),
         "{}",
@@ -194,11 +200,11 @@
 fn a_good_change_completes_despite_unrelated_faults(troubles: &str, expected: &str) {
     let files = TestFiles::new();
     let new = new_program(&files.rebuilt_mixer(), &files.write("new.json5", OLD_SETTINGS));
-    let result = run(&files, &day(LONG_DAY_SECONDS, 4, 150, troubles), 2, &new, FAST_LIMITS, RUN);
-    assert_eq!(result.conducted.exit_code, Some(0), "{}", result.describe());
-    assert!(result.breaches.is_empty(), "{}", result.describe());
+    let result = run(&files, &scenario(LONG_SCENARIO_SECONDS, 4, 150, troubles), 2, &new, FAST_LIMITS, RUN);
+    assert_eq!(result.controller.exit_code, Some(0), "{}", result.describe());
+    assert!(result.violations.is_empty(), "{}", result.describe());
     assert!(
-        result.conducted.output.contains(expected) || result.log.contains(expected),
+        result.controller.output.contains(expected) || result.log.contains(expected),
         "{}",
         result.describe()
     );
@@ -216,9 +222,9 @@
            kill: ['kill', '-KILL', '{{process}}'] }}, {}",
         FAST_LIMITS.replace("stop_within: '5s'", "stop_within: '2s'").replace("unheard_within: '3s'", "unheard_within: '6s'")
     );
-    let result = run(&files, &day(50, 3, 120, ""), 1, &new, &commands, RUN);
-    assert_eq!(result.conducted.exit_code, Some(0), "{}", result.describe());
-    assert!(result.conducted.output.contains("is killed"), "{}", result.describe());
+    let result = run(&files, &scenario(50, 3, 120, ""), 1, &new, &commands, RUN);
+    assert_eq!(result.controller.exit_code, Some(0), "{}", result.describe());
+    assert!(result.controller.output.contains("is killed"), "{}", result.describe());
 }
 
 /// Mixers that had been stopped are started, and all mixers run the old build again.
@@ -227,10 +233,10 @@
     let files = TestFiles::new();
     let new = new_program(&files.rebuilt_mixer(), &files.write("new.json5", OLD_SETTINGS));
     let how = "(sleep 5; \"$0\" undo \"$1\") & exec \"$0\" run \"$1\"";
-    let result = run(&files, &day(22, 4, 100, ""), 2, &new, FAST_LIMITS, how);
-    assert_eq!(result.conducted.exit_code, Some(3), "{}", result.describe());
+    let result = run(&files, &scenario(22, 4, 100, ""), 2, &new, FAST_LIMITS, how);
+    assert_eq!(result.controller.exit_code, Some(3), "{}", result.describe());
     assert!(
-        result.breaches.is_empty() && result.conducted.output.contains("an operator asked"),
+        result.violations.is_empty() && result.controller.output.contains("an operator asked"),
         "{}",
         result.describe()
     );
@@ -245,10 +251,10 @@
 fn a_bad_change_is_stopped_in_its_first_step(script: &str, troubles: &str, expected: &str) {
     let files = TestFiles::new();
     let new = files.started_by(script);
-    let result = run(&files, &day(55, 4, 150, troubles), 2, &new, FAST_LIMITS, RUN);
-    assert_eq!(result.conducted.exit_code, Some(3), "{}", result.describe());
+    let result = run(&files, &scenario(55, 4, 150, troubles), 2, &new, FAST_LIMITS, RUN);
+    assert_eq!(result.controller.exit_code, Some(3), "{}", result.describe());
     assert!(
-        result.journal.contains(expected) || result.conducted.output.contains(expected),
+        result.journal.contains(expected) || result.controller.output.contains(expected),
         "{}",
         result.describe()
     );
@@ -266,10 +272,10 @@
     let path = files.write("new.json5", settings);
     let new = new_program(&mixer(), &path);
     let more_settings = format!("by: 'hup', {FAST_LIMITS}");
-    let result = run(&files, &day(45, 3, 150, ""), 1, &new, &more_settings, RUN);
-    assert_eq!(result.conducted.exit_code, Some(code), "{}", result.describe());
+    let result = run(&files, &scenario(45, 3, 150, ""), 1, &new, &more_settings, RUN);
+    assert_eq!(result.controller.exit_code, Some(code), "{}", result.describe());
     assert!(
-        result.breaches.is_empty() && result.figures.total().served_share() >= 0.95,
+        result.violations.is_empty() && result.statistics.total().served_share() >= 0.95,
         "{}",
         result.describe()
     );
@@ -282,8 +288,8 @@
     let new = new_program(&files.rebuilt_mixer(), &files.write("new.json5", OLD_SETTINGS));
     let how = "\"$0\" run \"$1\" & first=$!; sleep 2; \"$0\" run \"$1\"; echo second $?; kill -9 $first; \
         sed 's/test/another/' \"$1\" > \"$1.2\"; \"$0\" run \"$1.2\"; echo change $?; \"$0\" undo \"$1\"; \"$0\" run \"$1\"; echo undone $?";
-    let result = run(&files, &day(20, 3, 40, ""), 1, &new, FAST_LIMITS, how);
-    let says = &result.conducted.output;
+    let result = run(&files, &scenario(20, 3, 40, ""), 1, &new, FAST_LIMITS, how);
+    let says = &result.controller.output;
     assert!(says.contains("another conductor") && says.contains("second 2"), "{}", result.describe());
     assert!(says.contains("has not ended") && says.contains("change 2"), "{}", result.describe());
     assert!(says.contains("undone 3"), "{}", result.describe());
@@ -317,21 +323,21 @@
         ),
     ];
     // By the arrival times at the clients: scans that reach no mixer leave no trace.
-    let lost = |day: &Scenario, result: &RunResult, until: usize| {
+    let lost = |scenario: &Scenario, result: &RunResult, until: usize| {
         let within = |at: f64| (4.0..until as f64).contains(&at);
-        let asked = day.arrivals(7).into_iter().filter(|arrival| within(arrival.at.as_secs_f64()));
-        let worth: f64 = asked.map(|arrival| day.types[arrival.traffic_type].credit).sum();
-        worth - result.figures.sum_between(4, until).served
+        let asked = scenario.arrivals(7).into_iter().filter(|arrival| within(arrival.at.as_secs_f64()));
+        let worth: f64 = asked.map(|arrival| scenario.types[arrival.traffic_type].credit).sum();
+        worth - result.statistics.sum_between(4, until).served
     };
     for (name, script, staged, once) in kinds {
         let files = TestFiles::new();
-        let day_of_staged = day(55, 4, 150, staged);
-        let staged = run(&files, &day_of_staged, 2, &files.started_by(script), FAST_LIMITS, RUN);
-        let until = staged.conducted.ended_at.ceil() as usize;
-        let (other, day_of_once) = (TestFiles::new(), day(until as u32 + 1, 4, 150, once));
-        let once = run(&other, &day_of_once, 2, &other.started_by(no_fault), FAST_LIMITS, "true");
-        let code = staged.conducted.exit_code;
-        let (staged, once) = (lost(&day_of_staged, &staged, until), lost(&day_of_once, &once, until));
+        let staged_scenario = scenario(55, 4, 150, staged);
+        let staged = run(&files, &staged_scenario, 2, &files.started_by(script), FAST_LIMITS, RUN);
+        let until = staged.controller.ended_at.ceil() as usize;
+        let (other, once_scenario) = (TestFiles::new(), scenario(until as u32 + 1, 4, 150, once));
+        let once = run(&other, &once_scenario, 2, &other.started_by(no_fault), FAST_LIMITS, "true");
+        let code = staged.controller.exit_code;
+        let (staged, once) = (lost(&staged_scenario, &staged, until), lost(&once_scenario, &once, until));
         println!("{name} | {until} s, code {code:?} | {staged:.0} | {once:.0}");
     }
 }
--- a/crates/mixer/src/program/clients.rs
+++ b/crates/mixer/src/program/clients.rs
@@ -33,7 +33,7 @@
     rejections: Rejections,
     /// The latest retry delay sent with a rejection; reused for clients rejected when no descriptor is left.
     retry_after: Cell<Span>,
-    /// Indices of the query dialect; the dialect is off if there are none.
+    /// Indices of the query API; the API is off if there are none.
     indices: BTreeSet<String>,
     identity: Rc<Identity>,
 }
@@ -73,7 +73,7 @@
         self.retry_after.get()
     }
 
-    /// The indices of the query dialect.
+    /// The indices of the query API.
     pub fn indices(&self) -> &BTreeSet<String> {
         &self.indices
     }
--- a/crates/mixer/src/program/links.rs
+++ b/crates/mixer/src/program/links.rs
@@ -42,7 +42,7 @@
     to: SocketAddr,
     /// Notified to start a further attempt while the link is being dialed.
     extra_attempt: Notify,
-    /// Requests to a node of the query dialect that are not answered yet, in order.
+    /// Requests to a node of the query API that are not answered yet, in order.
     unanswered: RefCell<VecDeque<Question>>,
 }
 
@@ -347,7 +347,7 @@
     }
 }
 
-/// Reads responses of a query dialect node; each belongs to the oldest unanswered request.
+/// Reads responses of a query API node; each belongs to the oldest unanswered request.
 fn read_responses(
     handle: &Handle,
     link: LinkId,
--- a/crates/mixer/tests/dialect.rs
+++ b/crates/mixer/tests/dialect.rs
@@ -34,9 +34,12 @@
     let (at, known) = (free_address(), searcher_list(&addresses));
     let text = mixer_config(&at.to_string(), agent_with_list(known.clone()), &known)
         .replace(config_change.0, config_change.1);
-    let orders = temp_file(&format!("dialect-{name}.json"), &text);
+    let config_file = temp_file(&format!("dialect-{name}.json"), &text);
     let operator = temp_file(&format!("dialect-{name}.json5"), operator_config);
-    (start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at), received)
+    (
+        start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, config_file, Some(operator), at),
+        received,
+    )
 }
 
 fn mixer(
@@ -185,7 +188,7 @@
     let (addresses, received): (Vec<SocketAddr>, Vec<_>) =
         behaviours.iter().map(|behaviour| start_node(*behaviour)).unzip();
     let (at, known) = (free_address(), searcher_list(&addresses));
-    let orders = temp_file(
+    let config_file = temp_file(
         &format!("node-{name}.json"),
         &mixer_config(&at.to_string(), agent_with_list(known.clone()), &known),
     );
@@ -193,7 +196,10 @@
         &format!("node-{name}.json5"),
         &OPERATOR_CONFIG.replace("indices:", "nodes: ['s*'], indices:"),
     );
-    (start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at), received)
+    (
+        start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, config_file, Some(operator), at),
+        received,
+    )
 }
 
 const HEALTHY_NODE: NodeMode = NodeMode::Answers(AnswerMode::Valid);
@@ -400,14 +406,14 @@
 fn a_second_listener_serves_both_apis() {
     let (searcher_address, _received) = start_searcher(answer_searches);
     let (at, second, known) = (free_address(), free_address(), searcher_list(&[searcher_address]));
-    let orders = temp_file(
+    let config_file = temp_file(
         "dialect-further.json",
         &mixer_config(&at.to_string(), agent_with_list(known.clone()), &known),
     );
     let operator_config = OPERATOR_CONFIG.replace("indices:", &format!("listen: '{second}', indices:"));
     let operator = temp_file("dialect-further.json5", &operator_config);
     let mut mixer =
-        start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), at);
+        start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, config_file, Some(operator), at);
     for listener in [at, second] {
         let mut client = fernglade_standins::client::connect_client(listener);
         assert_eq!(request(&mut client, "GET", "/cues/_search", "", "").0, 200);
--- a/crates/mixer/tests/door.rs
+++ b/crates/mixer/tests/door.rs
@@ -41,13 +41,13 @@
     let (addresses, received): (Vec<SocketAddr>, Vec<_>) =
         habits.iter().map(|habit| start_searcher(*habit)).unzip();
     let (listen_address, known) = (free_address(), searcher_list(&addresses));
-    let orders = temp_file(
+    let config_file = temp_file(
         &format!("door-{name}.json"),
         &mixer_config(&listen_address.to_string(), agent_with_list(known.clone()), &known),
     );
     let operator = operator_config.map(|text| temp_file(&format!("door-{name}.json5"), text));
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    (start_mixer(program, descriptor_limit, orders, operator, listen_address), received)
+    (start_mixer(program, descriptor_limit, config_file, operator, listen_address), received)
 }
 
 /// How often each part was sent, by part id.
--- a/crates/mixer/tests/figures.rs
+++ b/crates/mixer/tests/figures.rs
@@ -26,12 +26,12 @@
 fn mixer(operator: &str) -> MixerProcess {
     let (address, known) = (free_address(), searcher_list(&[start_searcher(answer_by_shard).0]));
     let name = address.ip().to_string();
-    let orders = temp_file(
+    let config_file = temp_file(
         &format!("{name}.json"),
         &mixer_config(&address.to_string(), agent_with_list(known.clone()), &known),
     );
     let operator = temp_file(&format!("{name}.json5"), operator);
-    start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, orders, Some(operator), address)
+    start_mixer(Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), 256, config_file, Some(operator), address)
 }
 
 fn read_metrics(mixer: &MixerProcess) -> MetricsSample {
--- a/crates/mixer/tests/fleet.rs
+++ b/crates/mixer/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Tests of several processes of the built mixer that share one set of searchers, with faults on the
-//! connections between them. They check the rules that hold in every simulated day, and wide ratios of what
-//! was served; times only bound a day.
+//! connections between them. They check the rules that hold in every scenario, and wide ratios of what
+//! was served; times only bound a scenario.
 
 use fernglade_standins::child::{free_address, mixer_config, start_mixer, temp_file};
 use fernglade_standins::client::{read_response, scan_request, send};
@@ -11,7 +11,7 @@
 use std::sync::OnceLock;
 use test_case::test_case;
 
-fn day(faults: &str, mixers: &str) -> Scenario {
+fn scenario(faults: &str, mixers: &str) -> Scenario {
     let text = format!(
         r#"{{
           lasts: "7s", mixers: {mixers}, searchers: {{ cells: 3, replicas: 3, cold_from: 0.3, cold: "4s" }},
@@ -26,17 +26,18 @@
     Scenario::parse(&text).unwrap()
 }
 
-fn run_day(day: &Scenario, seed: u64) -> (RunStatistics, Vec<Violation>) {
-    run_day_with_operator(day, seed, None)
+fn run_scenario(scenario: &Scenario, seed: u64) -> (RunStatistics, Vec<Violation>) {
+    run_scenario_with_operator(scenario, seed, None)
 }
 
-fn run_day_with_operator(
-    day: &Scenario,
+fn run_scenario_with_operator(
+    scenario: &Scenario,
     seed: u64,
     operator: Option<&Path>,
 ) -> (RunStatistics, Vec<Violation>) {
-    let played = runner::run(day, seed, Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), operator).unwrap();
-    (played.statistics, played.violations)
+    let result =
+        runner::run(scenario, seed, Path::new(env!("CARGO_BIN_EXE_fernglade-mixer")), operator).unwrap();
+    (result.statistics, result.violations)
 }
 
 /// An operator file that enables fleet-wide load shedding. Written only once, as a mixer of another test may
@@ -57,11 +58,11 @@
 #[test_case("{ what: 'hang', at: '2s', lasts: '2s', searchers: [2] }, { what: 'drain', at: '3s', lasts: '2s', searchers: [5] }", 0.6, 1.2; "one searcher hangs while another drains")]
 #[test_case("{ what: 'drain', at: '2s', lasts: '3s', searchers: [0, 4, 8] }", 0.9, 1.1; "one searcher per cell drains")]
 fn faults_break_no_rule_and_most_scans_are_served(faults: &str, least_share: f64, most_sent_over_asked: f64) {
-    let (figures, breaches) = run_day(&day(faults, "{ count: 3 }"), 11);
-    assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    let whole = figures.total();
-    assert!(whole.scans > 400 && whole.served_share() >= least_share, "{figures}");
-    assert!(whole.relays_per_part() <= most_sent_over_asked, "{figures}");
+    let (statistics, violations) = run_scenario(&scenario(faults, "{ count: 3 }"), 11);
+    assert!(violations.is_empty(), "{violations:#?}\n{statistics}");
+    let whole = statistics.total();
+    assert!(whole.scans > 400 && whole.served_share() >= least_share, "{statistics}");
+    assert!(whole.relays_per_part() <= most_sent_over_asked, "{statistics}");
 }
 
 #[test_case("{ what: 'stall', at: '2s', lasts: '1500ms', mixers: [1] }"; "a mixer is stopped, and its state is stale")]
@@ -69,11 +70,11 @@
 #[test_case("{ what: 'term', at: '2s', lasts: '2500ms', mixers: [1] }"; "one mixer is terminated with scans in flight")]
 #[test_case("{ what: 'stall', at: '2s', lasts: '1500ms', mixers: [0] }, { what: 'drain', at: '2200ms', lasts: '3s', searchers: [0, 3] }"; "a drain is announced while a mixer is stopped")]
 fn unavailable_mixers_break_no_rule_and_the_others_keep_serving(faults: &str) {
-    let (figures, breaches) = run_day(&day(faults, "{ count: 3 }"), 12);
-    assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    assert!(figures.total().served_share() >= 0.4, "{figures}");
-    let last = figures.sum_between(5, 7);
-    assert!(last.served_share() >= 0.8, "the mixers are back: {figures}");
+    let (statistics, violations) = run_scenario(&scenario(faults, "{ count: 3 }"), 12);
+    assert!(violations.is_empty(), "{violations:#?}\n{statistics}");
+    assert!(statistics.total().served_share() >= 0.4, "{statistics}");
+    let last = statistics.sum_between(5, 7);
+    assert!(last.served_share() >= 0.8, "the mixers are back: {statistics}");
 }
 
 #[test_case("{ count: 4, first: 0.25 }"; "one mixer has a quarter of all scans")]
@@ -81,13 +82,13 @@
 #[test_case("{ count: 4, told: 8 }"; "configured with twice the fleet size")]
 fn searchers_that_restart_cold_are_not_overloaded_and_the_fleet_recovers(mixers: &str) {
     let faults = "{ what: 'crash', at: '1500ms', lasts: '1s', searchers: [0, 1, 3, 4, 6] }";
-    let (figures, breaches) = run_day(&day(faults, mixers), 13);
-    assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    let last = figures.sum_between(5, 7);
-    assert!(last.served_share() >= 0.8, "{figures}");
+    let (statistics, violations) = run_scenario(&scenario(faults, mixers), 13);
+    assert!(violations.is_empty(), "{violations:#?}\n{statistics}");
+    let last = statistics.sum_between(5, 7);
+    assert!(last.served_share() >= 0.8, "{statistics}");
     // Each of four mixers probes a dead searcher every five seconds, and connects to one that is back when it
     // has a part for it.
-    assert!(figures.max_probes() <= 8, "{figures}");
+    assert!(statistics.max_probes() <= 8, "{statistics}");
 }
 
 /// What the test of a whole fleet requires of the program, as far as it can be checked here
@@ -124,7 +125,7 @@
 }
 
 /// Scans that need every cell, edits worth twice as much, and clients of which half retry without waiting.
-fn overload_day(load: f64, faults: &str, mixers: &str) -> Scenario {
+fn overload_scenario(load: f64, faults: &str, mixers: &str) -> Scenario {
     let text = format!(
         r#"{{
           lasts: "7s", mixers: {mixers}, searchers: {{ cells: 3, replicas: 2, cold_from: 0.3, cold: "3s" }},
@@ -156,18 +157,21 @@
     mixers: &str,
     least_share: f64,
 ) {
-    let (figures, breaches) =
-        run_day_with_operator(&overload_day(load, faults, mixers), 21, Some(fleet_shedding_operator()));
-    assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    let whole = figures.total();
-    assert!(whole.served_share() >= least_share, "{figures}");
-    assert!(whole.relays_per_part() <= 1.2, "{figures}");
-    let (_, sent, served) = figures.types["fix"];
+    let (statistics, violations) = run_scenario_with_operator(
+        &overload_scenario(load, faults, mixers),
+        21,
+        Some(fleet_shedding_operator()),
+    );
+    assert!(violations.is_empty(), "{violations:#?}\n{statistics}");
+    let whole = statistics.total();
+    assert!(whole.served_share() >= least_share, "{statistics}");
+    assert!(whole.relays_per_part() <= 1.2, "{statistics}");
+    let (_, sent, served) = statistics.types["fix"];
     // Nothing that reached a mixer while it was stopped can be served, with any load shedding.
-    let stopped = figures.lost_to_stalls.get("fix").copied().unwrap_or_default();
+    let stopped = statistics.lost_to_stalls.get("fix").copied().unwrap_or_default();
     assert!(
         served >= 0.9 * (sent - stopped),
-        "edits have priority over lookups, {stopped} reached a stopped mixer: {figures}"
+        "edits have priority over lookups, {stopped} reached a stopped mixer: {statistics}"
     );
 }
 
@@ -175,13 +179,14 @@
 /// the burst.
 #[test]
 fn fleet_wide_shedding_recovers_after_a_burst() {
-    let mut day = overload_day(0.7, "{ what: 'burst', at: '2s', lasts: '2s', times: 7 }", "{ count: 4 }");
-    day.lasts = std::time::Duration::from_secs(11);
-    let (figures, breaches) = run_day_with_operator(&day, 22, Some(fleet_shedding_operator()));
-    assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    let (burst, after) = (figures.sum_between(2, 4), figures.sum_between(8, 11));
-    assert!(burst.served_share() <= 0.7, "the burst exceeds the capacity: {figures}");
-    assert!(after.served_share() >= 0.9, "{figures}");
+    let mut scenario =
+        overload_scenario(0.7, "{ what: 'burst', at: '2s', lasts: '2s', times: 7 }", "{ count: 4 }");
+    scenario.lasts = std::time::Duration::from_secs(11);
+    let (statistics, violations) = run_scenario_with_operator(&scenario, 22, Some(fleet_shedding_operator()));
+    assert!(violations.is_empty(), "{violations:#?}\n{statistics}");
+    let (burst, after) = (statistics.sum_between(2, 4), statistics.sum_between(8, 11));
+    assert!(burst.served_share() <= 0.7, "the burst exceeds the capacity: {statistics}");
+    assert!(after.served_share() >= 0.9, "{statistics}");
 }
 
 /// A sixth of the searchers is cut off while their connections stay open. Each mixer probes such a searcher
@@ -196,13 +201,14 @@
           ],
           troubles: [{ what: 'cut', at: '2s', lasts: '3s', searchers: [0, 7, 14] }] }"#;
     let operator = temp_file("asks.json5", "{ searchers: { checks_beside_queue: true } }");
-    let (figures, breaches) = run_day_with_operator(&Scenario::parse(text).unwrap(), 31, Some(&operator));
-    assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
+    let (statistics, violations) =
+        run_scenario_with_operator(&Scenario::parse(text).unwrap(), 31, Some(&operator));
+    assert!(violations.is_empty(), "{violations:#?}\n{statistics}");
     assert!(
-        figures.total().relays_per_part() <= 1.2 && figures.sum_between(2, 5).served_share() >= 0.7,
-        "{figures}"
+        statistics.total().relays_per_part() <= 1.2 && statistics.sum_between(2, 5).served_share() >= 0.7,
+        "{statistics}"
     );
-    assert!((1..=6).contains(&figures.max_probes()), "{figures}");
+    assert!((1..=6).contains(&statistics.max_probes()), "{statistics}");
 }
 
 /// An operator file with fleet-wide limits on relays and health probes, and probes that bypass the searchers'
@@ -226,11 +232,12 @@
           types: [{{ name: "look", rate: 30, parts: 12, work: "5ms", quoted: "600ms", abandon: "1500ms", repeat: "redoable" }}],
           troubles: [{{ what: 'hang', at: '1s', lasts: '13s', searchers: [7] }}] }}"#
     );
-    let (figures, breaches) =
-        run_day_with_operator(&Scenario::parse(&text).unwrap(), 41, Some(fleet_limits_operator()));
-    assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    assert!(figures.total().relays_per_part() <= 1.2, "{figures}");
-    let probes: Vec<usize> = (4..14).map(|s| figures.max_load(&[7], s..s + 1, |load| load.probes)).collect();
+    let (statistics, violations) =
+        run_scenario_with_operator(&Scenario::parse(&text).unwrap(), 41, Some(fleet_limits_operator()));
+    assert!(violations.is_empty(), "{violations:#?}\n{statistics}");
+    assert!(statistics.total().relays_per_part() <= 1.2, "{statistics}");
+    let probes: Vec<usize> =
+        (4..14).map(|s| statistics.max_load(&[7], s..s + 1, |load| load.probes)).collect();
     assert!(probes.iter().sum::<usize>() <= most_probes, "{probes:?}");
     assert!(
         probes.iter().filter(|second| **second > 0).count() >= least_seconds,
@@ -246,12 +253,16 @@
 #[test_case("{ count: 4, told: 8 }", "{ what: 'cut', at: '2s', lasts: '2s', mixers: [0, 1], searchers: [1, 4] }, { what: 'cut', at: '2s', lasts: '2s', mixers: [2, 3], searchers: [2, 5] },"; "configured with twice the fleet size, in a partition")]
 fn relays_of_refused_parts_stay_within_the_fleet_wide_budget(mixers: &str, further_faults: &str) {
     let faults = format!("{further_faults} {{ what: 'full', at: '2s', lasts: '3s', searchers: [0, 3, 6] }}");
-    let (figures, breaches) = run_day_with_operator(&day(&faults, mixers), 42, Some(fleet_limits_operator()));
-    assert!(breaches.is_empty(), "{breaches:#?}\n{figures}");
-    let whole = figures.total();
+    let (statistics, violations) =
+        run_scenario_with_operator(&scenario(&faults, mixers), 42, Some(fleet_limits_operator()));
+    assert!(violations.is_empty(), "{violations:#?}\n{statistics}");
+    let whole = statistics.total();
     // A fifth of all parts, and for each of three cells the relays that time earns in ten seconds, doubled
     // because the mixers may be configured with half of their number.
-    assert!(whole.retries as f64 <= 0.2 * whole.parts as f64 + 3.0 * 2.0 * 10.0, "{figures}");
-    assert!(whole.rejected_parts >= 3, "the full searchers were asked: {figures}");
-    assert!(whole.served_share() >= 0.6 && figures.sum_between(6, 7).served_share() >= 0.8, "{figures}");
+    assert!(whole.retries as f64 <= 0.2 * whole.parts as f64 + 3.0 * 2.0 * 10.0, "{statistics}");
+    assert!(whole.rejected_parts >= 3, "the full searchers were asked: {statistics}");
+    assert!(
+        whole.served_share() >= 0.6 && statistics.sum_between(6, 7).served_share() >= 0.8,
+        "{statistics}"
+    );
 }
--- a/crates/mixer/tests/signals.rs
+++ b/crates/mixer/tests/signals.rs
@@ -79,8 +79,8 @@
     let (listen_address, known) = (free_address(), searcher_list(&[address]));
     let config = mixer_config(&listen_address.to_string(), agent_with_list(known.clone()), &known);
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    let orders = temp_file(&format!("signals-{number}.json"), &config);
-    let mixer = start_with_syscall_faults(program, orders, listen_address, &[run.fault]);
+    let config_file = temp_file(&format!("signals-{number}.json"), &config);
+    let mixer = start_with_syscall_faults(program, config_file, listen_address, &[run.fault]);
     // Some more reads and writes, so that the faults have begun.
     let mut clients: Vec<_> = (0..8).map(|_| mixer.connect()).collect();
     clients.iter_mut().for_each(|client| send(client, HEALTH_REQUEST));
--- a/crates/mixer/tests/soak.rs
+++ b/crates/mixer/tests/soak.rs
@@ -158,10 +158,10 @@
     let short_limits = [("\"aim\":2000000", "\"aim\":500000"), ("\"give_up\":4000000", "\"give_up\":600000")];
     let config = short_limits.iter().fold(config, |config, (from, to)| config.replace(from, to));
     let program = Path::new(env!("CARGO_BIN_EXE_fernglade-mixer"));
-    let orders = temp_file(&format!("soak-{seed}.json"), &config);
+    let config_file = temp_file(&format!("soak-{seed}.json"), &config);
     match system_faults(seed) {
-        Some(faults) => start_with_syscall_faults(program, orders, address, &faults),
-        None => start_mixer(program, 1024, orders, None, address),
+        Some(faults) => start_with_syscall_faults(program, config_file, address, &faults),
+        None => start_mixer(program, 1024, config_file, None, address),
     }
 }
 
--- a/crates/mixer/tests/system_errors.rs
+++ b/crates/mixer/tests/system_errors.rs
@@ -19,7 +19,7 @@
 const EFFECT_LIMIT: Duration = Duration::from_millis(300);
 
 fn mixer(name: &str, known: &str, faults: &[SyscallFault]) -> MixerProcess {
-    mixer_with_config(name, known, faults, |orders| orders)
+    mixer_with_config(name, known, faults, |config| config)
 }
 
 fn mixer_with_config(
@@ -159,7 +159,7 @@
 fn a_rejection_reaches_its_client_despite_interrupted_calls(call: &'static str) {
     let (address, _received) = start_searcher(answer_parts);
     let faults = [SyscallFault { call, error: "EINTR", when: "2+3" }];
-    let fewer_sockets = |orders: String| orders.replace("\"sockets\":256", "\"sockets\":64");
+    let fewer_sockets = |config: String| config.replace("\"sockets\":256", "\"sockets\":64");
     let mixer =
         mixer_with_config(&format!("refusal-{call}"), &searcher_list(&[address]), &faults, fewer_sockets);
     let mut clients: Vec<Client> = (0..120).map(|_| mixer.connect()).collect();
--- a/crates/standins/src/bin/fernglade-fleet.rs
+++ b/crates/standins/src/bin/fernglade-fleet.rs
@@ -91,29 +91,29 @@
 fn execute(command: Command) -> Result<bool, String> {
     match command {
         Command::Check { day } => {
-            let day = read_scenario(&day)?;
-            let (mixers, searchers) = (day.mixers.count, day.searcher_count());
+            let scenario = read_scenario(&day)?;
+            let (mixers, searchers) = (scenario.mixers.count, scenario.searcher_count());
             println!(
                 "{mixers} mixers, {searchers} searchers, {} troubles, load {:.2}",
-                day.troubles.len(),
-                day.load()
+                scenario.troubles.len(),
+                scenario.load()
             );
             Ok(false)
         }
         Command::Curve { day, seeds, program, operator, loads, plot } => {
-            let day = read_scenario(&day)?;
-            print_curve(&day, &seeds, &program, &operator, &loads, plot.as_deref())
+            let scenario = read_scenario(&day)?;
+            print_curve(&scenario, &seeds, &program, &operator, &loads, plot.as_deref())
         }
         Command::Run { day, seed, program, against, beside, operator, loads, brief, watch, mixers } => {
-            let mut day = read_scenario(&day)?;
-            day.mixers.count = mixers.unwrap_or(day.mixers.count);
-            let days = if loads.is_empty() {
-                vec![day]
+            let mut scenario = read_scenario(&day)?;
+            scenario.mixers.count = mixers.unwrap_or(scenario.mixers.count);
+            let scenarios = if loads.is_empty() {
+                vec![scenario]
             } else {
-                loads.iter().map(|load| day.with_load(*load)).collect()
+                loads.iter().map(|load| scenario.with_load(*load)).collect()
             };
             let mut broken = false;
-            for day in &days {
+            for scenario in &scenarios {
                 for program in std::iter::once(&program).chain(&against) {
                     let (operator, beside) = (operator.as_deref(), beside.as_deref());
                     let options = RunOptions {
@@ -122,10 +122,10 @@
                         operator_file: operator,
                         controller: None,
                     };
-                    let (result, _) = runner::run_with(day, seed, &options)
+                    let (result, _) = runner::run_with(scenario, seed, &options)
                         .map_err(|error| format!("{}: {error}", program.display()))?;
                     broken |= !result.violations.is_empty();
-                    print_result(day, seed, program, &result, brief);
+                    print_result(scenario, seed, program, &result, brief);
                     watch.iter().for_each(|searcher| print_searcher(&result.statistics, *searcher));
                 }
             }
@@ -153,7 +153,7 @@
 
 /// Runs the scenario at each load and prints the curve.
 fn print_curve(
-    day: &Scenario,
+    scenario: &Scenario,
     seeds: &[u64],
     program: &Path,
     operator: &Path,
@@ -163,14 +163,14 @@
     let (mut points, mut broken): (Vec<Point>, bool) = (Vec::new(), false);
     println!("{:>5}  {:>9}  {:>9}  {:>9}  {:>9}", "load", "share off", "share on", "worth off", "worth on");
     for load in loads {
-        let day = day.with_load(*load);
+        let scenario = scenario.with_load(*load);
         let (mut share, mut worth) = ([0.0; 2], [0.0; 2]);
         for seed in seeds {
             for (at, operator) in [None, Some(operator)].into_iter().enumerate() {
-                let result = runner::run(&day, *seed, program, operator).map_err(|e| e.to_string())?;
+                let result = runner::run(&scenario, *seed, program, operator).map_err(|e| e.to_string())?;
                 let total = result.statistics.total();
                 share[at] += total.served_share() / seeds.len() as f64;
-                worth[at] += total.served / day.lasts.as_secs_f64() / seeds.len() as f64;
+                worth[at] += total.served / scenario.lasts.as_secs_f64() / seeds.len() as f64;
                 result.violations.iter().for_each(|violation| println!("  {violation}"));
                 broken |= !result.violations.is_empty();
             }
@@ -209,12 +209,12 @@
 }
 
 /// Prints the result of a run.
-fn print_result(day: &Scenario, seed: u64, program: &Path, result: &RunResult, brief: bool) {
+fn print_result(scenario: &Scenario, seed: u64, program: &Path, result: &RunResult, brief: bool) {
     let total = result.statistics.total();
     println!(
         "{} seed {seed} load {:.2}: served {:.3} of {:.0}, {:.3} sent over asked, {} rules broken",
         program.display(),
-        day.load(),
+        scenario.load(),
         total.served_share(),
         total.worth,
         total.relays_per_part(),
--- a/crates/standins/src/bin/merge-bench.rs
+++ b/crates/standins/src/bin/merge-bench.rs
@@ -72,18 +72,18 @@
             bodies.iter().map(|body| ShardResponse::parse(200, body, "cues", &search)).collect();
         let read_at = Instant::now();
         let before = heap();
-        let mut merge = Merger::new(&search);
+        let mut merger = Merger::new(&search);
         let mut held = 0;
-        for (number, reply) in (0..).zip(read) {
-            if let ShardResponse::Found(found) = reply {
-                assert!(merge.add_shard(number, found));
-                held = held.max(merge.held_hits());
+        for (number, response) in (0..).zip(read) {
+            if let ShardResponse::Found(found) = response {
+                assert!(merger.add_shard(number, found));
+                held = held.max(merger.held_hits());
             }
         }
         let after = heap();
         merged = (held, after.0 - before.0, after.1 - before.1);
         let merged_at = Instant::now();
-        let answer = search_response("cues", &search, merge.finish(true), &shards, Span::ZERO).to_string();
+        let answer = search_response("cues", &search, merger.finish(true), &shards, Span::ZERO).to_string();
         assert!(answer.contains("\"failed\":0"));
         if profiled {
             break;
--- a/crates/standins/src/documents.rs
+++ b/crates/standins/src/documents.rs
@@ -200,13 +200,13 @@
     }
 }
 
-fn satisfies_bound(value: &JsonValue, edge: Option<&Bound>, side: Ordering) -> bool {
-    let Some(edge) = edge else { return true };
-    let order = match (value, &edge.value) {
+fn satisfies_bound(value: &JsonValue, bound: Option<&Bound>, side: Ordering) -> bool {
+    let Some(bound) = bound else { return true };
+    let order = match (value, &bound.value) {
         (JsonValue::String(a), JsonValue::String(b)) => Some(a.cmp(b)),
         (a, b) => a.number().zip(b.number()).map(|(a, b)| a.total_cmp(&b)),
     };
-    order.is_some_and(|order| order == side || edge.inclusive && order == Ordering::Equal)
+    order.is_some_and(|order| order == side || bound.inclusive && order == Ordering::Equal)
 }
 
 /// The order of one shard's hits: the requested order, then by id.
--- a/crates/standins/tests/cues.rs
+++ b/crates/standins/tests/cues.rs
@@ -14,12 +14,12 @@
 
 /// The merged answer of all shards to a search.
 fn merged_answer(shards: &[Shard], search: &Search) -> Value {
-    let mut merge = Merger::new(search);
+    let mut merger = Merger::new(search);
     for (number, shard) in (0..).zip(shards) {
-        assert!(merge.add_shard(number, shard.search(search)));
+        assert!(merger.add_shard(number, shard.search(search)));
     }
     let shards = ShardSummary { total: shards.len(), failures: Vec::new() };
-    search_response("cues", search, merge.finish(true), &shards, Span::ZERO)
+    search_response("cues", search, merger.finish(true), &shards, Span::ZERO)
 }
 
 /// Distributes the documents so that the order of ids is the order of shards: ties are then broken the same
@@ -122,9 +122,9 @@
             .relay_outcome(),
         RelayOutcome::Succeeded
     );
-    let reply = ShardResponse::parse(200, &shard.body("cues", &search, mode), "cues", &search);
-    assert_eq!(reply.relay_outcome(), RelayOutcome::Failed);
-    assert!(matches!(&reply, ShardResponse::Unusable(why) if why.contains(says)), "{reply:?}");
+    let response = ShardResponse::parse(200, &shard.body("cues", &search, mode), "cues", &search);
+    assert_eq!(response.relay_outcome(), RelayOutcome::Failed);
+    assert!(matches!(&response, ShardResponse::Unusable(why) if why.contains(says)), "{response:?}");
 }
 
 #[test]
--- a/crates/standins/tests/planted.rs
+++ b/crates/standins/tests/planted.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use test_case::test_case;
 
-const DAY: &str = r#"{
+const SCENARIO: &str = r#"{
   lasts: "3s", mixers: { count: 3 }, searchers: { cells: 2, replicas: 2, notice: ["50ms", "150ms"] },
   clients: { tries: 1 }, budget: { free: 5, share: 0.2, in_sum: 1.2 },
   types: [
@@ -22,11 +22,16 @@
 #[test_case("deaf", "{ what: 'drain', at: '500ms', searchers: [0, 2] }", &[Rule::Drain], &[Rule::Effect, Rule::Answer]; "a drain is not heeded")]
 #[test_case("boasts", "{ what: 'hang', at: '500ms', lasts: '2s', searchers: [0] }", &[Rule::Honest], &[Rule::Drain, Rule::Sum]; "half is called whole")]
 #[test_case("hasty", "", &[Rule::Answer], &[Rule::Drain, Rule::Sum]; "parts are sent after the answer")]
-fn what_is_planted_is_found_and_nothing_else(fault: &str, trouble: &str, found: &[Rule], clean: &[Rule]) {
-    let day = Scenario::parse(&DAY.replace("TROUBLE", trouble)).unwrap();
+fn what_is_planted_is_found_and_nothing_else(
+    fault: &str,
+    scenario_faults: &str,
+    found: &[Rule],
+    clean: &[Rule],
+) {
+    let scenario = Scenario::parse(&SCENARIO.replace("TROUBLE", scenario_faults)).unwrap();
     let operator = temp_file(&format!("planted-{fault}"), fault);
     let program = Path::new(env!("CARGO_BIN_EXE_naive-mixer"));
-    let result = runner::run(&day, 21, program, Some(&operator)).unwrap();
+    let result = runner::run(&scenario, 21, program, Some(&operator)).unwrap();
     let _ = std::fs::remove_file(operator);
     let rules: Vec<Rule> = result.violations.iter().map(|violation| violation.rule).collect();
     assert!(result.statistics.total().scans > 100, "{}", result.statistics);
