--- a/crates/mixer/src/program/hub.rs
+++ b/crates/mixer/src/program/hub.rs
@@ -234,7 +234,7 @@
             Effect::ProbeHealth(link) => links.check(handle, link),
             Effect::RequestVersion(link) => links.ask_version(handle, link),
             Effect::LogNodeVersion { to, version } => {
-                log::info!("node {to} supports the query dialect, version {version}")
+                log::info!("node {to} supports the query API, version {version}")
             }
             Effect::CloseLink(link) => links.close(link),
             Effect::AbortLink(link) => links.abort(link),
--- a/crates/mixer/src/protocol/frames.rs
+++ b/crates/mixer/src/protocol/frames.rs
@@ -45,11 +45,11 @@
     pub idempotency_key: Option<String>,
     /// The query text, passed on unchanged.
     pub text: std::rc::Rc<str>,
-    /// The same request for a node that speaks the query dialect; `None` if the dialect cannot express it.
+    /// The same request for a node that speaks the query API; `None` if the query API cannot express it.
     pub node_request: Option<std::rc::Rc<NodeRequest>>,
 }
 
-/// A part as a request to a node that speaks the query dialect.
+/// A part as a request to a node that speaks the query API.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeRequest {
     /// Path without query parameters: the shard and the timeout differ by part.
--- a/crates/mixer/src/protocol/nodes.rs
+++ b/crates/mixer/src/protocol/nodes.rs
@@ -1,10 +1,10 @@
-//! Requests to nodes of the query dialect over HTTP/1.1, and their responses. A connection carries one
-//! request at a time.
+//! Requests to nodes of the query API over HTTP/1.1, and their responses. A connection carries one request at
+//! a time.
 
 use super::frames::{PartOutcome, PartRequest};
 use super::http::Message;
 
-/// Encodes the request for a part, or returns `None` if the dialect cannot express the part.
+/// Encodes the request for a part, or returns `None` if the query API cannot express the part.
 pub fn encode_part_request(part: &PartRequest, host: &str) -> Option<Vec<u8>> {
     let request = part.node_request.as_ref()?;
     let (path, body, timeout_ms) = (&request.path, &request.body, part.timeout_ms);
--- a/crates/mixer/src/protocol/scans.rs
+++ b/crates/mixer/src/protocol/scans.rs
@@ -39,7 +39,7 @@
     /// The mixer's metrics, which only permitted addresses may read.
     Metrics,
     Scan(ScanRequest),
-    /// A request in the query dialect.
+    /// A request of the query API.
     Query(Box<Request>),
 }
 
@@ -55,7 +55,7 @@
     Conflict,
     HeadTooLong,
     BodyTooLong,
-    /// An error of the query dialect.
+    /// An error of the query API.
     Dialect(fernglade_dialect::ApiError),
 }
 
@@ -63,8 +63,8 @@
     RequestError::Invalid(message.into())
 }
 
-/// Parses a request. `indices` are the configured indices of the query dialect; without any, requests in the
-/// dialect are not recognised.
+/// Parses a request. `indices` are the configured indices of the query API; without any, requests of the query
+/// API are not recognised.
 pub fn parse_request(message: &Message, indices: &BTreeSet<String>) -> Result<ClientRequest, RequestError> {
     let [method, target, _] = &message.start_line;
     let path = target.split('?').next().unwrap_or_default();
--- a/crates/orders/src/dialect.rs
+++ b/crates/orders/src/dialect.rs
@@ -1,24 +1,24 @@
-//! The section `dialect`: indices of the OpenSearch-style API, mapped to the platform's traffic types and
-//! customers.
+//! The section `dialect`: indices of the query API (OpenSearch style), mapped to the platform's traffic types
+//! and customers.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The query dialect. It is off unless an index is configured.
+/// The query API. It is off unless an index is configured.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Dialect {
     pub indices: BTreeMap<String, Index>,
-    /// An additional listen address. Both listeners accept platform and dialect requests.
+    /// An additional listen address. Both listeners accept requests of the platform's API and of the query API.
     pub listen: Option<SocketAddr>,
-    /// Names of the searchers that speak the dialect themselves over HTTP/1.1. A trailing `*` matches any
+    /// Names of the searchers that speak the query API themselves over HTTP/1.1. A trailing `*` matches any
     /// rest.
     pub nodes: Vec<String>,
 }
 
 impl Dialect {
-    /// Whether a searcher speaks the dialect itself.
+    /// Whether a searcher speaks the query API itself.
     pub fn is_node(&self, searcher: &str) -> bool {
         self.nodes.iter().any(|name| match name.strip_suffix('*') {
             Some(prefix) => searcher.starts_with(prefix),
@@ -27,7 +27,7 @@
     }
 }
 
-/// One index of the query dialect.
+/// One index of the query API.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Index {
--- a/crates/orders/src/file.rs
+++ b/crates/orders/src/file.rs
@@ -99,7 +99,7 @@
         Ok(config)
     }
 
-    /// The query dialect. Its users check the names in it against the deployment's settings.
+    /// The query API. Its users check the names in it against the deployment's settings.
     pub fn dialect(&self) -> &Dialect {
         &self.dialect
     }
