--- a/crates/mixer/src/protocol/scans.rs
+++ b/crates/mixer/src/protocol/scans.rs
@@ -63,8 +63,8 @@
     RequestError::Invalid(message.into())
 }
 
-/// Parses a request. `indices` are the configured indices of the query API; without any, requests of the query
-/// API are not recognised.
+/// Parses a request. `indices` are the configured indices of the query API; without any, requests of that API
+/// are not recognised.
 pub fn parse_request(message: &Message, indices: &BTreeSet<String>) -> Result<ClientRequest, RequestError> {
     let [method, target, _] = &message.start_line;
     let path = target.split('?').next().unwrap_or_default();
--- a/crates/mixer/tests/door.rs
+++ b/crates/mixer/tests/door.rs
@@ -102,7 +102,8 @@
 }
 
 /// While connections wait for answers or for the rest of a request, accepted edits are each answered and sent
-/// once, a client over its connection limit gets a 503 with `Retry-After`, and a known client is still served.
+/// once, a client over its connection limit gets a 503 with `Retry-After`, and a known client is still
+/// served.
 #[test]
 fn accepted_edits_are_answered_once_and_clients_over_the_limit_are_rejected() {
     let (mixer, received) = mixer("cap", 96, Some(ADMISSION_RULES), &[answer_slowly]);
