--- a/crates/mixer/src/program/config.rs
+++ b/crates/mixer/src/program/config.rs
@@ -35,7 +35,7 @@
     /// The list of searchers known at start.
     pub known: ListUpdate,
     /// The routing settings as flattened pairs of path and value.
-    pub readings: Settings,
+    pub routing_settings: Settings,
 }
 
 impl Config {
@@ -104,7 +104,7 @@
             settings: digest(None),
             operator_file: None,
             known: known.map_err(|error| format!("known: {error}"))?,
-            readings: Settings::from_pairs(pairs),
+            routing_settings: Settings::from_pairs(pairs),
         })
     }
 }
--- a/crates/mixer/src/program/config/tests.rs
+++ b/crates/mixer/src/program/config/tests.rs
@@ -11,12 +11,12 @@
 }
 
 #[test]
-fn settings_are_flattened_to_readings() {
+fn settings_are_flattened_to_routing_settings() {
     let config = read(CONFIG).unwrap();
     assert_eq!((config.seed, config.known.version), (0x8c1f_30d2_7a5b_e964, 41));
-    assert_eq!(config.readings.string_list("areas"), ["a", "b"]);
-    assert_eq!(config.readings.object_names("services"), Ok(vec!["x y".into()]));
-    assert_eq!(config.readings.number("tick", 0.0), Ok(5000.0));
+    assert_eq!(config.routing_settings.string_list("areas"), ["a", "b"]);
+    assert_eq!(config.routing_settings.object_names("services"), Ok(vec!["x y".into()]));
+    assert_eq!(config.routing_settings.number("tick", 0.0), Ok(5000.0));
     assert!(config.descriptors.total() <= 1024);
 }
 
--- a/crates/mixer/src/program/hub.rs
+++ b/crates/mixer/src/program/hub.rs
@@ -35,7 +35,7 @@
     shutdown: Notify,
 }
 
-/// Serves until asked to stop and every request is answered.
+/// Serves until a shutdown is requested and every request is answered.
 pub fn run(config: Config) -> Result<(), String> {
     let executor = Rc::new(LocalExecutor::new());
     let reactor =
@@ -45,12 +45,13 @@
 
 async fn serve(config: Config, executor: Rc<LocalExecutor<'static>>) -> Result<(), String> {
     let clock = Clock::start();
-    let state = State::new(&config.readings, config.seed, config.descriptors, &config.operator, &config.name);
+    let state =
+        State::new(&config.routing_settings, config.seed, config.descriptors, &config.operator, &config.name);
     let mut state = state.map_err(|error| error.to_string())?;
     let initial_effects = state.begin(&config.known, config.discovery, clock.now());
     let indices = config.operator.dialect().indices.keys().cloned().collect();
-    let dialect_listeners = config.operator.dialect().listen;
-    let at: Vec<_> = std::iter::once(config.listen).chain(dialect_listeners).collect();
+    let query_api_address = config.operator.dialect().listen;
+    let at: Vec<_> = std::iter::once(config.listen).chain(query_api_address).collect();
     let mut listeners = Vec::new();
     for at in &at {
         let listener = retry_transient(|| listen(*at));
@@ -108,7 +109,7 @@
     Ok(())
 }
 
-/// Dispatches `TimeCame` when the most recently requested timer is due.
+/// Dispatches `TimerFired` when the most recently requested timer is due.
 async fn run_timer(hub: Rc<Hub>) {
     loop {
         let due = async {
--- a/crates/mixer/src/program/watch.rs
+++ b/crates/mixer/src/program/watch.rs
@@ -26,8 +26,8 @@
 /// thousands of searchers.
 const MAX_LIST_BYTES: usize = 2 * 1024 * 1024;
 
-/// A request: the agent's address, the version after which news is wanted, and whether the agent may hold the
-/// answer until there is some.
+/// A request: the agent's address, the version after which changes are wanted, and whether the agent may hold the
+/// answer until there are some.
 type Request = (SocketAddr, Option<u64>, bool);
 
 /// The next request to be sent; a newer one replaces it.
@@ -76,11 +76,11 @@
                 (agent.stream, request) = (None, newer);
                 continue;
             }
-            Ok(Ok(news)) => {
+            Ok(Ok(update)) => {
                 if std::mem::take(&mut failures) > 0 {
-                    log::info!("discovery is answering again, version {}", news.version);
+                    log::info!("discovery is answering again, version {}", update.version);
                 }
-                Event::DiscoveryUpdated(news)
+                Event::DiscoveryUpdated(update)
             }
             Ok(Err(error)) => {
                 agent.stream = None;
