--- a/crates/admission/src/client_key.rs
+++ b/crates/admission/src/client_key.rs
@@ -1,4 +1,4 @@
-//! Client keys: how admission control tells clients apart, and which clients are known.
+//! Client keys: how admission control distinguishes clients, and which clients are known.
 
 use ipnet::{IpNet, Ipv4Net};
 use std::net::{IpAddr, Ipv6Addr};
--- a/crates/admission/src/connections.rs
+++ b/crates/admission/src/connections.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Connection {
     pub client: ClientKey,
-    /// The address from which `known` is determined anew when the policy changes.
+    /// The address from which `known` is determined again when the policy changes.
     pub address: Option<IpAddr>,
     /// Whether the client is known to the operator.
     pub known: bool,
--- a/crates/admission/src/controller.rs
+++ b/crates/admission/src/controller.rs
@@ -7,7 +7,7 @@
 //! | new | `connection_accepted`, a slot is free for it | admitted, idle |
 //! | new | `connection_accepted`, no free slot, the queue has room | queued; another is evicted if possible |
 //! | new | `connection_accepted`, the queue is full, may displace another | queued; the other is rejected |
-//! | new | `connection_accepted`, the queue is full, may displace nobody | rejected |
+//! | new | `connection_accepted`, the queue is full, may displace no other | rejected |
 //! | queued | a slot that it may use becomes free, and it is next | admitted, idle |
 //! | queued | `tick` after [`MAX_QUEUE_WAIT`], or `shut_down` | rejected |
 //! | admitted, idle | `activity_changed` to `ReceivingRequest` or `ScanOpen` | as given |
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -7,11 +7,11 @@
 //! decides about connections only; which *scans* are rejected is up to the decision module of the `fernglade`
 //! crate (`src/choice.rs`).
 //!
-//! - [`ClientKey`], [`KnownNetworks`]: how clients are told apart, and which of them are known
+//! - [`ClientKey`], [`KnownNetworks`]: how clients are distinguished, and which of them are known
 //! - [`DescriptorBudget`]: how the file descriptors are divided up
 //! - [`AdmissionPolicy`]: the operator's settings
 //! - [`AdmissionController`]: the slots, the queue, and whether connections are accepted
-//! - [`ResourceShortage`]: whether a failed system call is worth evicting a connection
+//! - [`ResourceShortage`]: whether a failed system call justifies evicting a connection
 //!
 //! How each table is emptied: a connection's entry is removed when it closes, the counts of a client or
 //! prefix with its last connection, and a rate limiter's bucket once it is full again (or earlier, to make
--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -20,7 +20,7 @@
     pub known_networks: KnownNetworks,
     /// The share of the slots that only connections with an open scan may hold.
     pub open_scan_share: f64,
-    /// When rejected clients are told to retry; `None` to tell them nothing.
+    /// The retry time sent to rejected clients; `None` to send none.
     pub retry_after: Option<Span>,
 }
 
@@ -30,8 +30,8 @@
         ((self.reserved_share * slots as f64).ceil() as usize).min(slots.saturating_sub(1))
     }
 
-    /// How many of the slots connections without an open scan may hold: at least one, or nobody could send a
-    /// request.
+    /// How many of the slots connections without an open scan may hold: at least one, or no client could send
+    /// a request.
     pub fn idle_slots(&self, slots: usize) -> usize {
         (((1.0 - self.open_scan_share) * slots as f64).floor() as usize).clamp(1, slots.max(1))
     }
--- a/crates/admission/src/shortage.rs
+++ b/crates/admission/src/shortage.rs
@@ -1,5 +1,5 @@
 //! Handles system calls that fail for lack of descriptors or buffers. The shortage may be momentary, as when
-//! other processes hold the system's last ones, or persistent. Only a persistent one is worth closing a
+//! other processes hold the system's last ones, or persistent. Only a persistent one justifies closing a
 //! client's connection.
 
 use fernglade::Span;
--- a/crates/conductor/tests/rollout.rs
+++ b/crates/conductor/tests/rollout.rs
@@ -210,8 +210,8 @@
     );
 }
 
-/// With the operator's commands, and mixers that hang as soon as they are told to stop: each is killed after
-/// the timeout, and the rollout continues.
+/// With the operator's commands, and mixers that hang as soon as they are requested to stop: each is killed
+/// after the timeout, and the rollout continues.
 #[test]
 fn mixers_that_hang_while_draining_are_killed() {
     let files = TestFiles::new();
--- a/crates/dialect/src/merge.rs
+++ b/crates/dialect/src/merge.rs
@@ -214,7 +214,7 @@
         self.best.len()
     }
 
-    /// The merged result; `all_succeeded` tells whether every requested shard was added.
+    /// The merged result; `all_succeeded` states whether every requested shard was added.
     pub fn finish(self, all_succeeded: bool) -> MergedResult {
         let hit = |(rank, source): (Rank, JsonValue)| Hit {
             id: rank.id,
--- a/crates/dialect/src/request.rs
+++ b/crates/dialect/src/request.rs
@@ -160,7 +160,8 @@
 /// Parses the body of `_update` and returns the partial document.
 fn parse_update(body: &[u8]) -> Result<serde_json::Value, ApiError> {
     let json = JsonValue::parse(body)?;
-    // Scripts and upserts depend on the stored document, so a second run cannot be told from the first.
+    // Scripts and upserts depend on the stored document, so a second run cannot be distinguished from the
+    // first.
     reject_unknown_fields(&json, "update", &["doc"])?;
     let document = json.get("doc").ok_or_else(|| ApiError::parsing("[update] requires [doc]"))?;
     document.object("doc")?;
--- a/crates/mixer/src/program/requests.rs
+++ b/crates/mixer/src/program/requests.rs
@@ -107,7 +107,7 @@
                     Event::InvalidRequest(client, parse_error(error), true)
                 }
             };
-            // The client left while the request waited to be parsed: there is nobody to answer, and the next
+            // The client left while the request waited to be parsed: there is no one to answer, and the next
             // read reports the end.
             if drain_socket(self.stream, &connection.control, buffer) {
                 break;
--- a/crates/mixer/src/program/watch.rs
+++ b/crates/mixer/src/program/watch.rs
@@ -26,8 +26,8 @@
 /// thousands of searchers.
 const MAX_LIST_BYTES: usize = 2 * 1024 * 1024;
 
-/// A request: the agent's address, the version after which changes are wanted, and whether the agent may hold the
-/// answer until there are some.
+/// A request: the agent's address, the version after which changes are wanted, and whether the agent may hold
+/// the answer until there are some.
 type Request = (SocketAddr, Option<u64>, bool);
 
 /// The next request to be sent; a newer one replaces it.
--- a/crates/mixer/src/routing/any_order.rs
+++ b/crates/mixer/src/routing/any_order.rs
@@ -1,6 +1,6 @@
 //! Property test: feeds events in any order that the environment can produce. A model of the environment
-//! records what was written to whom and which clients wait, and asserts what must hold however and whenever
-//! things end.
+//! records what was written on each link and which clients wait, and asserts what must hold however and
+//! whenever things end.
 
 use super::*;
 use crate::protocol::discovery::{ListUpdate, SearcherEntry};
--- a/crates/mixer/src/routing/clients.rs
+++ b/crates/mixer/src/routing/clients.rs
@@ -128,7 +128,7 @@
         self.actions.extend(self.admission.shut_down(now));
     }
 
-    /// The retry time told to refused clients, if the operator configured one.
+    /// The retry time sent to refused clients, if the operator configured one.
     pub fn refusal_retry_after(&self) -> Option<Span> {
         self.admission.policy().retry_after
     }
--- a/crates/mixer/src/routing/close_reason.rs
+++ b/crates/mixer/src/routing/close_reason.rs
@@ -30,7 +30,7 @@
 }
 
 impl CloseReason {
-    /// The outcome of a part whose link closed for this reason; `written` tells whether the last byte of its
+    /// The outcome of a part whose link closed for this reason; `written` states whether the last byte of its
     /// call had been written.
     pub fn relay_outcome(self, written: bool) -> RelayOutcome {
         match (self, written) {
--- a/crates/mixer/src/routing/connection_attempts.rs
+++ b/crates/mixer/src/routing/connection_attempts.rs
@@ -63,7 +63,7 @@
         now + self.hedge_delay(timeout)
     }
 
-    /// Decides whether to start a hedged attempt; `has_room` tells whether a descriptor is left for one.
+    /// Decides whether to start a hedged attempt; `has_room` states whether a descriptor is left for one.
     pub fn hedge_decision(
         &mut self,
         link: LinkId,
--- a/crates/mixer/src/routing/event.rs
+++ b/crates/mixer/src/routing/event.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClientId(pub u64);
 
-/// Identifies a connection to a searcher. Never reused.
+/// Identifies a link: a connection to a searcher. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkId(pub u64);
 
@@ -34,7 +34,7 @@
 /// An input to the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A client connection was accepted. An effect tells whether it is admitted.
+    /// A client connection was accepted. An effect admits or refuses it.
     ClientAccepted(ClientId, IpAddr),
     /// A request has begun to arrive and may still be incomplete. The span is how long it may have waited
     /// unread.
@@ -61,7 +61,7 @@
     CallWithdrawn(LinkId, CallId),
     /// A searcher answered a part.
     PartAnswered { link: LinkId, id: String, outcome: PartOutcome, value: String },
-    /// A health probe was answered; the flag tells whether the searcher is healthy.
+    /// A health probe was answered; the flag states whether the searcher is healthy.
     HealthProbeAnswered(LinkId, bool),
     /// `true`: an incoming frame has been read in part. `false`: its remainder has arrived.
     FramePartiallyRead(LinkId, bool),
@@ -94,7 +94,7 @@
     Reply { client: ClientId, reply: Reply, last: bool },
     /// Admits an accepted client: requests are read from its connection from now on.
     AdmitClient(ClientId),
-    /// Refuses an accepted client: tells it when to retry and closes its connection.
+    /// Refuses an accepted client: sends it a retry time and closes its connection.
     RefuseClient(ClientId, Span),
     /// Closes a client's connection.
     CloseClient(ClientId),
@@ -111,17 +111,17 @@
     Call { link: LinkId, call: CallId, part_requests: Vec<PartRequest> },
     /// Withdraws a call if none of it has been written yet; answered by `Event::CallWithdrawn` in that case.
     WithdrawCall(LinkId, CallId),
-    /// Tells a searcher that the answer to a part is no longer needed.
+    /// Cancels a part: notifies the searcher that its answer is no longer needed.
     CancelPart { link: LinkId, id: String },
     /// Sends a health probe.
     ProbeHealth(LinkId),
-    /// Asks a query API node for its version.
+    /// Requests the version of a query API node.
     RequestVersion(LinkId),
     /// Closes a link.
     CloseLink(LinkId),
     /// Closes a link at once; bytes that wait to be written are dropped.
     AbortLink(LinkId),
-    /// Asks discovery for what is newer than a version, or for the whole list, replacing any earlier request.
+    /// Requests the changes since a version from discovery, or the whole list; replaces any earlier request.
     /// With `long_poll` discovery may hold its answer until something changes.
     WatchDiscovery { at: SocketAddr, after: Option<u64>, long_poll: bool },
     /// Requests `Event::TimerFired` at that time, replacing any earlier request.
--- a/crates/mixer/src/routing/host.rs
+++ b/crates/mixer/src/routing/host.rs
@@ -65,9 +65,9 @@
     pub relays: BTreeMap<Ticket, Relay>,
     /// Relays started by the current event that have no link yet.
     unassigned: Vec<Ticket>,
-    /// Finished relays that the routing logic hasn't been told of yet.
+    /// Finished relays not yet passed to the routing logic.
     pub finished_relays: VecDeque<(Ticket, RelayOutcome, Span)>,
-    /// Health probe results that the routing logic hasn't been told of yet.
+    /// Health probe results not yet passed to the routing logic.
     pub probe_results: VecDeque<(Searcher, bool)>,
     /// Multi-search requests by client, removed when answered or when the client disconnects.
     pub multi_searches: BTreeMap<ClientId, MultiSearch>,
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Closes a link that owes an answer nobody needs, as that answer would have to arrive before the next
-    /// one.
+    /// Closes a link with an outstanding answer that is no longer needed, as that answer would have to arrive
+    /// before the next one.
     fn abort_link(&mut self, link_id: LinkId) {
         let Some(link) = self.pool.links.remove(&link_id) else { return };
         self.pool.closing.insert(link_id);
--- a/crates/mixer/src/routing/pool.rs
+++ b/crates/mixer/src/routing/pool.rs
@@ -222,9 +222,9 @@
     /// unused for long go first, then links used only once, then the least reused ones. This serves a mixer
     /// that calls more searchers than it can hold links to: evicting all idle links, or the least recently
     /// used first, would drop the link of each searcher called in turn just before its next turn, and every
-    /// call would need a new connection. Links used only once are evicted in random order, because nobody
-    /// knows which will be used again; in any fixed order links no longer needed would keep out those that
-    /// are. The cost is a few extra dials to a searcher that has only just come into use.
+    /// call would need a new connection. Links used only once are evicted in random order, because it
+    /// is unknown which will be used again; in any fixed order links no longer needed would keep out those
+    /// that are. The cost is a few extra dials to a searcher that has only just come into use.
     pub fn evict_idle(&mut self, now: Moment) -> Vec<LinkId> {
         if !self.is_full() {
             return Vec::new();
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -411,7 +411,7 @@
         link.note_received(self.host.now);
         let Some((call_id, ticket)) = found else {
             // Either a late answer to a cancelled part, which is dropped; or the answer to an unknown part,
-            // in which case it can't be told whose answer it corrupted.
+            // in which case it is unknown whose answer it corrupted.
             if !link.take_cancelled(id) {
                 self.abort_on_invalid_data(link_id);
             }
@@ -478,7 +478,7 @@
 
     /// Records that an incoming frame is incomplete, or complete after all. Searchers write a frame in one
     /// piece, so one that takes longer than the dial timeout won't be completed, and later frames couldn't be
-    /// told apart from it.
+    /// distinguished from it.
     fn frame_partially_read(&mut self, id: LinkId, partial: bool) {
         let (now, timeout) = (self.host.now, self.host.dial_timeout);
         let Some(link) = self.host.pool.links.get_mut(&id) else { return };
--- a/crates/mixer/src/transport/reactor.rs
+++ b/crates/mixer/src/transport/reactor.rs
@@ -123,7 +123,7 @@
     }
 }
 
-/// Due time of a timer, and a number that tells timers of the same time apart.
+/// Due time of a timer, and a number that distinguishes timers of the same time.
 type TimerKey = (Instant, u64);
 
 /// An epoll instance with the sources and timers of one thread.
--- a/crates/orders/src/dialect.rs
+++ b/crates/orders/src/dialect.rs
@@ -10,8 +10,8 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Dialect {
     pub indices: BTreeMap<String, Index>,
-    /// An additional listen address. Both listeners accept requests of both APIs, the platform's and the query
-    /// API.
+    /// An additional listen address. Both listeners accept requests of both APIs, the platform's and the
+    /// query API.
     pub listen: Option<SocketAddr>,
     /// Names of the searchers that speak the query API themselves over HTTP/1.1. A trailing `*` matches any
     /// rest.
--- a/crates/rollout/src/machine.rs
+++ b/crates/rollout/src/machine.rs
@@ -43,7 +43,7 @@
         mixer: usize,
         crashed: bool,
     },
-    /// The mixer could not be started, stopped or told to reload.
+    /// The mixer could not be started or stopped, or its reload could not be triggered.
     Failed(usize, String),
     /// Periodic tick. `watched` is set once the reference window has been observed.
     Time {
@@ -556,7 +556,8 @@
         self.state = Stand::Held(hold);
     }
 
-    /// Whether some mixer is unreachable without being known to have ended. The operator is told which one.
+    /// Whether some mixer is unreachable without being known to have ended. Its name is reported to the
+    /// operator.
     fn waits_for_unreachable(&self, now: Moment, effects: &mut Effects) -> bool {
         let unreachable = (0..self.mixers.len())
             .find(|at| self.mixers[*at].gone_since.is_none() && self.is_unreachable(*at, now));
--- a/crates/shedding/src/load_shedder.rs
+++ b/crates/shedding/src/load_shedder.rs
@@ -7,8 +7,8 @@
 
 /// The target of the queue, which is also the latency unit of the loop: half of a part's latency without a
 /// queue. The limits on in-flight parts aim at one and a half times the minimum latency, so that scans are
-/// shed in order of priority before those limits reject any. At most a quarter of the time left beside the
-/// work, where that is short.
+/// shed in order of priority before those limits reject any. At most a quarter of the time that the target
+/// latency leaves above the minimum latency, where that is short.
 fn queue_target(result: &PartResult) -> Span {
     (result.min_latency * 0.5)
         .min(result.target_latency.saturating_sub(result.min_latency) * 0.25)
@@ -57,8 +57,8 @@
         level.map_or(0.0, |(parameters, level)| level.shed_level(now, parameters))
     }
 
-    /// `Ok` with the position of a scan among the admitted ones, or `Err` with the share of the longest pause
-    /// that its client is told.
+    /// `Ok` with the position of a scan among the admitted ones, or `Err` with the pause before a retry, as a
+    /// share of the longest one.
     pub fn admit(&mut self, now: Moment, scan: &AdmissionRequest) -> Result<f64, f64> {
         let position = self.priority_order.position(now, scan);
         let level = self.shed_level(now, scan.parts.iter().map(|part| part.shard % scan.cells.max(1)));
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -42,7 +42,7 @@
     address
 }
 
-/// An agent that the test drives: it reads and answers each request when told to.
+/// An agent that the test drives: it reads and answers each request on demand.
 pub struct ScriptedAgent(TcpListener);
 
 /// A request that a [`ScriptedAgent`] has read, with its connection.
--- a/crates/standins/src/fleet/rule_checker.rs
+++ b/crates/standins/src/fleet/rule_checker.rs
@@ -24,7 +24,7 @@
     Budget,
     /// The whole fleet keeps its retry budget over the run.
     Sum,
-    /// No mixer exits without being told to.
+    /// No mixer exits unless its shutdown was requested.
     Crash,
 }
 
@@ -86,7 +86,7 @@
     scans: BTreeMap<u32, Scan<'a>>,
     attempts: BTreeMap<Part, Attempts>,
     retry_budgets: BTreeMap<usize, RetryBudget>,
-    /// When each mixer was told that a searcher is no longer ready.
+    /// When each mixer received the update that a searcher is no longer ready.
     not_ready_since: BTreeMap<(usize, usize), Moment>,
     /// When each mixer was last suspended, resumed, stopped or started, and whether it is away now.
     away: BTreeMap<usize, (Moment, bool)>,
--- a/crates/standins/src/fleet/runner.rs
+++ b/crates/standins/src/fleet/runner.rs
@@ -57,7 +57,8 @@
     pub operator_files: Vec<PathBuf>,
 }
 
-/// Builds the command of a controller, a program that runs beside the scenario and stops and starts mixers.
+/// Builds the command of a controller, a program that runs alongside the scenario and stops and starts
+/// mixers.
 pub type ControllerCommand<'a> = &'a dyn Fn(&FleetLayout) -> io::Result<Command>;
 
 /// How the controller ended.
@@ -105,14 +106,14 @@
     changes: RefCell<Vec<Change>>,
     /// Extra delay of each mixer's discovery, from `late-list` faults.
     discovery_delay: Vec<Cell<Duration>>,
-    /// Whether each mixer was last told that a searcher is ready, by mixer and searcher.
+    /// Whether the last update to each mixer listed a searcher as ready, by mixer and searcher.
     reported_ready: RefCell<BTreeMap<(usize, usize), bool>>,
     /// The traffic type of each try, and the first try of the same scan.
     tries: RefCell<Vec<(usize, u32)>>,
     /// Client connections that can be reused, by mixer.
     idle_connections: RefCell<Vec<Vec<Async<TcpStream>>>>,
     processes: RefCell<MixerProcesses>,
-    /// Whether each mixer has been told to shut down, or killed.
+    /// Whether each mixer has been sent SIGTERM, or killed.
     stopping: RefCell<Vec<bool>>,
     executor: Rc<LocalExecutor<'static>>,
 }
@@ -139,7 +140,7 @@
         self.trace.borrow_mut().push(TraceEntry { at, event });
     }
 
-    /// Runs a task beside the others.
+    /// Runs a task concurrently with the others.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
@@ -274,7 +275,7 @@
     pub alternate_program: Option<&'a Path>,
     /// The operator file; with a controller, each mixer gets its own copy.
     pub operator_file: Option<&'a Path>,
-    /// A controller to run beside the scenario.
+    /// A controller to run alongside the scenario.
     pub controller: Option<ControllerCommand<'a>>,
 }
 
--- a/crates/standins/src/fleet/scenario.rs
+++ b/crates/standins/src/fleet/scenario.rs
@@ -106,7 +106,7 @@
     /// How long a client waits in all, over its tries.
     #[serde(deserialize_with = "time")]
     pub abandon: Duration,
-    /// The worth of one served scan.
+    /// The value of one served scan.
     #[serde(default = "one")]
     pub credit: f64,
     /// Whether a part may be sent again.
@@ -139,7 +139,7 @@
 pub struct Clients {
     /// Tries per scan, the first one included.
     pub tries: usize,
-    /// How long a client waits before a retry if no `Retry-After` tells it.
+    /// How long a client waits before a retry if no `Retry-After` states it.
     #[serde(deserialize_with = "time")]
     pub backoff: Duration,
     /// The share of clients that obey `Retry-After`.
@@ -161,7 +161,7 @@
     pub in_sum: f64,
 }
 
-/// A fault, its time and whom it affects.
+/// A fault, its time and the processes it affects.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
@@ -214,7 +214,7 @@
     Stall,
     /// Mixers are killed (SIGKILL), and restarted without any state after `lasts`.
     Kill,
-    /// Mixers are told to shut down (SIGTERM), and restarted after `lasts`.
+    /// Mixers receive SIGTERM, and restarted after `lasts`.
     Term,
     /// Searchers crash, and restart cold after `lasts`.
     Crash,
--- a/crates/standins/src/fleet/trace.rs
+++ b/crates/standins/src/fleet/trace.rs
@@ -61,7 +61,7 @@
     SearcherCollapsed { searcher: usize },
     /// A mixer was started again.
     MixerStarted { mixer: usize },
-    /// A mixer exited; `expected` if it had been told to, or killed.
+    /// A mixer exited; `expected` if its shutdown had been requested, or it was killed.
     MixerExited { mixer: usize, expected: bool },
     /// A mixer was suspended or resumed.
     MixerStalled { mixer: usize, stalled: bool },
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -195,7 +195,7 @@
     pub has_fetch_step: bool,
 }
 
-/// A scan that asks for admission, as the fleet's load shedding sees it.
+/// A scan that requests admission, as the fleet's load shedding sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest<'a> {
     /// The scan's value for its work relative to the best seen so far, at most 1.
@@ -224,7 +224,7 @@
 pub trait FleetPolicy {
     /// Decides on admission, or returns `None` to leave the decision to the mixer. For an admitted scan,
     /// returns its position among the admitted ones, from 0 to 1, which is the same at every mixer and cell.
-    /// For a rejected scan, returns the fraction of the longest pause that its client is told.
+    /// For a rejected scan, returns the pause before a retry, as a fraction of the longest one.
     fn admit(&mut self, now: Moment, request: &AdmissionRequest) -> Option<Result<f64, f64>>;
     /// Records the result of a relay.
     fn note_result(&mut self, now: Moment, result: &PartResult);
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -14,7 +14,7 @@
     /// Each customer's quota at this mixer in scans per second, how far it is ahead of it, and when that was
     /// updated.
     customers: Vec<(f64, f64, Moment)>,
-    /// The pause that a rejected client is told.
+    /// The pause before a retry that is sent to rejected clients.
     pub(crate) retry_after: Span,
     /// The longest time that a client has allowed for an attempt, by traffic type.
     pub(crate) longest_time_left: BTreeMap<usize, Span>,
--- a/src/replica_set.rs
+++ b/src/replica_set.rs
@@ -13,8 +13,8 @@
 const MIN_CANDIDATES: usize = 12;
 /// The maximum number of candidates, however few mixers there are: a choice stays cheap.
 const MAX_CANDIDATES: usize = 64;
-/// The mean number of mixers that each replica is a candidate of. With fewer, some replicas would be nobody's
-/// candidate.
+/// The mean number of mixers that each replica is a candidate of. With fewer, some replicas would be no
+/// mixer's candidate.
 const COVERAGE: f64 = 4.0;
 
 /// The replicas of one cell.
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -781,13 +781,13 @@
 fn among_equal_replicas_the_one_without_cross_zone_cost_is_chosen() {
     let mut scenario = scenario(complete_only());
     scenario.warm_up(100);
-    let told = |id| ListedSearcher {
+    let listed = |id| ListedSearcher {
         searcher: Searcher(id),
         ready: true,
         cross_zone: id != 1,
         ..ListedSearcher::default()
     };
-    scenario.mixer.update_searchers(&mut scenario.host, true, &[told(0), told(1), told(2)]);
+    scenario.mixer.update_searchers(&mut scenario.host, true, &[listed(0), listed(1), listed(2)]);
     assert_eq!(sent_to_with_parts(&mut scenario, 1, 10, 1), 10);
     assert_eq!(sent_to_with_parts(&mut scenario, 1, 10, 3), 10, "but not at twice the latency");
 }
@@ -926,7 +926,7 @@
 }
 
 /// A policy that rejects scans that need a given cell, allows a number of retries, sets its own probe delays,
-/// and records the results it is told.
+/// and records the results reported to it.
 #[derive(Default)]
 struct ScriptedPolicy {
     shed_cell: Option<u32>,
