--- a/crates/mixer/src/program/hub.rs
+++ b/crates/mixer/src/program/hub.rs
@@ -228,12 +228,12 @@
             Effect::Dial { link, to, timeout, protocol } => {
                 links.dial(handle, link, to, protocol, duration(timeout));
             }
-            Effect::HedgeDial(link) => links.dial_extra(link),
+            Effect::HedgeDial(link) => links.hedge_dial(link),
             Effect::Call { link, call, part_requests } => links.call(handle, link, call, &part_requests),
             Effect::WithdrawCall(link, call) => links.withdraw(handle, link, call),
-            Effect::CancelPart { link, id } => links.give_up(handle, link, &id),
-            Effect::ProbeHealth(link) => links.check(handle, link),
-            Effect::RequestVersion(link) => links.ask_version(handle, link),
+            Effect::CancelPart { link, id } => links.cancel_part(handle, link, &id),
+            Effect::ProbeHealth(link) => links.probe_health(handle, link),
+            Effect::RequestVersion(link) => links.request_version(handle, link),
             Effect::LogNodeVersion { to, version } => {
                 log::info!("node {to} supports the query API, version {version}")
             }
--- a/crates/mixer/src/program/links.rs
+++ b/crates/mixer/src/program/links.rs
@@ -40,15 +40,15 @@
     control: ConnectionControl,
     protocol: SearcherProtocol,
     to: SocketAddr,
-    /// Notified to start a further attempt while the link is being dialed.
-    extra_attempt: Notify,
+    /// Notified to start a hedged attempt while the link is being dialed.
+    hedged_attempt: Notify,
     /// Requests to a node of the query API that are not answered yet, in order.
-    unanswered: RefCell<VecDeque<Question>>,
+    unanswered: RefCell<VecDeque<PendingRequest>>,
 }
 
-enum Question {
+enum PendingRequest {
     Part(String),
-    Check,
+    HealthProbe,
     Version,
 }
 
@@ -67,16 +67,16 @@
             control,
             protocol,
             to,
-            extra_attempt: Notify::default(),
+            hedged_attempt: Notify::default(),
             unanswered: RefCell::default(),
         });
         self.0.borrow_mut().insert(link, link_handle.clone());
         handle.spawn(serve(self.clone(), handle.clone(), link, link_handle, within));
     }
 
-    /// Starts a further connection attempt beside those of a link being dialed.
-    pub fn dial_extra(&self, link: LinkId) {
-        self.link_handle(link).iter().for_each(|link_handle| link_handle.extra_attempt.notify());
+    /// Starts a hedged connection attempt for a link being dialed.
+    pub fn hedge_dial(&self, link: LinkId) {
+        self.link_handle(link).iter().for_each(|link_handle| link_handle.hedged_attempt.notify());
     }
 
     /// Queues a call with one or more parts.
@@ -92,28 +92,28 @@
                 }
             }
             (SearcherProtocol::QueryApi, [request]) => {
-                if let Some(question) = nodes::encode_part_request(request, &link_handle.to.to_string()) {
-                    link_handle.unanswered.borrow_mut().push_back(Question::Part(request.id.clone()));
-                    self.write(handle, link, call.0, question);
+                if let Some(encoded) = nodes::encode_part_request(request, &link_handle.to.to_string()) {
+                    link_handle.unanswered.borrow_mut().push_back(PendingRequest::Part(request.id.clone()));
+                    self.write(handle, link, call.0, encoded);
                 }
             }
-            // Every part of the call was given up before it was handed over.
+            // Every part of the call was cancelled before it was handed over.
             (SearcherProtocol::QueryApi, _) => {}
         }
     }
 
-    /// Tells the searcher that the answer to a part is no longer wanted.
-    pub fn give_up(&self, handle: &Handle, link: LinkId, id: &str) {
+    /// Cancels a part: notifies the searcher that its answer is no longer needed.
+    pub fn cancel_part(&self, handle: &Handle, link: LinkId, id: &str) {
         self.write(handle, link, UNTRACKED, frames::encode_cancel(id));
     }
 
-    /// Sends a health check.
-    pub fn check(&self, handle: &Handle, link: LinkId) {
+    /// Sends a health probe.
+    pub fn probe_health(&self, handle: &Handle, link: LinkId) {
         let Some(link_handle) = self.link_handle(link) else { return };
         match link_handle.protocol {
             SearcherProtocol::Frames => self.write(handle, link, UNTRACKED, frames::encode_probe()),
             SearcherProtocol::QueryApi => {
-                link_handle.unanswered.borrow_mut().push_back(Question::Check);
+                link_handle.unanswered.borrow_mut().push_back(PendingRequest::HealthProbe);
                 self.write(
                     handle,
                     link,
@@ -124,10 +124,10 @@
         }
     }
 
-    /// Asks for a node's version at the first contact, ahead of its first part.
-    pub fn ask_version(&self, handle: &Handle, link: LinkId) {
+    /// Requests a node's version at the first contact, ahead of its first part.
+    pub fn request_version(&self, handle: &Handle, link: LinkId) {
         let Some(link_handle) = self.link_handle(link) else { return };
-        link_handle.unanswered.borrow_mut().push_back(Question::Version);
+        link_handle.unanswered.borrow_mut().push_back(PendingRequest::Version);
         self.write(handle, link, UNTRACKED, get_request("/", &link_handle.to.to_string()));
     }
 
@@ -143,8 +143,8 @@
     pub fn withdraw(&self, handle: &Handle, link: LinkId, call: CallId) {
         let Some(link_handle) = self.link_handle(link) else { return };
         if link_handle.control.write_queue.withdraw(call.0) {
-            // It was the only part requested on this link; a health check may be outstanding beside it.
-            link_handle.unanswered.borrow_mut().retain(|question| !matches!(question, Question::Part(_)));
+            // It was the only part requested on this link; a health probe may be outstanding as well.
+            link_handle.unanswered.borrow_mut().retain(|request| !matches!(request, PendingRequest::Part(_)));
             handle.dispatch(Event::CallWithdrawn(link, call));
         }
     }
@@ -240,18 +240,18 @@
 
 type Attempt<'a> = Pin<Box<dyn Future<Output = io::Result<Stream>> + 'a>>;
 
-/// Returns the first connection established, of one attempt and the further ones requested meanwhile. A
+/// Returns the first connection established, of the first attempt and the hedged ones requested meanwhile. A
 /// refused connection ends all attempts; any other failure ends only its own.
 async fn race_dials(handle: &Handle, link_handle: &LinkHandle, within: Duration) -> io::Result<Stream> {
     let started = Instant::now();
     let mut attempts: Vec<Attempt> = vec![Box::pin(dial_with_retries(handle, link_handle.to, within))];
     loop {
-        let extra_attempt = async {
-            link_handle.extra_attempt.wait().await;
+        let hedged_attempt = async {
+            link_handle.hedged_attempt.wait().await;
             None
         };
         let finished = async { Some(first_finished(&mut attempts).await) };
-        match future::or(finished, extra_attempt).await {
+        match future::or(finished, hedged_attempt).await {
             None => attempts.push(Box::pin(dial(link_handle.to, within.saturating_sub(started.elapsed())))),
             Some(Ok(stream)) => return Ok(stream),
             Some(Err(error)) => {
@@ -377,16 +377,16 @@
     link_handle: &LinkHandle,
     message: &Message,
 ) -> ControlFlow<CloseReason> {
-    let question = link_handle.unanswered.borrow_mut().pop_front();
-    match question {
-        Some(Question::Part(id)) => {
+    let request = link_handle.unanswered.borrow_mut().pop_front();
+    match request {
+        Some(PendingRequest::Part(id)) => {
             let (outcome, value) = nodes::part_outcome(message);
             handle.dispatch(Event::PartAnswered { link, id, outcome, value });
         }
-        Some(Question::Check) => {
+        Some(PendingRequest::HealthProbe) => {
             handle.dispatch(Event::HealthProbeAnswered(link, message.start_line[1] == "200"))
         }
-        Some(Question::Version) => {
+        Some(PendingRequest::Version) => {
             handle.dispatch(Event::NodeVersionReceived(link, nodes::node_version(message)))
         }
         None => return ControlFlow::Break(CloseReason::InvalidData),
--- a/crates/standins/src/fleet/scenario.rs
+++ b/crates/standins/src/fleet/scenario.rs
@@ -214,7 +214,7 @@
     Stall,
     /// Mixers are killed (SIGKILL), and restarted without any state after `lasts`.
     Kill,
-    /// Mixers receive SIGTERM, and restarted after `lasts`.
+    /// Mixers receive SIGTERM, and are restarted after `lasts`.
     Term,
     /// Searchers crash, and restart cold after `lasts`.
     Crash,
