--- a/crates/mixer/src/program/links.rs
+++ b/crates/mixer/src/program/links.rs
@@ -1,4 +1,4 @@
-//! Links to searchers: each is dialed, then served by one task until it ends.
+//! Links to searchers: each is dialled, then served by one task until it ends.
 
 use super::clock::duration;
 use super::handle::Handle;
@@ -40,7 +40,7 @@
     control: ConnectionControl,
     protocol: SearcherProtocol,
     to: SocketAddr,
-    /// Notified to start a hedged attempt while the link is being dialed.
+    /// Notified to start a hedged attempt while the link is being dialled.
     hedged_attempt: Notify,
     /// Requests to a node of the query API that are not answered yet, in order.
     unanswered: RefCell<VecDeque<PendingRequest>>,
@@ -74,7 +74,7 @@
         handle.spawn(serve(self.clone(), handle.clone(), link, link_handle, within));
     }
 
-    /// Starts a hedged connection attempt for a link being dialed.
+    /// Starts a hedged connection attempt for a link being dialled.
     pub fn hedge_dial(&self, link: LinkId) {
         self.link_handle(link).iter().for_each(|link_handle| link_handle.hedged_attempt.notify());
     }
--- a/crates/mixer/src/program/watch.rs
+++ b/crates/mixer/src/program/watch.rs
@@ -14,7 +14,7 @@
 
 /// How long the agent may hold a long poll, which also bounds the detection of an agent that fell silent.
 /// Changes missed that way count as announced six seconds later (PROTOCOL.md); half of that is left for
-/// asking again.
+/// another request.
 const LONG_POLL: Duration = Duration::from_millis(2_500);
 /// Extra time for the answer to a long poll.
 const LONG_POLL_GRACE: Duration = Duration::from_millis(500);
--- a/crates/mixer/src/protocol/metrics.rs
+++ b/crates/mixer/src/protocol/metrics.rs
@@ -40,7 +40,7 @@
     /// Identifies this run of the program: `{start in Unix milliseconds}-{process id}`.
     pub incarnation: String,
     pub process_id: u32,
-    /// The mixer serves, and has not been asked to stop.
+    /// The mixer serves, and no shutdown has been requested.
     pub ready: bool,
     /// The operator's file was changed and its present content was refused.
     pub settings_refused: bool,
--- a/crates/mixer/src/routing/event.rs
+++ b/crates/mixer/src/routing/event.rs
@@ -41,9 +41,9 @@
     RequestStarted(ClientId, Span),
     /// A client sent a scan in the platform's own format.
     ScanRequested(ClientId, ScanRequest),
-    /// A client asked whether this mixer is ready.
+    /// A client requested the readiness of this mixer.
     HealthRequested(ClientId),
-    /// An authorized client asked for this mixer's metrics.
+    /// An authorized client requested this mixer's metrics.
     MetricsRequested(ClientId),
     /// A client sent a request of the query API.
     QueryRequested(ClientId, Box<Request>),
@@ -77,7 +77,7 @@
     DiscoveryMoved(SocketAddr),
     /// The time requested with `Effect::SetTimer` has come.
     TimerFired,
-    /// The process was asked to shut down.
+    /// A shutdown of the process was requested.
     ShutdownRequested,
     /// A client could not be admitted or a searcher not dialled because descriptors or memory ran out.
     OutOfResources,
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -113,9 +113,9 @@
         let areas = settings.string_list("areas");
         host.registry.costly_outside_zone =
             settings.home_zone()?.map(|zone| areas.get(usize::from(zone)).cloned().unwrap_or_default());
-        let may_tell = settings.is_true("limits.retry_after");
+        let may_send_retry_after = settings.is_true("limits.retry_after");
         let refusal_retry_after =
-            if may_tell { settings.span("limits.max_retry_after")? } else { Span::ZERO };
+            if may_send_retry_after { settings.span("limits.max_retry_after")? } else { Span::ZERO };
         let (customers, shards) =
             (settings.object_names("customers")?, settings.number("family_info.slabs", 0.0)? as u32);
         let indices =
--- a/crates/orders/src/dialect.rs
+++ b/crates/orders/src/dialect.rs
@@ -10,7 +10,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Dialect {
     pub indices: BTreeMap<String, Index>,
-    /// An additional listen address. Both listeners accept requests of both APIs, the platform's and the
+    /// An additional listen address. Both listeners accept requests of the platform's API and of the
     /// query API.
     pub listen: Option<SocketAddr>,
     /// Names of the searchers that speak the query API themselves over HTTP/1.1. A trailing `*` matches any
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -62,7 +62,8 @@
     pub pushed_drain_grace: Option<Span>,
     /// Whether discovery has sent a list since this mixer started.
     has_discovery: bool,
-    /// Decisions taken as one of a fleet, if the operator enables them; asked before the mixer's own limits.
+    /// Decisions taken as one of a fleet, if the operator enables them; consulted before the mixer's own
+    /// limits.
     fleet_policy: Option<Box<dyn FleetPolicy>>,
 }
 
@@ -101,8 +102,8 @@
     ///
     /// Where changes are pushed to a local agent, the mixer is held to what the agent knows. It retries at
     /// once the first time and then at quarters of the drain grace period, so that a failed attempt and the
-    /// next one fit into it. An agent that is down gets a call each time. Where all mixers ask one central
-    /// service, the delay is random so that they do not ask together.
+    /// next one fit into it. An agent that is down gets a call each time. Where all mixers use one central
+    /// service, the delay is random so that their requests do not coincide.
     pub fn watch(&mut self, host: &mut dyn Host, failures: u32) {
         let delay = match (failures, self.pushed_drain_grace) {
             (0, _) | (1, Some(_)) => Span::ZERO,
@@ -227,7 +228,7 @@
         self.send_parts(host, id);
     }
 
-    /// Starts the second step of a scan with the parts to fetch.
+    /// Starts the fetch step of a scan with the parts to fetch.
     pub fn start_fetch(&mut self, host: &mut dyn Host, id: ScanId, parts: &[PartSpec]) {
         self.retry_budget.note_requests(host.now(), parts.len());
         let Some(scan) = self.scans.get_mut(&id) else { return };
@@ -237,7 +238,7 @@
         self.send_parts(host, id);
     }
 
-    /// Sets the policy that is asked before the mixer's own limits.
+    /// Sets the policy that is consulted before the mixer's own limits.
     pub fn set_fleet_policy(&mut self, policy: Box<dyn FleetPolicy>) {
         self.fleet_policy = Some(policy);
     }
@@ -406,7 +407,7 @@
     ///
     /// A rejected part that its scan cannot be answered without is retried again after an eighth of the
     /// remaining time: failing the scan for one full queue would waste all its other parts in flight. The
-    /// cost is borne by clients that would have found capacity sooner by asking again.
+    /// cost is borne by clients that would have found capacity sooner by retrying.
     fn retry_part(&mut self, host: &mut dyn Host, id: ScanId, index: usize, may_wait: bool) {
         if let Some(to) = self.choose_retry(host.now(), id, index) {
             let cell = self.scans[&id].parts[index].request.shard % self.replicas.cells;
