--- a/crates/mixer/src/program/hub.rs
+++ b/crates/mixer/src/program/hub.rs
@@ -221,7 +221,7 @@
         match effect {
             Effect::Reply { client, reply, last } => clients.reply(handle, client, &reply, last),
             Effect::AdmitClient(client) => clients.admit(handle, client),
-            Effect::RefuseClient(client, pause) => clients.reject(client, pause),
+            Effect::RejectClient(client, pause) => clients.reject(client, pause),
             Effect::CloseClient(client) => clients.drain(client),
             Effect::SetAccepting(open) => clients.set_accepting(open),
             Effect::CloseListener => clients.stop_listening(),
--- a/crates/mixer/src/routing/any_order.rs
+++ b/crates/mixer/src/routing/any_order.rs
@@ -151,7 +151,7 @@
                 Effect::AdmitClient(client) => {
                     self.clients.entry(client).and_modify(|c| c.admitted = true).or_default().admitted = true
                 }
-                Effect::RefuseClient(client, _) => drop(self.clients.remove(&client)),
+                Effect::RejectClient(client, _) => drop(self.clients.remove(&client)),
                 Effect::CloseClient(client) => {
                     let client_model = self.clients.get_mut(&client).expect("the client is connected");
                     assert!(
--- a/crates/mixer/src/routing/clients.rs
+++ b/crates/mixer/src/routing/clients.rs
@@ -128,8 +128,8 @@
         self.actions.extend(self.admission.shut_down(now));
     }
 
-    /// The retry time sent to refused clients, if the operator configured one.
-    pub fn refusal_retry_after(&self) -> Option<Span> {
+    /// The retry time sent to rejected clients, if the operator configured one.
+    pub fn rejection_retry_after(&self) -> Option<Span> {
         self.admission.policy().retry_after
     }
 
--- a/crates/mixer/src/routing/event.rs
+++ b/crates/mixer/src/routing/event.rs
@@ -34,7 +34,7 @@
 /// An input to the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A client connection was accepted. An effect admits or refuses it.
+    /// A client connection was accepted. An effect admits or rejects it.
     ClientAccepted(ClientId, IpAddr),
     /// A request has begun to arrive and may still be incomplete. The span is how long it may have waited
     /// unread.
@@ -94,8 +94,8 @@
     Reply { client: ClientId, reply: Reply, last: bool },
     /// Admits an accepted client: requests are read from its connection from now on.
     AdmitClient(ClientId),
-    /// Refuses an accepted client: sends it a retry time and closes its connection.
-    RefuseClient(ClientId, Span),
+    /// Rejects an accepted client: sends it a retry time and closes its connection.
+    RejectClient(ClientId, Span),
     /// Closes a client's connection.
     CloseClient(ClientId),
     /// Starts or stops accepting clients. While stopped, new clients stay in the listen backlog.
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -55,8 +55,8 @@
     descriptors: DescriptorBudget,
     /// When admission control next has something to do.
     admission_due: Option<Moment>,
-    /// The retry time sent to refused clients; zero where the platform doesn't allow sending one.
-    refusal_retry_after: Span,
+    /// The retry time sent to rejected clients; zero where the platform doesn't allow sending one.
+    rejection_retry_after: Span,
 }
 
 /// The policies that act on the load of the whole fleet of mixers, as far as the operator enables them.
@@ -114,7 +114,7 @@
         host.registry.costly_outside_zone =
             settings.home_zone()?.map(|zone| areas.get(usize::from(zone)).cloned().unwrap_or_default());
         let may_send_retry_after = settings.is_true("limits.retry_after");
-        let refusal_retry_after =
+        let rejection_retry_after =
             if may_send_retry_after { settings.span("limits.max_retry_after")? } else { Span::ZERO };
         let (customers, shards) =
             (settings.object_names("customers")?, settings.number("family_info.slabs", 0.0)? as u32);
@@ -139,7 +139,7 @@
             watch_failures: 0,
             descriptors,
             admission_due: None,
-            refusal_retry_after,
+            rejection_retry_after,
         })
     }
 
@@ -205,8 +205,8 @@
                 AdmissionAction::Admit(ClientConnectionId(id)) => self.admit(ClientId(id)),
                 AdmissionAction::Reject(ClientConnectionId(id), _) => {
                     let retry_after =
-                        self.host.clients.refusal_retry_after().unwrap_or(self.refusal_retry_after);
-                    self.host.effects.push(Effect::RefuseClient(ClientId(id), retry_after));
+                        self.host.clients.rejection_retry_after().unwrap_or(self.rejection_retry_after);
+                    self.host.effects.push(Effect::RejectClient(ClientId(id), retry_after));
                 }
                 AdmissionAction::Evict(ClientConnectionId(id)) => {
                     self.host.effects.push(Effect::CloseClient(ClientId(id)))
--- a/crates/mixer/src/routing/tests.rs
+++ b/crates/mixer/src/routing/tests.rs
@@ -824,14 +824,14 @@
     );
     assert!(mixer.take_effect(&Effect::SetAccepting(false)), "only one client may wait");
     mixer.advance(410);
-    assert!(mixer.take_effect(&Effect::RefuseClient(fourth, Span::ZERO)), "it has waited long enough");
+    assert!(mixer.take_effect(&Effect::RejectClient(fourth, Span::ZERO)), "it has waited long enough");
     assert!(mixer.take_effect(&Effect::SetAccepting(true)));
     mixer.connect_client();
     assert!(mixer.take_effect(&Effect::SetAccepting(false)));
     mixer.advance(100);
-    assert!(mixer.take_effect(&Effect::SetAccepting(true)), "further clients are refused");
+    assert!(mixer.take_effect(&Effect::SetAccepting(true)), "further clients are rejected");
     let sixth = mixer.connect_client();
-    assert!(mixer.take_effect(&Effect::RefuseClient(sixth, Span::ZERO)));
+    assert!(mixer.take_effect(&Effect::RejectClient(sixth, Span::ZERO)));
 }
 
 #[test]
