--- a/crates/mixer/src/routing/host.rs
+++ b/crates/mixer/src/routing/host.rs
@@ -1,5 +1,5 @@
-//! The `Host` implementation for the routing logic: turns its calls into effects, and maps its ids to scans,
-//! relays and links.
+//! The `Host` implementation for the decision module: turns its calls into effects, and maps its ids to
+//! scans, relays and links.
 
 use super::clients::{ClientActivity, Clients};
 use super::connection_attempts::HedgeDecision;
@@ -51,7 +51,7 @@
     location: Option<(LinkId, CallId)>,
 }
 
-/// The part of the state that the routing logic acts on.
+/// The part of the state that the decision module acts on.
 #[derive(Default)]
 pub struct MixerHost {
     pub now: Moment,
@@ -65,9 +65,9 @@
     pub relays: BTreeMap<Ticket, Relay>,
     /// Relays started by the current event that have no link yet.
     unassigned: Vec<Ticket>,
-    /// Finished relays not yet passed to the routing logic.
+    /// Finished relays not yet passed to the decision module.
     pub finished_relays: VecDeque<(Ticket, RelayOutcome, Span)>,
-    /// Health probe results not yet passed to the routing logic.
+    /// Health probe results not yet passed to the decision module.
     pub probe_results: VecDeque<(Searcher, bool)>,
     /// Multi-search requests by client, removed when answered or when the client disconnects.
     pub multi_searches: BTreeMap<ClientId, MultiSearch>,
--- a/crates/mixer/src/routing/mod.rs
+++ b/crates/mixer/src/routing/mod.rs
@@ -1,5 +1,5 @@
 //! Scan routing as a state machine: [`reduce`] takes one event and returns the effects to carry out. It wraps
-//! the routing logic of the `fernglade` crate and implements its `Host` trait. It owns no sockets, and the
+//! the decision module of the `fernglade` crate and implements its `Host` trait. It owns no sockets, and the
 //! time passed in with each event is its only clock.
 
 mod clients;
--- a/crates/mixer/src/routing/query.rs
+++ b/crates/mixer/src/routing/query.rs
@@ -1,5 +1,5 @@
 //! Turns requests of the query API into the same scans as the platform's own, and their results into
-//! responses. All routing decisions (which searcher, retries, load shedding) are made by the routing logic.
+//! responses. All routing decisions (which searcher, retries, load shedding) are made by the decision module.
 
 use super::host::OpenScan;
 use super::Reply;
--- a/crates/mixer/src/routing/searcher_registry.rs
+++ b/crates/mixer/src/routing/searcher_registry.rs
@@ -52,9 +52,9 @@
         self.stale = true;
     }
 
-    /// Applies a discovery update, and returns the listed searchers for the routing logic. Changes older than
-    /// the current version are ignored and the whole list is requested, because they could mark a draining
-    /// searcher as ready again.
+    /// Applies a discovery update, and returns the listed searchers for the decision module. Changes older
+    /// than the current version are ignored and the whole list is requested, because they could mark a
+    /// draining searcher as ready again.
     pub fn apply(&mut self, update: &ListUpdate) -> Vec<ListedSearcher> {
         let older = !update.is_full && self.version.is_some_and(|version| update.version < version);
         (self.version, self.stale) = ((!older).then_some(update.version), false);
--- a/crates/mixer/src/routing/state.rs
+++ b/crates/mixer/src/routing/state.rs
@@ -175,7 +175,7 @@
         &self.host
     }
 
-    /// Passes finished relays and probes to the routing logic until nothing is pending, and returns the
+    /// Passes finished relays and probes to the decision module until nothing is pending, and returns the
     /// effects.
     fn process_pending(&mut self) -> Vec<Effect> {
         loop {
@@ -195,7 +195,7 @@
         std::mem::take(&mut host.effects)
     }
 
-    /// Carries out the actions that admission control has requested since it was last asked.
+    /// Carries out the actions that admission control has requested since the last call.
     fn update_admission(&mut self) {
         let now = self.host.now;
         let client_limit = self.descriptors.client_limit(self.host.pool.descriptors_in_use());
@@ -352,7 +352,7 @@
         self.mixer.start_scan(&mut self.host, id, scan);
     }
 
-    /// Validates a scan and translates it for the routing logic.
+    /// Validates a scan and translates it for the decision module.
     fn validate(&self, scan_request: &ScanRequest, request_start: Moment) -> Result<ScanSpec, RequestError> {
         let invalid = |what: String| Err(RequestError::Invalid(what));
         let Some(traffic_type) = self.types.iter().position(|(name, _)| *name == scan_request.traffic_type)
--- a/crates/mixer/src/routing/timers.rs
+++ b/crates/mixer/src/routing/timers.rs
@@ -9,7 +9,7 @@
 /// outdated.
 #[derive(Clone, Copy, Debug)]
 pub enum Timer {
-    /// A timer that the routing logic set.
+    /// A timer that the decision module set.
     Routing(Ticket),
     /// A relay has timed out, if its deadline is still this one.
     RelayDeadline(Ticket, Moment),
