--- a/crates/mixer/src/program/hub.rs
+++ b/crates/mixer/src/program/hub.rs
@@ -50,8 +50,8 @@
     let mut state = state.map_err(|error| error.to_string())?;
     let initial_effects = state.begin(&config.known, config.discovery, clock.now());
     let indices = config.operator.dialect().indices.keys().cloned().collect();
-    let query_api_address = config.operator.dialect().listen;
-    let at: Vec<_> = std::iter::once(config.listen).chain(query_api_address).collect();
+    let additional_address = config.operator.dialect().listen;
+    let at: Vec<_> = std::iter::once(config.listen).chain(additional_address).collect();
     let mut listeners = Vec::new();
     for at in &at {
         let listener = retry_transient(|| listen(*at));
--- a/crates/mixer/src/protocol/scans.rs
+++ b/crates/mixer/src/protocol/scans.rs
@@ -180,7 +180,7 @@
     response(200, &[("Content-Type", content_type)], text, close)
 }
 
-/// A response in the query dialect.
+/// A response of the query API.
 pub fn dialect_response(status: u16, body: &str, pause: Span, opaque: Option<&str>, close: bool) -> Vec<u8> {
     let seconds = (pause.micros().div_ceil(1_000_000)).to_string();
     let mut headers = vec![("Content-Type", "application/json; charset=UTF-8")];
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -39,7 +39,7 @@
     pub relays: Vec<Relay>,
     pub cancelled: Vec<Ticket>,
     pub endings: Vec<(ScanId, Ending)>,
-    /// The pauses that rejected clients were told, in order.
+    /// The pauses that rejected clients were sent, in order.
     pub pauses: Vec<Span>,
     pub probes: Vec<u32>,
     pub retired: Vec<u32>,
